--- a/packages/forward-request/src/admitted-request.ts
+++ b/packages/forward-request/src/admitted-request.ts
@@ -1,15 +1,15 @@
-/** A request as the front door's filters pass it on. */
+/** A request after admission at the front door. */
 import type { IncomingRequest, Millis, ServingRoute } from '@limelead/types';
 
-/** One request with what the front door's filters decided about it. */
+/** One request with the decisions of the front door's filters. */
 export interface AdmittedRequest {
   request: IncomingRequest;
   route: ServingRoute;
   service: string;
   organisation?: string;
   rank: number;
-  /** Steady time at which the request was read. */
+  /** Steady time at which the request was received. */
   receivedAtMs: Millis;
-  /** Steady time by which the final answer is due: the caller's or the route's limit. */
+  /** Steady time of the deadline for the complete answer, set by the caller or the route. */
   dueAtMs: Millis;
 }
--- a/packages/forward-request/src/answer-sink.ts
+++ b/packages/forward-request/src/answer-sink.ts
@@ -1,29 +1,29 @@
-/** Where an answer goes: the caller's side of one request. */
+/** The caller's side of an answer. */
 import type { LimeleadError } from '@limelead/errors';
 import type { AnswerHead } from '@limelead/target-connections';
 
-/** Takes one answer. After `end`, `abort` or `refuse` nothing is taken any more. */
+/** Receives one answer. After `end`, `abort` or `refuse` it ignores further calls. */
 export interface AnswerSink {
-  /** Begins the answer. `length` is that of the whole body where it is known. */
+  /** Starts the answer. `length` is the length of the whole body, if known. */
   begin(status: number, rawHeaders: string[], length?: number): void;
   write(bytes: Buffer): void;
-  /** The answer is whole. */
+  /** Completes the answer. */
   end(): void;
-  /** The answer can't be finished; it must not look whole. */
+  /** Breaks off an answer that has started, so that the caller does not take it as complete. */
   abort(error: LimeleadError): void;
-  /** No answer has begun; the caller is told why there will be none. */
+  /** Sends an error in place of an answer that has not started. */
   refuse(error: LimeleadError): void;
-  /** Calls back once where the caller leaves before the end of the answer. */
-  onGone(callback: () => void): void;
+  /** Registers a callback that runs once if the caller disconnects before the answer ends. */
+  onCallerLeft(callback: () => void): void;
 }
 
-/** An answer of a target that is whole. */
+/** A complete answer of a target. */
 export interface WholeAnswer {
   head: AnswerHead;
   body: Buffer;
 }
 
-/** Headers that concern only one connection, in lower case. */
+/** Hop-by-hop headers, in lower case. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -38,14 +38,13 @@
 
 const LENGTH_HEADER: ReadonlySet<string> = new Set(['content-length']);
 
-/** Headers of a target's answer that pass through; the sink frames the body itself. */
-export function keepAnswerHeaders(rawHeaders: string[]): string[] {
-  return keepEndToEnd(rawHeaders, LENGTH_HEADER);
+/** Headers of a target's answer for the caller, without the length: the sink frames the body. */
+export function filterAnswerHeaders(rawHeaders: string[]): string[] {
+  return filterEndToEndHeaders(rawHeaders, LENGTH_HEADER);
 }
 
-/** Gives the caller an answer that is whole. */
-export function passWholeAnswer(sink: AnswerSink, { head, body }: WholeAnswer): void {
-  sink.begin(head.status, keepAnswerHeaders(head.rawHeaders), body.length);
+export function writeWholeAnswer(sink: AnswerSink, { head, body }: WholeAnswer): void {
+  sink.begin(head.status, filterAnswerHeaders(head.rawHeaders), body.length);
   if (body.length > 0) {
     sink.write(body);
   }
@@ -53,10 +52,10 @@
 }
 
 /**
- * Headers that pass through, names and values by turns: all but those of one
- * connection, those that a Connection header names, and the given ones.
+ * Removes hop-by-hop headers, those named by a Connection header, and the given ones.
+ * `rawHeaders` and the result alternate names and values.
  */
-export function keepEndToEnd(
+export function filterEndToEndHeaders(
   rawHeaders: string[],
   without: ReadonlySet<string> = new Set(),
 ): string[] {
--- a/packages/forward-request/src/kept-prompts.ts
+++ b/packages/forward-request/src/cached-prompt-finder.ts
@@ -1,30 +1,25 @@
 /**
- * Finds the target that keeps the prompt of a session. A caller that comes back
- * with its last piece had an entry VM that is gone, and with it the knowledge of
- * where its run was; reading the prompt again costs far more than asking.
+ * Finds the target that caches the prompt of a session. A caller that resumes after the
+ * loss of its entry VM is sent there, since a query costs less than another prefill.
  */
 import { listLikelyTargets } from '@limelead/choose-service-target';
 import type { DecisionLog } from '@limelead/decision-log';
 import type { TargetConnections } from '@limelead/target-connections';
 import { isSuspected, type TargetDirectory } from '@limelead/track-service-targets';
 import type { Clock, Millis, ServiceTarget, Timers } from '@limelead/types';
-import askTarget from './ask-target.js';
+import queryTarget from './query-target.js';
 import type { TargetDialect } from './dialect.js';
 import type { TargetBackpressure } from './target-backpressure.js';
 
-/** Time for the answers, in milliseconds. */
+/** Timeout for the answers of targets. */
 const ANSWER_TIMEOUT_MS = 150;
-/** Answers younger than this serve for other sessions too. */
-const REUSE_MS = 250;
-/**
- * Targets asked for one session. Small sites have fewer; where 196 were asked, the
- * callers that came back after all VMs lost power cost 26,000 questions on a day.
- */
-const MOST_ASKED = 24;
-const NOTHING: ReadonlySet<string> = new Set();
+/** Time for which an answer is reused for other sessions. */
+const ANSWER_TTL_MS = 250;
+/** Limits the queries per session in large fleets. */
+const MAX_QUERIED_TARGETS = 24;
+const NO_PROMPTS: ReadonlySet<string> = new Set();
 
-/** What the search needs. */
-export interface KeptPromptsOptions {
+export interface CachedPromptFinderOptions {
   clock: Clock;
   timers: Timers;
   directory: TargetDirectory;
@@ -36,16 +31,16 @@
 
 interface Answer {
   askedAtMs: Millis;
-  kept: Promise<ReadonlySet<string>>;
+  affinityKeys: Promise<ReadonlySet<string>>;
 }
 
-/** Asks targets what they keep. */
-export default class KeptPrompts {
+/** Queries targets for the prompts that they cache. */
+export default class CachedPromptFinder {
   private readonly answers = new Map<string, Answer>();
 
-  constructor(private readonly options: KeptPromptsOptions) {}
+  constructor(private readonly options: CachedPromptFinderOptions) {}
 
-  /** The target of the service that keeps the session's prompt, where one answers in time. */
+  /** Returns the id of the target that caches the prompt, or undefined if none answers so in time. */
   async find(service: string, affinityKey: string): Promise<string | undefined> {
     const { backpressure, clock, directory, log } = this.options;
     const askedAtMs = clock.now();
@@ -53,9 +48,11 @@
       .listUsable(service)
       .filter(({ evidence }) => !isSuspected(evidence, askedAtMs))
       .filter(({ target }) => backpressure.coolingUntilMs(target.id) === undefined);
-    const targets = listLikelyTargets(present, affinityKey, MOST_ASKED).map(({ target }) => target);
-    const kept = await Promise.all(targets.map((target) => this.ask(target)));
-    const found = targets.find((_, index) => kept[index]?.has(affinityKey));
+    const targets = listLikelyTargets(present, affinityKey, MAX_QUERIED_TARGETS).map(
+      ({ target }) => target,
+    );
+    const affinityKeys = await Promise.all(targets.map((target) => this.query(target)));
+    const found = targets.find((_, index) => affinityKeys[index]?.has(affinityKey));
     log.write('prompt-searched', {
       session: affinityKey,
       asked: targets.length,
@@ -65,28 +62,28 @@
     return found?.id;
   }
 
-  private ask(target: ServiceTarget): Promise<ReadonlySet<string>> {
+  private query(target: ServiceTarget): Promise<ReadonlySet<string>> {
     const now = this.options.clock.now();
     const known = this.answers.get(target.id);
-    if (known !== undefined && now - known.askedAtMs < REUSE_MS) {
-      return known.kept;
+    if (known !== undefined && now - known.askedAtMs < ANSWER_TTL_MS) {
+      return known.affinityKeys;
     }
-    const kept = this.send(target);
-    this.answers.set(target.id, { askedAtMs: now, kept });
-    this.forgetOld(now);
-    return kept;
+    const affinityKeys = this.send(target);
+    this.answers.set(target.id, { askedAtMs: now, affinityKeys });
+    this.evictExpired(now);
+    return affinityKeys;
   }
 
   private async send(target: ServiceTarget): Promise<ReadonlySet<string>> {
     const { connections, dialect, timers } = this.options;
     const options = { connections, timers, timeoutMs: ANSWER_TIMEOUT_MS };
-    const body = await askTarget(options, target, dialect.composeKeptQuery(target));
-    return body === undefined ? NOTHING : dialect.readKept(body);
+    const body = await queryTarget(options, target, dialect.composeCachedPromptsQuery(target));
+    return body === undefined ? NO_PROMPTS : dialect.readCachedPrompts(body);
   }
 
-  private forgetOld(now: Millis): void {
+  private evictExpired(now: Millis): void {
     for (const [id, { askedAtMs }] of [...this.answers]) {
-      if (now - askedAtMs >= REUSE_MS) {
+      if (now - askedAtMs >= ANSWER_TTL_MS) {
         this.answers.delete(id);
       }
     }
--- a/packages/forward-request/src/call-attempt.ts
+++ b/packages/forward-request/src/call-attempt.ts
@@ -1,58 +1,57 @@
-/** One send of a call to one target: holds its answer back until it is whole, or passes it on. */
+/** One attempt of a call at one target. Buffers the answer until it is complete or too long. */
 import type { AnswerHead, OpenCall } from '@limelead/target-connections';
 import type { Millis, ServiceTarget } from '@limelead/types';
 import type { WholeAnswer } from './answer-sink.js';
 import type { ForwardContext } from './context.js';
-import type { AnswerFacts, TargetOrder } from './dialect.js';
+import type { AnswerInfo, AttemptRequest } from './dialect.js';
 import type { Slot } from './slot-request.js';
 import readAnswer from './read-answer.js';
-import type { NoteUnreached } from './send-payments.js';
+import type { RefundAttempt } from './attempt-budget.js';
 
-/** Longest answer that is held back until it is whole, in bytes; the users' are 0.8 KB on the mean. */
-const MAX_HELD_BYTES = 256 * 1024;
+/** Longer answers are streamed to the caller. */
+const MAX_BUFFERED_BYTES = 256 * 1024;
 
-/** What the owner of attempts is told. `onEnd`, `onFault` and `onTurnedAway` come last, and once. */
+/** Callbacks of an attempt. It ends with one call of `onEnd`, `onFault` or `onRejected`. */
 export interface CallAttemptEvents {
-  /** The answer is too long to be held back; `passOn` gives what came so far. */
-  onLong(attempt: CallAttempt, head: AnswerHead): void;
-  /** A part of an answer that is passed on. */
+  /** The answer is too long to buffer; `startStreaming` returns the buffered part. */
+  onTooLongToBuffer(attempt: CallAttempt, head: AnswerHead): void;
+  /** A chunk of an answer that is streamed. */
   onData(attempt: CallAttempt, chunk: Buffer): void;
-  /** The answer is whole; its body is empty where it was passed on. */
+  /** The answer is complete; its body is empty if it was streamed. */
   onEnd(attempt: CallAttempt, answer: WholeAnswer): void;
-  /** @param notSent true where the request certainly reached nobody */
+  /** @param notSent true if the request certainly reached no target */
   onFault(attempt: CallAttempt, notSent: boolean, reason: string): void;
   /** The target did not run the request. */
-  onTurnedAway(attempt: CallAttempt, isOtherTarget: boolean): void;
+  onRejected(attempt: CallAttempt, isOtherTarget: boolean): void;
 }
 
-/** What an attempt is made with. */
 export interface CallAttemptOptions {
   number: number;
   slot: Slot;
-  noteUnreached: NoteUnreached;
+  refund: RefundAttempt;
   events: CallAttemptEvents;
 }
 
-/** One send to one target. */
+/** One attempt at one target. */
 export default class CallAttempt {
   readonly number: number;
-  readonly noteUnreached: NoteUnreached;
-  /** True once it ended or was cancelled; nothing is told from then on. */
+  readonly refund: RefundAttempt;
+  /** True once the attempt has ended or was cancelled; no callbacks follow. */
   isOver = false;
-  /** When the request was sent; 0 before that. */
+  /** Steady time at which the request was sent; 0 before. */
   sentAtMs: Millis = 0;
   private readonly slot: Slot;
   private readonly events: CallAttemptEvents;
   private open: OpenCall | undefined;
   private head: AnswerHead | undefined;
   private chunks: Buffer[] = [];
-  private heldBytes = 0;
-  private isPassedOn = false;
+  private bufferedBytes = 0;
+  private isStreaming = false;
 
-  constructor({ number, slot, noteUnreached, events }: CallAttemptOptions) {
+  constructor({ number, slot, refund, events }: CallAttemptOptions) {
     this.number = number;
     this.slot = slot;
-    this.noteUnreached = noteUnreached;
+    this.refund = refund;
     this.events = events;
   }
 
@@ -60,31 +59,32 @@
     return this.slot.tracked.target;
   }
 
-  /** @param maxIdleMs longest rest of a connection that may be used */
-  send(context: ForwardContext, order: TargetOrder, maxIdleMs: number): void {
+  /** @param maxIdleMs longest idle time of a connection to reuse */
+  send(context: ForwardContext, attemptRequest: AttemptRequest, maxIdleMs: number): void {
     const { connections, dialect, clock } = context;
     this.sentAtMs = clock.now();
     this.open = connections.send(
       this.target,
-      dialect.composeCall(order),
+      dialect.composeCall(attemptRequest),
       { maxIdleMs },
       {
-        onHead: (head) => this.onHead(readAnswer(context, order, head, this.sentAtMs), head),
+        onHead: (head) =>
+          this.onHead(readAnswer(context, attemptRequest, head, this.sentAtMs), head),
         onData: (chunk) => this.onData(chunk),
         onEnd: () => this.onEnd(),
         onFault: (fault) =>
-          this.over(() => this.events.onFault(this, fault.sent === 'no', fault.message)),
+          this.finish(() => this.events.onFault(this, fault.sent === 'no', fault.message)),
       },
     );
   }
 
-  /** From here on the answer is told as it comes; gives what was held back. */
-  passOn(): Buffer[] {
-    this.isPassedOn = true;
+  /** Streams the rest of the answer through `onData` and returns the buffered chunks. */
+  startStreaming(): Buffer[] {
+    this.isStreaming = true;
     return this.chunks.splice(0);
   }
 
-  /** Ends the send and gives its slot back; the target stops the run. */
+  /** Cancels the attempt and releases its slot; the target stops the run. */
   cancel(): void {
     if (!this.isOver) {
       this.isOver = true;
@@ -93,16 +93,16 @@
     }
   }
 
-  private onHead(facts: AnswerFacts, head: AnswerHead): void {
+  private onHead(facts: AnswerInfo, head: AnswerHead): void {
     if (!facts.isForRequest) {
       this.open?.cancel();
-      this.over(() => this.events.onFault(this, false, 'answer of another request'));
+      this.finish(() => this.events.onFault(this, false, 'the answer belongs to another request'));
       return;
     }
     this.head = head;
     if (facts.notRun) {
       this.open?.cancel();
-      this.over(() => this.events.onTurnedAway(this, facts.isOtherTarget));
+      this.finish(() => this.events.onRejected(this, facts.isOtherTarget));
     }
   }
 
@@ -110,29 +110,29 @@
     if (this.isOver || this.head === undefined) {
       return;
     }
-    if (this.isPassedOn) {
+    if (this.isStreaming) {
       this.events.onData(this, chunk);
       return;
     }
     this.chunks.push(chunk);
-    this.heldBytes += chunk.length;
-    if (this.heldBytes > MAX_HELD_BYTES) {
-      this.events.onLong(this, this.head);
+    this.bufferedBytes += chunk.length;
+    if (this.bufferedBytes > MAX_BUFFERED_BYTES) {
+      this.events.onTooLongToBuffer(this, this.head);
     }
   }
 
   private onEnd(): void {
     const { head } = this;
     if (head !== undefined) {
-      this.over(() => this.events.onEnd(this, { head, body: Buffer.concat(this.chunks) }));
+      this.finish(() => this.events.onEnd(this, { head, body: Buffer.concat(this.chunks) }));
     }
   }
 
-  private over(tell: () => void): void {
+  private finish(notify: () => void): void {
     if (!this.isOver) {
       this.isOver = true;
       this.slot.release();
-      tell();
+      notify();
     }
   }
 }
--- a/packages/forward-request/src/call-report.ts
+++ b/packages/forward-request/src/call-report.ts
@@ -1,23 +1,23 @@
-/** Lines and figures of one call. */
+/** Log lines and metrics of one call. */
 import type { AdmittedRequest } from './admitted-request.js';
 import type CallAttempt from './call-attempt.js';
 import type { ForwardContext } from './context.js';
-import countSend from './count-send.js';
-import identifyAdmitted from './identify-admitted.js';
+import countAttempt from './count-attempt.js';
+import identifyAdmittedRequest from './identify-admitted-request.js';
 
-/** How a call ended. */
-export interface CallEnd {
+/** Fields of the log line about the end of a call. */
+export interface CallOutcome {
   outcome: 'answered' | 'broke-off' | 'given-up' | 'caller-left';
-  /** Status of the target's answer that the caller got. */
+  /** Status of the answer, if the caller received one from a target. */
   status?: number;
-  /** Target whose answer the caller got. */
+  /** Target that sent the answer. */
   target?: string;
-  /** Sends, and those of them that a target may have run. */
   attempts: number;
+  /** Attempts that a target may have run. */
   ran: number;
 }
 
-/** Writes what was decided about one request. */
+/** Writes the log lines and metrics of one call. */
 export default class CallReport {
   constructor(
     private readonly context: Pick<
@@ -29,13 +29,13 @@
 
   sent({ number, target }: CallAttempt, remainingMs: number): void {
     const facts = { target: target.id, attempt: number, remainingMs: Math.round(remainingMs) };
-    countSend(this.context, target);
+    countAttempt(this.context, target);
     this.write('call-sent', facts);
   }
 
   failed({ number, target, sentAtMs }: CallAttempt, notSent: boolean, reason: string): void {
     this.write('call-failed', {
-      identity: identifyAdmitted(this.admitted),
+      identity: identifyAdmittedRequest(this.admitted),
       target: target.id,
       attempt: number,
       notSent,
@@ -44,11 +44,11 @@
     });
   }
 
-  turnedAway({ target }: CallAttempt, isOtherTarget: boolean): void {
+  rejected({ target }: CallAttempt, isOtherTarget: boolean): void {
     this.write('call-turned-away', { target: target.id, isOtherTarget });
   }
 
-  finished(end: CallEnd): void {
+  finished(end: CallOutcome): void {
     const durationMs = Math.round(this.context.clock.now() - this.admitted.receivedAtMs);
     this.write('call-finished', { ...end, durationMs });
     this.context.metrics.count('limelead_calls_total', 1, { outcome: end.outcome });
--- a/packages/forward-request/src/context.ts
+++ b/packages/forward-request/src/context.ts
@@ -1,4 +1,4 @@
-/** What forwarding needs from the rest of the process. */
+/** Dependencies of forwarding on the rest of the process. */
 import type { DecisionLog } from '@limelead/decision-log';
 import type { Locality } from '@limelead/locality';
 import type { Metrics } from '@limelead/metrics';
@@ -9,17 +9,17 @@
 import type { TargetDirectory } from '@limelead/track-service-targets';
 import type { AskTarget, Clock, Millis, Timers } from '@limelead/types';
 import type { TargetDialect } from './dialect.js';
-import type KeptPrompts from './kept-prompts.js';
+import type CachedPromptFinder from './cached-prompt-finder.js';
 import type SlotQueue from './slot-queue.js';
-import type ReadingTime from './reading-time.js';
+import type PrefillEstimator from './prefill-estimator.js';
 import type { SendPermits } from './send-permits.js';
 import type { TargetBackpressure } from './target-backpressure.js';
-import type SilenceWatch from './silence-watch.js';
+import type SilenceMonitor from './silence-monitor.js';
 import type { TargetGate } from './target-gate.js';
-import type TargetPace from './target-pace.js';
+import type SlownessTracker from './slowness-tracker.js';
 import type { TrafficObserver } from './traffic-observer.js';
 
-/** Everything that requests of one VM share. */
+/** State and services shared by all requests of one VM. */
 export interface ForwardContext {
   clock: Clock;
   timers: Timers;
@@ -30,27 +30,27 @@
   dialect: TargetDialect;
   slots: SlotQueue;
   gate: TargetGate;
-  /** Keeps requests that end targets from further ones. */
+  /** Quarantines requests that crash targets. */
   guard: RequestGuard;
   permits: SendPermits;
   backpressure: TargetBackpressure;
-  /** Asks the scheduler of a large fleet where a stream should go. */
-  askTarget: AskTarget;
-  silence: SilenceWatch;
-  kept: KeptPrompts;
-  reading: ReadingTime;
-  pace: TargetPace;
+  /** Asks the scheduler of a large fleet for a target for a stream. */
+  requestAdvice: AskTarget;
+  silence: SilenceMonitor;
+  cachedPrompts: CachedPromptFinder;
+  prefill: PrefillEstimator;
+  slowness: SlownessTracker;
   log: DecisionLog;
   metrics: Metrics;
-  /** Told of each request; empty where no part counts traffic. */
+  /** Receives the events of each request; empty if no part observes traffic. */
   observer: TrafficObserver;
-  /** The configuration in force. */
-  readTable(): RouteTable | undefined;
-  /** Time since the store last confirmed what this VM knows, in milliseconds. */
+  /** Routes of the current configuration; undefined until one is loaded. */
+  readRouteTable(): RouteTable | undefined;
+  /** Milliseconds since the store last confirmed the configuration of this VM. */
   readKnowledgeAgeMs(): Millis;
-  /** Who told the configuration in force: "store", or the address of a peer. */
+  /** Source of the current configuration: "store" or the address of a peer. */
   readConfigurationSource(): string | undefined;
-  retriesOf(service: string): RetrySpender;
-  /** VMs that share the retry budget, this one included. */
+  retryBudgetOf(service: string): RetrySpender;
+  /** Number of VMs that share the retry budget, including this one. */
   countVms(): number;
 }
--- a/packages/forward-request/src/count-send.ts
+++ b/packages/forward-request/src/count-attempt.ts
@@ -1,10 +1,10 @@
-/** Counts a send by how near its target is; gives that for the line about it. */
+/** Counts attempts by the nearness of their targets. */
 import type { Nearness } from '@limelead/locality';
 import type { ServiceTarget } from '@limelead/types';
 import type { ForwardContext } from './context.js';
 
-/** Counts one send from this VM. */
-export default function countSend(
+/** Counts one attempt and returns the nearness of its target. */
+export default function countAttempt(
   {
     failureDomain,
     locality,
--- a/packages/forward-request/src/dialect.ts
+++ b/packages/forward-request/src/dialect.ts
@@ -1,63 +1,63 @@
-/** What targets are told and what their answers say, without the names on the wire. */
+/** Requests to targets and their answers, independent of the protocol. */
 import type { IncomingRequest, ServiceTarget, TargetDirectives } from '@limelead/types';
 import type { AnswerHead, TargetCall } from '@limelead/target-connections';
 
-/** A copy of a run's memory at a target. */
-export interface RunCopy {
-  /** Where the copy stands. */
-  keeper: ServiceTarget;
-  /** Names the run that it is a copy of. */
+/** A copy of a run's memory (KV cache) at another target. */
+export interface RunReplica {
+  /** Target that holds the replica. */
+  target: ServiceTarget;
+  /** Id of the replicated run. */
   runId: string;
 }
 
-/** One send of a request to a target. */
-export interface TargetOrder {
+/** One attempt of a request at a target. */
+export interface AttemptRequest {
   request: IncomingRequest;
   target: ServiceTarget;
-  /** Undefined on routes that ask for no key. */
+  /** Undefined on routes that require no API key. */
   organisation?: string;
-  /** Milliseconds that the target may take. */
+  /** Milliseconds until the deadline. */
   remainingMs: number;
-  /** Number of the last piece that is not wanted again; 0 is none. */
+  /** Number of the last piece that the caller has received; 0 for none. */
   lastPiece: number;
-  /** Where the target sends copies of the run while it grows. */
-  copyTo?: ServiceTarget;
-  /** The copy that the run goes on from. */
-  continueFrom?: RunCopy;
-  /** 0 is the most urgent. */
+  /** Target that receives the replica during the run. */
+  replicaTarget?: ServiceTarget;
+  /** Replica from which the run resumes. */
+  resumeFrom?: RunReplica;
+  /** Urgency; 0 is the most urgent. */
   rank: number;
 }
 
-/** What an answer says of itself. */
-export interface AnswerFacts {
-  /** False where the answer belongs to another request. */
+/** Contents of the head of an answer. */
+export interface AnswerInfo {
+  /** False if the answer belongs to another request. */
   isForRequest: boolean;
-  /** True where the target promises that the request has not run and never will. */
+  /** True if the target guarantees that the request did not run and never will. */
   notRun: boolean;
-  /** True where another incarnation than the expected one has the address. */
+  /** True if another incarnation of the target answered than the expected one. */
   isOtherTarget: boolean;
-  /** What the answer asks for beside its own request. */
+  /** Rate limit, cooldown and leaving announcement of the target. */
   directives: TargetDirectives;
 }
 
-/** What a target says of its work, as of some hundred milliseconds ago. */
-export interface ProbeFacts {
-  /** Ids of the requests that it works on. */
+/** Work of a target according to a probe; may be some hundred milliseconds old. */
+export interface ProbeResult {
+  /** Ids of the running requests. */
   runs: ReadonlySet<string>;
-  /** Requests that wait there for a slot. */
+  /** Number of requests that wait for a slot at the target. */
   waiting: number;
 }
 
-/** Composes calls and reads answers in the words of one kind of target. */
+/** Encodes requests and decodes answers for one kind of target. */
 export interface TargetDialect {
-  composeCall(order: TargetOrder): TargetCall;
-  readAnswer(request: IncomingRequest, head: AnswerHead): AnswerFacts;
-  /** A cheap call that a living target answers at once, whatever it is doing. */
+  composeCall(attemptRequest: AttemptRequest): TargetCall;
+  readAnswer(request: IncomingRequest, head: AnswerHead): AnswerInfo;
+  /** Composes a cheap call that a healthy target answers at once, even under load. */
   composeProbe(target: ServiceTarget): TargetCall;
-  /** What the answer to a probe says; undefined where it says nothing of runs. */
-  readProbe(body: Buffer): ProbeFacts | undefined;
-  /** Asks a target which sessions' prompts it keeps. */
-  composeKeptQuery(target: ServiceTarget): TargetCall;
-  /** Affinity keys of the sessions whose prompts the target keeps. */
-  readKept(body: Buffer): ReadonlySet<string>;
+  /** Decodes the answer to a probe; undefined if it does not list runs. */
+  readProbe(body: Buffer): ProbeResult | undefined;
+  /** Composes a query for the sessions whose prompts the target caches. */
+  composeCachedPromptsQuery(target: ServiceTarget): TargetCall;
+  /** Decodes the affinity keys of the sessions whose prompts the target caches. */
+  readCachedPrompts(body: Buffer): ReadonlySet<string>;
 }
--- a/packages/forward-request/src/find-stream-slot.ts
+++ b/packages/forward-request/src/find-stream-slot.ts
@@ -1,49 +1,49 @@
-/** Finds the slot where a stream begins or goes on: the cheapest way that is open comes first. */
+/** Finds a slot at which a stream starts or resumes; the cheapest option comes first. */
 import type { Advice } from '@limelead/types';
 import type { AdmittedRequest } from './admitted-request.js';
 import type { ForwardContext } from './context.js';
 import type { Slot } from './slot-request.js';
 import type { SlotRefusal } from './slot-refusal.js';
-import type RunCopies from './run-copies.js';
+import type RunReplicas from './run-replicas.js';
 
-/** What a slot is looked for. */
+/** Parameters of the search for a slot. */
 export interface StreamSlotSearch {
-  /** True before anything was sent to any target. */
-  isFirstSend: boolean;
-  /** A suspect: goes where the fewest others stand, whatever is advised. */
-  avoidsOthers: boolean;
+  /** True if no attempt was made yet. */
+  isFirstAttempt: boolean;
+  /** True for a request suspected of crashes: use only the least loaded targets, without advice. */
+  onlyLeastLoaded: boolean;
   /** Targets that already failed this request. */
   exclude: string[];
-  /** Told once, also with no slot where none came in time, with why where that is certain. */
-  receive(slot: Slot | undefined, refusal?: SlotRefusal): void;
-  /** Told in place of `receive` where the prompt can't be read before its caller leaves. */
-  refuse(): void;
+  /** Called once; without a slot if none was available in time, and with the reason if known. */
+  onSlot(slot: Slot | undefined, refusal?: SlotRefusal): void;
+  /** Called in place of `onSlot` if the prompt cannot be read before the deadline. */
+  onTooLate(): void;
 }
 
 /**
- * Goes on from a copy of the run; else, for a caller that comes back, where its
- * prompt is kept; else where a scheduler advises, if there is one; else at any target
- * with a free slot. Gives what ends waiting.
+ * Tries the target of the replica; for a resumed stream the target that caches its prompt;
+ * the target that the scheduler advises; and then any target with a free slot. Returns a
+ * function that cancels the search.
  */
 export default function findStreamSlot(
   context: ForwardContext,
   admitted: AdmittedRequest,
-  copies: RunCopies,
+  replicas: RunReplicas,
   search: StreamSlotSearch,
 ): () => void {
-  const keeper = copies.acquireAtReplica();
-  if (keeper !== undefined) {
-    search.receive(keeper);
+  const replicaSlot = replicas.acquireAtReplica();
+  if (replicaSlot !== undefined) {
+    search.onSlot(replicaSlot);
     return () => undefined;
   }
-  if (search.isFirstSend && admitted.request.lastPiece > 0) {
-    return findKeptPrompt(context, admitted, search);
+  if (search.isFirstAttempt && admitted.request.lastPiece > 0) {
+    return acquireAtCachedPrompt(context, admitted, search);
   }
   return acquireAdvisedSlot(context, admitted, search);
 }
 
-/** The caller's earlier entry VM is gone; its prompt may still stand at the target that ran it. */
-function findKeptPrompt(
+/** For callers whose earlier entry VM was lost: the target may still cache their prompt. */
+function acquireAtCachedPrompt(
   context: ForwardContext,
   admitted: AdmittedRequest,
   search: StreamSlotSearch,
@@ -51,7 +51,7 @@
   const { service, request } = admitted;
   let isOver = false;
   let stopWaiting = (): void => undefined;
-  void context.kept.find(service, request.affinityKey).then((found) => {
+  void context.cachedPrompts.find(service, request.affinityKey).then((found) => {
     if (isOver) {
       return;
     }
@@ -59,7 +59,7 @@
     if (slot === undefined) {
       stopWaiting = acquireAdvisedSlot(context, admitted, search);
     } else {
-      search.receive(slot);
+      search.onSlot(slot);
     }
   });
   return () => {
@@ -68,23 +68,23 @@
   };
 }
 
-/** Where the scheduler of a large fleet says; a slot that this VM doubts is not taken. */
+/** Acquires a slot at the advised target, or at any target if the advised one is unavailable. */
 function acquireAdvisedSlot(
   context: ForwardContext,
   admitted: AdmittedRequest,
   search: StreamSlotSearch,
 ): () => void {
   const { service, request } = admitted;
-  const { exclude, receive } = search;
-  if (search.isFirstSend && isTooLate(context, admitted)) {
-    search.refuse();
+  const { exclude, onSlot } = search;
+  if (search.isFirstAttempt && isTooLate(context, admitted)) {
+    search.onTooLate();
     return () => undefined;
   }
-  if (search.avoidsOthers || context.gate.decidesAlone(service)) {
+  if (search.onlyLeastLoaded || context.gate.ignoresAdvice(service)) {
     return acquireAnySlot(context, admitted, search);
   }
   let stopWaiting = (): void => undefined;
-  const stopAsking = context.askTarget(
+  const stopAsking = context.requestAdvice(
     { service, affinityKey: request.affinityKey, exclude },
     (advice) => {
       const slot =
@@ -95,7 +95,7 @@
       if (slot === undefined) {
         stopWaiting = acquireAnySlot(context, admitted, search);
       } else {
-        receive(slot);
+        onSlot(slot);
       }
     },
   );
@@ -105,13 +105,9 @@
   };
 }
 
-/**
- * Whether too little time is left to read the prompt. Callers whose VM lost power noticed it
- * after 18 s, and came back in the last second that they had: sent on, 9 of 32 such
- * streams took a target's time for reading and got nothing, by the lines of 89 VMs.
- */
-function isTooLate({ clock, reading }: ForwardContext, admitted: AdmittedRequest): boolean {
-  return admitted.dueAtMs - clock.now() < reading.leastMs(admitted);
+/** Whether the prompt cannot be read before the deadline; reading it would waste target time. */
+function isTooLate({ clock, prefill }: ForwardContext, admitted: AdmittedRequest): boolean {
+  return admitted.dueAtMs - clock.now() < prefill.minMs(admitted);
 }
 
 function reportAdvice(
@@ -138,16 +134,16 @@
 function acquireAnySlot(
   context: ForwardContext,
   admitted: AdmittedRequest,
-  { exclude, avoidsOthers, receive }: StreamSlotSearch,
+  { exclude, onlyLeastLoaded, onSlot }: StreamSlotSearch,
 ): () => void {
   const { service, request, rank, dueAtMs } = admitted;
   const { requestId, affinityKey } = request;
-  const serviceMs = context.reading.leastMs(admitted);
+  const minServiceMs = context.prefill.minMs(admitted);
   return context.slots.acquire(
     {
       ...{ requestId, service, affinityKey, exclude: new Set(exclude) },
-      ...{ rank, avoidsOthers, untilMs: dueAtMs, serviceMs },
+      ...{ rank, onlyLeastLoaded, untilMs: dueAtMs, minServiceMs },
     },
-    receive,
+    onSlot,
   );
 }
--- a/packages/forward-request/src/forward-call.test.ts
+++ b/packages/forward-request/src/forward-call.test.ts
@@ -2,17 +2,23 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import forwardCall from './forward-call.js';
-import { NO_LIMITS } from './send-permits.js';
-import { admit, begin, RecordingSink, TestBed, type Behaviour } from './forwarding.fixture.js';
+import { NO_RATE_LIMITS } from './send-permits.js';
+import {
+  createAdmittedRequest,
+  beginAnswer,
+  RecordingSink,
+  TestBed,
+  type Behaviour,
+} from './forwarding.fixture.js';
 
 const answer: Behaviour = (request, response) => {
-  begin(request, response);
+  beginAnswer(request, response);
   response.end('done');
 };
 const fail: Behaviour = (request, response) => {
   response.writeHead(500, { id: String(request.headers['id']) }).end('no');
 };
-const turnAway: Behaviour = (_, response) => {
+const reject: Behaviour = (_, response) => {
   response.writeHead(503, { 'not-run': '1' }).end();
 };
 const reset: Behaviour = (request) => {
@@ -21,10 +27,13 @@
 const ONCE = { streaming: false, repeatable: false, maxTargets: 1 };
 const REPEATABLE = { streaming: false, repeatable: true, maxTargets: 2 };
 
-async function play(behaviours: Behaviour[], ...admission: Parameters<typeof admit>) {
+async function forward(
+  behaviours: Behaviour[],
+  ...admission: Parameters<typeof createAdmittedRequest>
+) {
   const bed = await TestBed.start(...behaviours);
   const sink = new RecordingSink();
-  forwardCall(bed.context, admit(...admission), sink);
+  forwardCall(bed.context, createAdmittedRequest(...admission), sink);
   await sink.done;
   await bed.stop();
   return { bed, sink };
@@ -34,42 +43,42 @@
   return error && toHttpStatus(error.kind, error.answer.execution);
 }
 
-test('a call that may run once is never sent again after its answer was lost, nor called "not run"', async () => {
-  const { bed, sink } = await play([reset, answer], ONCE);
-  assert.equal(bed.asked, ['t1']);
+test('a call that is not repeatable is not retried after its answer was lost, nor reported as not run', async () => {
+  const { bed, sink } = await forward([reset, answer], ONCE);
+  assert.equal(bed.askedTargets, ['t1']);
   assert.is(sink.outcome, 'refused');
   assert.is(statusOf(sink), 502);
 });
 
-test('a send whose answer was lost was begun, and one that was turned away was not', async () => {
-  const bed = await TestBed.start(reset, turnAway, answer);
-  const begun: string[] = [];
-  bed.context.observer.onBegun = (_admitted, { id }) => void begun.push(id);
+test('an attempt whose answer was lost counts as started, and a rejected one does not', async () => {
+  const bed = await TestBed.start(reset, reject, answer);
+  const started: string[] = [];
+  bed.context.observer.onRunStarted = (_admitted, { id }) => void started.push(id);
   const sink = new RecordingSink();
-  forwardCall(bed.context, admit({ ...REPEATABLE, maxTargets: 3 }), sink);
+  forwardCall(bed.context, createAdmittedRequest({ ...REPEATABLE, maxTargets: 3 }), sink);
   await sink.done;
-  assert.equal(bed.asked, ['t1', 't2', 't3']);
-  assert.equal(begun, ['t1', 't3']);
+  assert.equal(bed.askedTargets, ['t1', 't2', 't3']);
+  assert.equal(started, ['t1', 't3']);
   await bed.stop();
 });
 
-test('a call that may run once goes to another target where the first certainly did not run it', async () => {
-  const { bed, sink } = await play([turnAway, answer], ONCE);
-  assert.equal(bed.asked, ['t1', 't2']);
+test('a call that is not repeatable is retried if the first target certainly did not run it', async () => {
+  const { bed, sink } = await forward([reject, answer], ONCE);
+  assert.equal(bed.askedTargets, ['t1', 't2']);
   assert.is(sink.body, 'done');
 });
 
-test('another target at the address ran nothing, and is not taken again for the one that was meant', async () => {
+test('if another target answers at the address, the call is retried and the intended target is suspected', async () => {
   const other: Behaviour = (_, response) => {
     response.writeHead(421, { 'not-run': '1' }).end();
   };
-  const { bed, sink } = await play([other, answer], ONCE);
-  assert.equal(bed.asked, ['t1', 't2']);
+  const { bed, sink } = await forward([other, answer], ONCE);
+  assert.equal(bed.askedTargets, ['t1', 't2']);
   assert.is(sink.body, 'done');
   assert.ok(bed.directory.isSuspected('t1'));
 });
 
-test('a caller who leaves takes its call along', async () => {
+test('a call is cancelled when its caller leaves', async () => {
   let onClosed = (): void => undefined;
   let onArrived = (): void => undefined;
   const closed = new Promise<void>((resolve) => (onClosed = resolve));
@@ -80,7 +89,7 @@
   };
   const bed = await TestBed.start(mute);
   const sink = new RecordingSink();
-  forwardCall(bed.context, admit(REPEATABLE), sink);
+  forwardCall(bed.context, createAdmittedRequest(REPEATABLE), sink);
   await arrived;
   sink.leave();
   await closed;
@@ -88,19 +97,19 @@
   await bed.stop();
 });
 
-test('repeats stop when the budget that all VMs share is spent', async () => {
+test('a failed call is not retried when the retry budget is exhausted', async () => {
   const bed = await TestBed.start(fail, fail, fail);
-  const spender = bed.context.retriesOf('briefs');
-  while (spender.trySpend(performance.now(), 1));
+  const retryBudget = bed.context.retryBudgetOf('briefs');
+  while (retryBudget.trySpend(performance.now(), 1));
   const sink = new RecordingSink();
-  forwardCall(bed.context, admit(REPEATABLE), sink);
+  forwardCall(bed.context, createAdmittedRequest(REPEATABLE), sink);
   await sink.done;
   assert.is(sink.status, 500);
   assert.is(bed.seen.length, 1);
   await bed.stop();
 });
 
-test('a target that is gone did not run anything either', async () => {
+test('a call that is not repeatable is retried if its target is unreachable', async () => {
   const bed = await TestBed.start(answer);
   const target = bed.directory.get('t1')!.target;
   bed.directory.apply([
@@ -108,88 +117,92 @@
     { kind: 'put', target: { ...target, failureDomain: 'south' } },
   ]);
   const sink = new RecordingSink();
-  forwardCall(bed.context, admit(ONCE), sink);
+  forwardCall(bed.context, createAdmittedRequest(ONCE), sink);
   await sink.done;
   assert.is(sink.body, 'done');
   await bed.stop();
 });
 
-test('a failure of a repeatable call is tried at another target, and told where both fail', async () => {
-  const mended = await play([fail, answer], REPEATABLE);
-  assert.is(mended.sink.body, 'done');
-  const both = await play([fail, fail, answer], REPEATABLE);
+test('a failed repeatable call is retried at another target, and returns the failure if both fail', async () => {
+  const retried = await forward([fail, answer], REPEATABLE);
+  assert.is(retried.sink.body, 'done');
+  const both = await forward([fail, fail, answer], REPEATABLE);
   assert.is(both.sink.status, 500);
   assert.is(both.bed.seen.length, 2);
 });
 
-test('a failure of a call that may run once is told as it is', async () => {
-  const { bed, sink } = await play([fail, answer], ONCE);
+test('a failure of a call that is not repeatable is returned to the caller', async () => {
+  const { bed, sink } = await forward([fail, answer], ONCE);
   assert.is(sink.status, 500);
-  assert.equal(bed.asked, ['t1']);
+  assert.equal(bed.askedTargets, ['t1']);
 });
 
-test('an answer to another request is never passed on', async () => {
+test('an answer to another request never reaches the caller', async () => {
   const mixed: Behaviour = (_, response) => {
     response.writeHead(200, { id: 'another' }).end('not yours');
   };
-  const once = await play([mixed, answer], ONCE);
+  const once = await forward([mixed, answer], ONCE);
   assert.is(statusOf(once.sink), 502);
   assert.is(once.sink.body, '');
-  const repeatable = await play([mixed, answer], REPEATABLE);
+  const repeatable = await forward([mixed, answer], REPEATABLE);
   assert.is(repeatable.sink.body, 'done');
 });
 
-test('an answer that breaks off does not reach the caller as a whole one', async () => {
+test('an answer that breaks off does not reach the caller as a complete one', async () => {
   const breakOff: Behaviour = (request, response) => {
-    begin(request, response);
+    beginAnswer(request, response);
     response.write('do', () => setImmediate(() => response.destroy()));
   };
-  const once = await play([breakOff, answer], ONCE);
+  const once = await forward([breakOff, answer], ONCE);
   assert.is(once.sink.outcome, 'refused');
-  const repeatable = await play([breakOff, answer], REPEATABLE);
+  const repeatable = await forward([breakOff, answer], REPEATABLE);
   assert.is(repeatable.sink.body, 'done');
 });
 
-test('a second send that waits for a permit gives way to a repeat once the first failed', async () => {
+test('a hedge that waits for a permit becomes a retry after the first attempt failed', async () => {
   const slowFailure: Behaviour = (request, response, seen) =>
     void setTimeout(() => fail(request, response, seen), 200);
   const bed = await TestBed.start(slowFailure, answer);
-  bed.usePermits({ ...NO_LIMITS, isLimiting: true, maySend: (_, isExtra) => isExtra !== true });
+  bed.usePermits({
+    ...NO_RATE_LIMITS,
+    isLimiting: true,
+    maySend: (_, isHedge) => isHedge !== true,
+  });
   const sink = new RecordingSink();
-  forwardCall(bed.context, admit({ ...REPEATABLE, objectiveMs: 100 }), sink);
+  forwardCall(bed.context, createAdmittedRequest({ ...REPEATABLE, objectiveMs: 100 }), sink);
   await sink.done;
   await bed.stop();
-  assert.equal(bed.asked, ['t1', 't2']);
+  assert.equal(bed.askedTargets, ['t1', 't2']);
   assert.is(sink.body, 'done');
 });
 
-test('a slow repeatable call is sent a second time, and the first good answer is taken', async () => {
+test('a slow repeatable call is hedged, and the first good answer is returned', async () => {
   let onClosed = (): void => undefined;
   const closed = new Promise<void>((resolve) => (onClosed = resolve));
   const slow: Behaviour = (request) => request.socket.once('close', onClosed);
-  const { bed, sink } = await play([slow, answer], { ...REPEATABLE, objectiveMs: 60 });
+  const { bed, sink } = await forward([slow, answer], { ...REPEATABLE, objectiveMs: 60 });
   assert.is(sink.body, 'done');
-  assert.equal(bed.asked, ['t1', 't2']);
+  assert.equal(bed.askedTargets, ['t1', 't2']);
   await closed;
 });
 
-test('a call that waited in vain for a slot was not run; one that was sent may have been', async () => {
+test('a call without a slot is reported as not run; one that was sent is reported as timed out', async () => {
   const mute: Behaviour = () => undefined;
-  const sent = await play([mute], { ...ONCE, timeoutMs: 80 });
+  const sent = await forward([mute], { ...ONCE, timeoutMs: 80 });
   assert.is(statusOf(sent.sink), 504);
   const bed = await TestBed.start();
   const sink = new RecordingSink();
-  forwardCall(bed.context, admit({ ...ONCE, timeoutMs: 80 }), sink);
+  forwardCall(bed.context, createAdmittedRequest({ ...ONCE, timeoutMs: 80 }), sink);
   await sink.done;
   assert.is(statusOf(sink), 503);
   assert.ok((sink.error?.answer.retryAfterMs ?? 0) > 0);
 });
 
-test('a call that finds all slots taken is sent as soon as one is free, the urgent one first', async () => {
+test('calls that wait for a slot are sent when one is free, the most urgent first', async () => {
   const open: (() => void)[] = [];
   const held: Behaviour = (request, response) => {
     open.push(() => {
-      begin(request, response);
+      beginAnswer(request, response);
       response.end(String(request.headers['id']));
     });
     arrived();
@@ -199,7 +212,7 @@
   const bed = await TestBed.start(held);
   const send = (requestId: string, rank: number): RecordingSink => {
     const sink = new RecordingSink();
-    const admitted = admit({ ...ONCE, rank }, { requestId });
+    const admitted = createAdmittedRequest({ ...ONCE, rank }, { requestId });
     forwardCall(bed.context, admitted, sink);
     return sink;
   };
--- a/packages/forward-request/src/forward-call.ts
+++ b/packages/forward-request/src/forward-call.ts
@@ -1,42 +1,41 @@
 /**
- * Carries one call to a plain service. A call that may run once is sent to
- * another target only where the first one certainly did not run it. One that
- * may be repeated is sent again after a failure and, when its target is slow,
- * a second time beside the first; the first good answer is taken.
+ * Forwards one call to a plain service. A call that is not repeatable is retried only if
+ * its target certainly did not run it. A repeatable call is retried after a failure and
+ * hedged if its target is slow; the first good answer is returned.
  */
 import { LimeleadError } from '@limelead/errors';
 import type { GuardedRequest } from '@limelead/quarantine-requests';
 import type { AnswerHead } from '@limelead/target-connections';
 import type { CancelTimer } from '@limelead/types';
 import {
-  keepAnswerHeaders,
-  passWholeAnswer,
+  filterAnswerHeaders,
+  writeWholeAnswer,
   type AnswerSink,
   type WholeAnswer,
 } from './answer-sink.js';
 import type { AdmittedRequest } from './admitted-request.js';
 import CallAttempt, { type CallAttemptEvents } from './call-attempt.js';
-import CallReport, { type CallEnd } from './call-report.js';
+import CallReport, { type CallOutcome } from './call-report.js';
 import type { ForwardContext } from './context.js';
-import { describeIdentity } from './identify-admitted.js';
-import { MAX_TURNED_AWAY, QUARANTINED_MESSAGE, SERVER_ERROR_STATUS } from './limits.js';
+import { selectIdentityFields } from './identify-admitted-request.js';
+import { MAX_REJECTED_ATTEMPTS, QUARANTINED_MESSAGE, MIN_SERVER_ERROR_STATUS } from './limits.js';
 import type { Slot } from './slot-request.js';
 import type { SlotRefusal } from './slot-refusal.js';
-import reportRefusal, { REFUSED_MESSAGE } from './report-refusal.js';
-import SendPayments from './send-payments.js';
+import reportRefusal, { REFUSAL_MESSAGE } from './report-refusal.js';
+import AttemptBudget from './attempt-budget.js';
 
-/** Rest of a connection that a call may use, in milliseconds. */
+/** Longest idle time of a connection that a repeatable call reuses. */
 const REPEATABLE_MAX_IDLE_MS = 10_000;
-/** A call that may run once takes a fresh connection, which no target closes meanwhile. */
+/** Other calls use a new connection, since the target may be closing an idle one. */
 const ONCE_MAX_IDLE_MS = 0;
-/** Part of the objective after which a repeatable call is sent a second time. */
-const HEDGE_SHARE = 0.5;
-/** Least time that is worth a send behind a cooldown, in milliseconds. */
-const LEAST_CALL_MS = 50;
-/** How long a target that said it is full is left alone, in milliseconds. */
-const FULL_PAUSE_MS = 25;
-
-/** Starts forwarding. The answer, whatever it is, goes to the sink. */
+/** Share of the objective after which a repeatable call is hedged. */
+const HEDGE_DELAY_SHARE = 0.5;
+/** Shortest time for a call after a cooldown; with less it is refused. */
+const MIN_CALL_MS = 50;
+/** Time without new requests for a target that reported that it is full. */
+const FULL_TARGET_PAUSE_MS = 25;
+
+/** Starts to forward a call. The sink receives the answer or an error. */
 export default function forwardCall(
   context: ForwardContext,
   admitted: AdmittedRequest,
@@ -47,29 +46,29 @@
 
 class CallForwarder {
   private readonly attempts: CallAttempt[] = [];
-  private readonly tried = new Set<string>();
-  /** Sends that a target may have run. */
-  private ran = 0;
-  private turnedAway = 0;
+  private readonly triedTargets = new Set<string>();
+  /** Attempts that a target may have run. */
+  private possibleRuns = 0;
+  private rejectedAttempts = 0;
   private isDone = false;
   private isOverdue = false;
-  /** The attempt whose answer is passed on as it comes. */
+  /** The attempt whose answer is streamed to the caller. */
   private streaming: CallAttempt | undefined;
-  /** A failure that the service itself answered; given to the caller where nothing better comes. */
+  /** Error answer of the service; returned to the caller if no attempt succeeds. */
   private failure: WholeAnswer | undefined;
   private stopWaiting: () => void = () => undefined;
   private isWaiting = false;
-  /** What waits is a second send beside the first. */
-  private isExtra = false;
+  /** True if the waiting attempt is a hedge. */
+  private isHedge = false;
   private readonly timers: CancelTimer[] = [];
   private readonly events: CallAttemptEvents = {
-    onLong: (attempt, head) => this.beginStreaming(attempt, head),
+    onTooLongToBuffer: (attempt, head) => this.beginStreaming(attempt, head),
     onData: (_, chunk) => this.sink.write(chunk),
     onEnd: (attempt, answer) => this.onEnd(attempt, answer),
     onFault: (attempt, notSent, reason) => this.onFault(attempt, notSent, reason),
-    onTurnedAway: (attempt, isOtherTarget) => this.onTurnedAway(attempt, isOtherTarget),
+    onRejected: (attempt, isOtherTarget) => this.onRejected(attempt, isOtherTarget),
   };
-  private readonly payments: SendPayments;
+  private readonly budget: AttemptBudget;
   private readonly report: CallReport;
   private readonly guarded: GuardedRequest;
   private isQuarantined = false;
@@ -80,10 +79,10 @@
     private readonly admitted: AdmittedRequest,
     private readonly sink: AnswerSink,
   ) {
-    this.payments = new SendPayments(context, admitted);
+    this.budget = new AttemptBudget(context, admitted);
     this.report = new CallReport(context, admitted);
     this.guarded = context.guard.begin({
-      request: describeIdentity(admitted),
+      request: selectIdentityFields(admitted),
       route: admitted.route.name,
       requestId: admitted.request.requestId,
       service: admitted.service,
@@ -96,7 +95,7 @@
     observer.onAdmitted?.(this.admitted);
     const remainingMs = this.admitted.dueAtMs - clock.now();
     this.timers.push(timers.after(Math.max(0, remainingMs), () => this.onOverdue()));
-    this.sink.onGone(() => this.finish('caller-left'));
+    this.sink.onCallerLeft(() => this.finish('caller-left'));
     this.openAttempt();
   }
 
@@ -110,9 +109,9 @@
     this.giveUp();
   }
 
-  private openAttempt(isExtra = false): void {
+  private openAttempt(isHedge = false): void {
     this.isWaiting = true;
-    this.isExtra = isExtra;
+    this.isHedge = isHedge;
     let isAnswered = false;
     const stopAsking = this.guarded.ask((admission) => {
       isAnswered = true;
@@ -127,14 +126,20 @@
     }
   }
 
-  private acquireSlot(avoidsOthers: boolean): void {
+  private acquireSlot(onlyLeastLoaded: boolean): void {
     const { service, request, rank, dueAtMs } = this.admitted;
-    const { isExtra } = this;
+    const { isHedge } = this;
     const { requestId } = request;
     this.stopWaiting = this.context.slots.acquire(
       {
-        ...{ requestId, service, affinityKey: requestId, exclude: this.tried },
-        ...{ rank, avoidsOthers, isExtra, untilMs: dueAtMs, serviceMs: LEAST_CALL_MS },
+        ...{ requestId, service, affinityKey: requestId, exclude: this.triedTargets },
+        ...{
+          rank,
+          onlyLeastLoaded,
+          isHedge,
+          untilMs: dueAtMs,
+          minServiceMs: MIN_CALL_MS,
+        },
       },
       (slot, refusal) => this.onSlot(slot, refusal),
     );
@@ -158,17 +163,17 @@
   private send(slot: Slot): void {
     const attempt = this.createAttempt(slot);
     this.attempts.push(attempt);
-    this.tried.add(attempt.target.id);
-    this.ran += 1;
+    this.triedTargets.add(attempt.target.id);
+    this.possibleRuns += 1;
     const { request, organisation, rank, route, dueAtMs } = this.admitted;
     const { target } = attempt;
     const remainingMs = dueAtMs - this.context.clock.now();
     this.report.sent(attempt, remainingMs);
-    const order = { request, target, organisation, remainingMs, lastPiece: 0, rank };
+    const attemptRequest = { request, target, organisation, remainingMs, lastPiece: 0, rank };
     const maxIdleMs = route.repeatable ? REPEATABLE_MAX_IDLE_MS : ONCE_MAX_IDLE_MS;
-    attempt.send(this.context, order, maxIdleMs);
+    attempt.send(this.context, attemptRequest, maxIdleMs);
     if (route.repeatable && attempt.number === 1) {
-      this.hedgeAfter(route.objectiveMs * HEDGE_SHARE);
+      this.hedgeAfter(route.objectiveMs * HEDGE_DELAY_SHARE);
     }
   }
 
@@ -176,7 +181,7 @@
     return new CallAttempt({
       number: this.attempts.length + 1,
       slot,
-      noteUnreached: this.payments.noteSent(),
+      refund: this.budget.recordAttempt(),
       events: this.events,
     });
   }
@@ -186,35 +191,35 @@
   }
 
   private hedge(): void {
-    const mayHedge = !this.isWaiting && this.isUnderWay && !this.guarded.isSuspected;
-    if (!this.isDone && mayHedge && this.streaming === undefined) {
-      this.tryAgain(true);
+    const canHedge = !this.isWaiting && this.hasOpenAttempt && !this.guarded.isSuspected;
+    if (!this.isDone && canHedge && this.streaming === undefined) {
+      this.tryRetry(true);
     }
   }
 
-  /** A long answer is passed on as it comes; from here on no other can take its place. */
+  /** Streams an answer that is too long to buffer and cancels the other attempts. */
   private beginStreaming(attempt: CallAttempt, head: AnswerHead): void {
     this.streaming = attempt;
     this.guarded.noteHarmless();
-    this.tellUnanswered('answered', attempt);
+    this.reportUnanswered('answered', attempt);
     this.cancelOthers(attempt);
     const length = head.headers.get('content-length');
     this.sink.begin(
       head.status,
-      keepAnswerHeaders(head.rawHeaders),
+      filterAnswerHeaders(head.rawHeaders),
       length === undefined ? undefined : Number(length),
     );
-    attempt.passOn().forEach((held) => this.sink.write(held));
+    attempt.startStreaming().forEach((held) => this.sink.write(held));
   }
 
   private onEnd(attempt: CallAttempt, answer: WholeAnswer): void {
     const { status } = answer.head;
-    const isGood = status < SERVER_ERROR_STATUS;
+    const isGood = status < MIN_SERVER_ERROR_STATUS;
     const kind = isGood ? 'answered' : 'failed';
     this.context.directory.observe(attempt.target.id, { kind });
     this.guarded.noteHarmless();
-    this.context.observer.onBegun?.(this.admitted, attempt.target);
-    this.tellSendEnd(attempt, isGood);
+    this.context.observer.onRunStarted?.(this.admitted, attempt.target);
+    this.reportAttemptEnded(attempt, isGood);
     if (this.streaming === attempt) {
       this.sink.end();
       this.finish('answered', attempt, status);
@@ -226,7 +231,7 @@
     }
     this.report.failed(attempt, false, `status ${status}`);
     this.failure = answer;
-    this.afterFailure();
+    this.retryFailed();
   }
 
   private onFault(attempt: CallAttempt, notSent: boolean, reason: string): void {
@@ -234,83 +239,83 @@
     this.context.directory.observe(attempt.target.id, { kind });
     this.report.failed(attempt, notSent, reason);
     if (!notSent) {
-      // A call that may have been sent was most likely begun: usage was 107 of 589 too low without.
-      this.context.observer.onBegun?.(this.admitted, attempt.target);
+      // A call that may have been sent counts as started, so that usage is not undercounted.
+      this.context.observer.onRunStarted?.(this.admitted, attempt.target);
       if (!this.guarded.isSuspected) {
-        this.tellSendEnd(attempt, false);
+        this.reportAttemptEnded(attempt, false);
       }
       this.guarded.noteBroken(attempt.target.id, attempt.sentAtMs, this.context.clock.now());
     } else {
       this.guarded.noteOver();
     }
     if (this.streaming === attempt) {
-      this.sink.abort(new LimeleadError('outcome-unknown', 'the answer broke off'));
+      this.sink.abort(new LimeleadError('outcome-unknown', 'the target broke off its answer'));
       this.finish('broke-off', attempt);
       return;
     }
     if (notSent) {
-      attempt.noteUnreached();
-      this.ran -= 1;
-      this.afterNotRun();
+      attempt.refund();
+      this.possibleRuns -= 1;
+      this.retryRejected();
     } else {
-      this.guarded.whenKnown(() => this.afterFailure());
+      this.guarded.whenKnown(() => this.retryFailed());
     }
   }
 
-  private tellSendEnd(attempt: CallAttempt, isGood: boolean): void {
+  private reportAttemptEnded(attempt: CallAttempt, isGood: boolean): void {
     const { clock, observer } = this.context;
     const afterMs = clock.now() - attempt.sentAtMs;
-    observer.onSendEnded?.(this.admitted, attempt.target, { isGood, afterMs });
+    observer.onAttemptEnded?.(this.admitted, attempt.target, { isGood, afterMs });
   }
 
-  private onTurnedAway(attempt: CallAttempt, isOtherTarget: boolean): void {
+  private onRejected(attempt: CallAttempt, isOtherTarget: boolean): void {
     const { id } = attempt.target;
-    this.ran -= 1;
-    this.turnedAway += 1;
+    this.possibleRuns -= 1;
+    this.rejectedAttempts += 1;
     this.context.directory.observe(
       id,
-      isOtherTarget ? { kind: 'replaced' } : { kind: 'full', pauseMs: FULL_PAUSE_MS },
+      isOtherTarget ? { kind: 'replaced' } : { kind: 'full', pauseMs: FULL_TARGET_PAUSE_MS },
     );
-    this.report.turnedAway(attempt, isOtherTarget);
+    this.report.rejected(attempt, isOtherTarget);
     this.guarded.noteOver();
     if (!isOtherTarget) {
-      this.tried.delete(id);
+      this.triedTargets.delete(id);
     }
-    this.afterNotRun();
+    this.retryRejected();
   }
 
-  private afterNotRun(): void {
-    if (this.isDone || this.goOnAsRepeat() || this.hasLive()) {
+  private retryRejected(): void {
+    if (this.isDone || this.replaceHedgeByRetry() || this.hasPendingAttempt()) {
       return;
     }
-    if (this.turnedAway > MAX_TURNED_AWAY || !this.payments.tryPay()) {
+    if (this.rejectedAttempts > MAX_REJECTED_ATTEMPTS || !this.budget.trySpend()) {
       this.giveUp();
       return;
     }
     this.openAttempt();
   }
 
-  private afterFailure(): void {
-    if (this.isDone || this.goOnAsRepeat() || this.hasLive()) {
+  private retryFailed(): void {
+    if (this.isDone || this.replaceHedgeByRetry() || this.hasPendingAttempt()) {
       return;
     }
-    if (!this.tryAgain()) {
+    if (!this.tryRetry()) {
       this.giveUp();
     }
   }
 
-  private tryAgain(isExtra = false): boolean {
+  private tryRetry(isHedge = false): boolean {
     const { route } = this.admitted;
-    if (!route.repeatable || this.ran >= route.maxTargets || !this.payments.tryPay()) {
+    if (!route.repeatable || this.possibleRuns >= route.maxTargets || !this.budget.trySpend()) {
       return false;
     }
-    this.openAttempt(isExtra);
+    this.openAttempt(isHedge);
     return true;
   }
 
-  /** A second send that still waits, and is paid for, is all that is left: it may take a permit now. */
-  private goOnAsRepeat(): boolean {
-    const isOnlyOne = this.isWaiting && this.isExtra && !this.isUnderWay;
+  /** Turns a waiting hedge into a retry if no other attempt is left, so that it may use a permit. */
+  private replaceHedgeByRetry(): boolean {
+    const isOnlyOne = this.isWaiting && this.isHedge && !this.hasOpenAttempt;
     if (isOnlyOne) {
       this.stopWaiting();
       this.openAttempt();
@@ -318,26 +323,28 @@
     return isOnlyOne;
   }
 
-  private hasLive(): boolean {
-    return this.isWaiting || this.isUnderWay;
+  private hasPendingAttempt(): boolean {
+    return this.isWaiting || this.hasOpenAttempt;
   }
 
-  private get isUnderWay(): boolean {
+  private get hasOpenAttempt(): boolean {
     return this.attempts.some(({ isOver }) => !isOver);
   }
 
   private deliver(answer: WholeAnswer, attempt?: CallAttempt): void {
-    passWholeAnswer(this.sink, answer);
+    writeWholeAnswer(this.sink, answer);
     this.finish('answered', attempt, answer.head.status);
   }
 
-  /** Nothing better will come: the caller gets its final answer now. */
+  /** Ends the call with the best answer available. */
   private giveUp(): void {
     if (this.isDone) {
       return;
     }
     if (this.streaming !== undefined) {
-      this.sink.abort(new LimeleadError('deadline-passed', 'the time for the answer is over'));
+      this.sink.abort(
+        new LimeleadError('deadline-passed', 'the deadline passed before the answer was complete'),
+      );
     } else if (this.failure !== undefined) {
       this.deliver(this.failure);
       return;
@@ -350,21 +357,21 @@
   private describeRefusal(): LimeleadError {
     if (this.isQuarantined) {
       return new LimeleadError('quarantined', QUARANTINED_MESSAGE, {
-        execution: this.ran === 0 ? undefined : 'unknown',
+        execution: this.possibleRuns === 0 ? undefined : 'unknown',
         retryAfterMs: this.guarded.quarantineLeftMs,
       });
     }
     if (this.refusal !== undefined) {
-      return new LimeleadError('overloaded', REFUSED_MESSAGE, {
+      return new LimeleadError('overloaded', REFUSAL_MESSAGE, {
         ...reportRefusal(this.context, this.admitted, this.refusal),
-        execution: this.ran === 0 ? undefined : 'unknown',
+        execution: this.possibleRuns === 0 ? undefined : 'unknown',
       });
     }
-    if (this.ran === 0) {
-      return new LimeleadError('no-target', 'no target took the request');
+    if (this.possibleRuns === 0) {
+      return new LimeleadError('no-target', 'no target accepted the request');
     }
     return this.isOverdue
-      ? new LimeleadError('deadline-passed', 'no answer came in time')
+      ? new LimeleadError('deadline-passed', 'no answer arrived before the deadline')
       : new LimeleadError('outcome-unknown', 'the answer of the target was lost');
   }
 
@@ -373,29 +380,29 @@
     others.forEach((attempt) => attempt.cancel());
   }
 
-  /** A send without an answer in time is a bad one; one whose caller left tells nothing. */
-  private tellUnanswered(outcome: CallEnd['outcome'], answered?: CallAttempt): void {
+  /** Reports open attempts: as failed after the deadline, as abandoned unless the caller left. */
+  private reportUnanswered(outcome: CallOutcome['outcome'], answered?: CallAttempt): void {
     const open = this.attempts.filter((attempt) => attempt !== answered && !attempt.isOver);
     if (this.isOverdue) {
-      open.forEach((attempt) => this.tellSendEnd(attempt, false));
+      open.forEach((attempt) => this.reportAttemptEnded(attempt, false));
     } else if (outcome !== 'caller-left') {
-      open.forEach((attempt) => this.tellAbandoned(attempt));
+      open.forEach((attempt) => this.reportAbandoned(attempt));
     }
   }
 
-  private tellAbandoned({ target, sentAtMs }: CallAttempt): void {
+  private reportAbandoned({ target, sentAtMs }: CallAttempt): void {
     const { clock, observer } = this.context;
-    observer.onSendAbandoned?.(this.admitted, target, clock.now() - sentAtMs);
+    observer.onAttemptAbandoned?.(this.admitted, target, clock.now() - sentAtMs);
   }
 
-  private finish(outcome: CallEnd['outcome'], attempt?: CallAttempt, status?: number): void {
+  private finish(outcome: CallOutcome['outcome'], attempt?: CallAttempt, status?: number): void {
     if (this.isDone) {
       return;
     }
     this.isDone = true;
     this.stopWaiting();
     this.timers.forEach((cancel) => cancel());
-    this.tellUnanswered(outcome, attempt);
+    this.reportUnanswered(outcome, attempt);
     this.cancelOthers();
     this.guarded.close();
     this.report.finished({
@@ -403,7 +410,7 @@
       status,
       target: attempt?.target.id,
       attempts: this.attempts.length,
-      ran: this.ran,
+      ran: this.possibleRuns,
     });
     this.context.observer.onFinished?.(this.admitted);
   }
--- a/packages/forward-request/src/forward-stream.test.ts
+++ b/packages/forward-request/src/forward-stream.test.ts
@@ -3,8 +3,8 @@
 import * as assert from 'uvu/assert';
 import forwardStream from './forward-stream.js';
 import {
-  admit,
-  begin,
+  createAdmittedRequest,
+  beginAnswer,
   formatPiece,
   RecordingSink,
   streamThen,
@@ -21,22 +21,25 @@
   );
 }
 
-const turnAway: Behaviour = (_, response) => {
+const reject: Behaviour = (_, response) => {
   response.writeHead(503, { 'not-run': '1' }).end();
 };
 
-/** Plays one streamed request and gives what its caller got. */
-async function play(behaviours: Behaviour[], ...admission: Parameters<typeof admit>) {
+/** Forwards one streamed request and returns the sink of its caller. */
+async function forward(
+  behaviours: Behaviour[],
+  ...admission: Parameters<typeof createAdmittedRequest>
+) {
   const bed = await TestBed.start(...behaviours);
   const sink = new RecordingSink();
-  forwardStream(bed.context, admit(...admission), sink);
+  forwardStream(bed.context, createAdmittedRequest(...admission), sink);
   await sink.done;
   await bed.stop();
   return { bed, sink };
 }
 
-test('a broken stream goes on from its copy in another failure domain, each piece once', async () => {
-  const { bed, sink } = await play([streamThen(3, destroy), streamTo(6)]);
+test('a broken stream resumes from its replica in another failure domain, with each piece once', async () => {
+  const { bed, sink } = await forward([streamThen(3, destroy), streamTo(6)]);
   assert.is(sink.outcome, 'ended');
   assert.is(sink.body, pieces(1, 6));
   assert.equal(bed.seen, [
@@ -45,39 +48,39 @@
   ]);
 });
 
-test('a piece that was cut is not passed on; the next target sends it whole', async () => {
+test('an incomplete piece is not delivered; the next target sends it again', async () => {
   const cutInside: Behaviour = (request, response) => {
-    begin(request, response);
+    beginAnswer(request, response);
     response.write(formatPiece(1) + formatPiece(2).slice(0, 9), () =>
       setImmediate(() => response.destroy()),
     );
   };
-  const { sink } = await play([cutInside, streamTo(3)]);
+  const { sink } = await forward([cutInside, streamTo(3)]);
   assert.is(sink.body, pieces(1, 3));
 });
 
-test('a stream that ends properly inside a piece is not taken as whole', async () => {
+test('a stream that ends within a piece is not complete', async () => {
   const endInside: Behaviour = (request, response) => {
-    begin(request, response);
+    beginAnswer(request, response);
     response.end(formatPiece(1) + 'id: 2\n');
   };
-  const { sink } = await play([endInside, streamTo(2)]);
+  const { sink } = await forward([endInside, streamTo(2)]);
   assert.is(sink.outcome, 'ended');
   assert.is(sink.body, pieces(1, 2));
 });
 
-test('a silent target is left well within the pause that the caller bears', async () => {
-  const { bed, sink } = await play([streamThen(2, () => undefined), streamTo(4)]);
+test('a stream resumes at another target when its target falls silent', async () => {
+  const { bed, sink } = await forward([streamThen(2, () => undefined), streamTo(4)]);
   assert.is(sink.body, pieces(1, 4));
-  assert.equal(bed.asked, ['t1', 't2']);
+  assert.equal(bed.askedTargets, ['t1', 't2']);
 });
 
-test('a continued run that sends nothing is given up too', async () => {
+test('a resumed run that sends nothing is given up as well', async () => {
   const mute: Behaviour = (request, response) => {
-    begin(request, response);
+    beginAnswer(request, response);
     response.flushHeaders();
   };
-  const { bed, sink } = await play(
+  const { bed, sink } = await forward(
     [streamThen(2, destroy), mute, streamTo(4)],
     {},
     { affinityKey: 's' },
@@ -87,83 +90,90 @@
   assert.ok(bed.seen.length >= 3);
 });
 
-test('a client that comes back with its last piece gets only what follows', async () => {
-  const { bed, sink } = await play([streamTo(5)], {}, { lastPiece: 3 });
+test('a client that resumes after its last piece receives only the following pieces', async () => {
+  const { bed, sink } = await forward([streamTo(5)], {}, { lastPiece: 3 });
   assert.is(sink.body, pieces(4, 5));
   assert.is(bed.seen[0]?.lastPiece, 3);
 });
 
-test('a client that comes back is sent to the target that still keeps its prompt', async () => {
+test('a client that resumes is sent to the target that caches its prompt', async () => {
   const bed = await TestBed.start(streamTo(5), streamTo(5), streamTo(5));
-  bed.kept.set('t3', 'another session');
+  bed.cachedPrompts.set('t3', 'another session');
   const sink = new RecordingSink();
-  forwardStream(bed.context, admit({}, { lastPiece: 3, affinityKey: 'session' }), sink);
+  forwardStream(
+    bed.context,
+    createAdmittedRequest({}, { lastPiece: 3, affinityKey: 'session' }),
+    sink,
+  );
   await sink.done;
-  assert.equal(bed.asked, ['t3']);
+  assert.equal(bed.askedTargets, ['t3']);
   assert.is(sink.body, pieces(4, 5));
   await bed.stop();
 });
 
-test('a caller with too little time for its prompt is refused as not run, unless a target keeps it', async () => {
-  const comeBack = async (kept: string) => {
+test('a request whose prompt cannot be read in time is refused as not run, unless a target caches it', async () => {
+  const resume = async (cachedSessions: string) => {
     const bed = await TestBed.start(streamTo(5), streamTo(5));
-    bed.kept.set('t2', kept);
+    bed.cachedPrompts.set('t2', cachedSessions);
     const sink = new RecordingSink();
-    const late = admit({ timeoutMs: 1_000 }, { lastPiece: 3, affinityKey: 'session' });
-    bed.context.reading.note(late, 2_000);
+    const late = createAdmittedRequest(
+      { timeoutMs: 1_000 },
+      { lastPiece: 3, affinityKey: 'session' },
+    );
+    bed.context.prefill.record(late, 2_000);
     forwardStream(bed.context, late, sink);
     await sink.done;
     await bed.stop();
     return { bed, sink };
   };
-  const refused = await comeBack('another');
+  const refused = await resume('another');
   assert.is(refused.sink.error?.kind, 'deadline-unreachable');
   assert.is(refused.sink.error?.answer.execution, 'not-run');
-  assert.equal(refused.bed.asked, []);
-  const served = await comeBack('session');
+  assert.equal(refused.bed.askedTargets, []);
+  const served = await resume('session');
   assert.is(served.sink.body, pieces(4, 5));
-  assert.equal(served.bed.asked, ['t2']);
+  assert.equal(served.bed.askedTargets, ['t2']);
 });
 
-test('pieces that come a second time are dropped, and a gap is no answer', async () => {
+test('repeated pieces are dropped, and a missing piece breaks the attempt', async () => {
   const repeat: Behaviour = (request, response) => {
-    begin(request, response);
+    beginAnswer(request, response);
     response.end(pieces(1, 2) + pieces(1, 3));
   };
-  const repeated = await play([repeat]);
+  const repeated = await forward([repeat]);
   assert.is(repeated.sink.body, pieces(1, 3));
   const skip: Behaviour = (request, response) => {
-    begin(request, response);
+    beginAnswer(request, response);
     response.end(formatPiece(1) + formatPiece(3));
   };
-  const skipped = await play([skip, streamTo(3)]);
+  const skipped = await forward([skip, streamTo(3)]);
   assert.is(skipped.sink.body, pieces(1, 3));
 });
 
-test('a target that takes no work is passed over without a trace in the answer', async () => {
-  const { bed, sink } = await play([turnAway, streamTo(2)]);
+test('a rejection by a target does not show in the answer', async () => {
+  const { bed, sink } = await forward([reject, streamTo(2)]);
   assert.is(sink.body, pieces(1, 2));
-  assert.equal(bed.asked, ['t1', 't2']);
+  assert.equal(bed.askedTargets, ['t1', 't2']);
 });
 
-test('a stream that may not be repeated is cut where its target breaks, and sent once', async () => {
-  const { bed, sink } = await play([streamThen(2, destroy), streamTo(4)], { repeatable: false });
+test('a stream that is not repeatable is aborted when its target breaks off', async () => {
+  const { bed, sink } = await forward([streamThen(2, destroy), streamTo(4)], { repeatable: false });
   assert.is(sink.outcome, 'aborted');
   assert.is(sink.body, pieces(1, 2));
-  assert.equal(bed.asked, ['t1']);
+  assert.equal(bed.askedTargets, ['t1']);
 });
 
-test('when the time is over the caller is told at once, and the run is cancelled', async () => {
+test('at the deadline the request is refused and its run is cancelled', async () => {
   let onClosed = (): void => undefined;
   const closed = new Promise<void>((resolve) => (onClosed = resolve));
   const slow: Behaviour = (request) => request.socket.once('close', onClosed);
-  const { sink } = await play([slow], { timeoutMs: 120 });
+  const { sink } = await forward([slow], { timeoutMs: 120 });
   assert.is(sink.outcome, 'refused');
   assert.is(sink.error?.kind, 'deadline-passed');
   await closed;
 });
 
-test('a caller who leaves takes the run along', async () => {
+test('a run is cancelled when its caller leaves', async () => {
   let onClosed = (): void => undefined;
   const closed = new Promise<void>((resolve) => (onClosed = resolve));
   const watched: Behaviour = (request, response, seen) => {
@@ -172,7 +182,7 @@
   };
   const bed = await TestBed.start(watched);
   const sink = new RecordingSink();
-  forwardStream(bed.context, admit(), sink);
+  forwardStream(bed.context, createAdmittedRequest(), sink);
   await sink.until(() => sink.body !== '');
   sink.leave();
   await closed;
@@ -180,29 +190,29 @@
   await bed.stop();
 });
 
-test('an answer that is no stream goes to the caller as it is, a failure after a second try', async () => {
+test('an answer that is not a stream is returned unchanged, unless it is a failure that can be retried', async () => {
   const fail: Behaviour = (request, response) => {
     response.writeHead(500, { id: String(request.headers['id']) }).end('no');
   };
-  const { bed, sink } = await play([fail, streamTo(2)]);
+  const { bed, sink } = await forward([fail, streamTo(2)]);
   assert.is(sink.body, pieces(1, 2));
-  assert.equal(bed.asked, ['t1', 't2']);
+  assert.equal(bed.askedTargets, ['t1', 't2']);
   const refuse: Behaviour = (request, response) => {
     response.writeHead(400, { id: String(request.headers['id']) }).end('bad');
   };
-  const refused = await play([refuse, streamTo(2)]);
+  const refused = await forward([refuse, streamTo(2)]);
   assert.is(refused.sink.status, 400);
   assert.is(refused.sink.body, 'bad');
 });
 
-test('no more targets run a stream than its route allows, however often it breaks', async () => {
+test('a stream that breaks repeatedly runs at no more targets than its route allows', async () => {
   const stalls = [1, 2, 3, 4].map((last) => streamThen(last, () => undefined));
-  const { bed, sink } = await play([...stalls, streamTo(9)], { maxTargets: 2 });
+  const { bed, sink } = await forward([...stalls, streamTo(9)], { maxTargets: 2 });
   assert.is(sink.outcome, 'aborted');
   assert.is(bed.seen.length, 2);
 });
 
-test('targets that were lost do not count among those that ran a stream', async () => {
+test('lost targets do not count against the targets that a route allows', async () => {
   const bed = await TestBed.start(
     streamThen(1, destroy),
     streamThen(2, destroy),
@@ -210,33 +220,33 @@
     streamTo(5),
   );
   const sink = new RecordingSink();
-  forwardStream(bed.context, admit({ maxTargets: 2 }), sink);
+  forwardStream(bed.context, createAdmittedRequest({ maxTargets: 2 }), sink);
   await sink.done;
   await bed.stop();
   assert.is(sink.outcome, 'ended');
   assert.is(sink.body, pieces(1, 5));
 });
 
-test('a stream that every target turns away is refused at once, as not run', async () => {
+test('a stream that every target rejects is refused early and as not run', async () => {
   let asked = 0;
   const refuse: Behaviour = (request, response, seen) => {
     asked += 1;
-    turnAway(request, response, seen);
+    reject(request, response, seen);
   };
   const startedAtMs = performance.now();
-  const { sink } = await play([refuse, refuse], { timeoutMs: 60_000 });
+  const { sink } = await forward([refuse, refuse], { timeoutMs: 60_000 });
   assert.is(sink.error?.kind, 'overloaded');
   assert.is(sink.error?.answer.execution, 'not-run');
   assert.is(asked, 16);
-  assert.ok(performance.now() - startedAtMs < 9_000, 'gave up before the session does');
+  assert.ok(performance.now() - startedAtMs < 9_000, 'gives up before the session core does');
 });
 
-test('a stream that ends without a piece has no time of its first piece', async () => {
+test('a stream that ends without a piece records no time to the first piece', async () => {
   const endEmpty: Behaviour = (request, response) => {
-    begin(request, response);
+    beginAnswer(request, response);
     response.end();
   };
-  const { bed, sink } = await play([endEmpty]);
+  const { bed, sink } = await forward([endEmpty]);
   assert.is(sink.outcome, 'ended');
   assert.not.match(bed.context.metrics.render(), /limelead_first_piece_ms/);
 });
@@ -249,33 +259,33 @@
   };
 }
 
-test('a stream goes where the scheduler advises, though its own domain would come first', async () => {
+test('advice of the scheduler has precedence over the target in the own failure domain', async () => {
   const bed = await TestBed.start(streamTo(2), streamTo(2));
   bed.askTarget = advise('t2');
   const sink = new RecordingSink();
-  forwardStream(bed.context, admit(), sink);
+  forwardStream(bed.context, createAdmittedRequest(), sink);
   await sink.done;
-  assert.equal(bed.asked, ['t2']);
+  assert.equal(bed.askedTargets, ['t2']);
   await bed.stop();
 });
 
-test('an advised target that this VM just found lost is not taken', async () => {
+test('an advised target that this VM observed as lost is not used', async () => {
   const bed = await TestBed.start(streamTo(2), streamTo(2));
   bed.askTarget = advise('t2');
   bed.directory.observe('t2', { kind: 'lost' });
   const sink = new RecordingSink();
-  forwardStream(bed.context, admit(), sink);
+  forwardStream(bed.context, createAdmittedRequest(), sink);
   await sink.done;
-  assert.equal(bed.asked, ['t1']);
+  assert.equal(bed.askedTargets, ['t1']);
   await bed.stop();
 });
 
-test('a copy stands where the scheduler advises, unless this VM just found that target lost', async () => {
+test('the advised replica target is used unless this VM observed it as lost', async () => {
   const bed = await TestBed.start(streamTo(2), streamTo(2), streamTo(2));
   bed.askTarget = advise('t1', 't3');
   const copyTo = async (): Promise<string | undefined> => {
     const sink = new RecordingSink();
-    forwardStream(bed.context, admit(), sink);
+    forwardStream(bed.context, createAdmittedRequest(), sink);
     await sink.done;
     return bed.seen.at(-1)?.copyTo;
   };
@@ -285,7 +295,7 @@
   await bed.stop();
 });
 
-test('a caller that leaves while the scheduler is asked sends nothing to any target', async () => {
+test('nothing is sent if the caller leaves while the scheduler is asked for advice', async () => {
   const bed = await TestBed.start(streamTo(2));
   let answer = (): void => undefined;
   let hasStopped = false;
@@ -294,12 +304,12 @@
     return () => (hasStopped = true);
   };
   const sink = new RecordingSink();
-  forwardStream(bed.context, admit(), sink);
+  forwardStream(bed.context, createAdmittedRequest(), sink);
   sink.leave();
   answer();
   assert.ok(hasStopped);
   assert.is(bed.directory.get('t1')?.inFlight, 0);
-  assert.equal(bed.asked, []);
+  assert.equal(bed.askedTargets, []);
   await bed.stop();
 });
 
--- a/packages/forward-request/src/forward-stream.ts
+++ b/packages/forward-request/src/forward-stream.ts
@@ -1,7 +1,7 @@
 /**
- * Carries one streamed request. The session core decides: it fences attempts,
- * lets each piece pass once and chooses how a broken stream goes on. This module
- * carries out its commands on HTTP targets, where a piece stands for a token.
+ * Forwards one streamed request. The session core fences attempts, delivers each piece
+ * once and decides how to resume a broken stream. This module executes its commands on
+ * HTTP targets; one piece counts as one token.
  */
 import type { LimeleadError } from '@limelead/errors';
 import advanceSession, {
@@ -18,28 +18,25 @@
 import type { AdmittedRequest } from './admitted-request.js';
 import type { ForwardContext } from './context.js';
 import findStreamSlot from './find-stream-slot.js';
-import { describeIdentity } from './identify-admitted.js';
-import { QUARANTINED_MESSAGE, SERVER_ERROR_STATUS } from './limits.js';
+import { selectIdentityFields } from './identify-admitted-request.js';
+import { QUARANTINED_MESSAGE, MIN_SERVER_ERROR_STATUS } from './limits.js';
 import LiveAttempts, { type LiveAttempt } from './live-attempts.js';
 import type { Slot } from './slot-request.js';
 import type { SlotRefusal } from './slot-refusal.js';
-import reportRefusal, { REFUSED_MESSAGE } from './report-refusal.js';
-import RunCopies from './run-copies.js';
-import type { NumberedPiece, StreamAttemptEvents, TurnedAwayCause } from './stream-attempt.js';
+import reportRefusal, { REFUSAL_MESSAGE } from './report-refusal.js';
+import RunReplicas from './run-replicas.js';
+import type { NumberedPiece, StreamAttemptEvents, RejectionCause } from './stream-attempt.js';
 import StreamAnswer from './stream-answer.js';
 import StreamReport from './stream-report.js';
-import StreamSends from './stream-sends.js';
-import toGeneration, { OPAQUE_BINDING } from './to-generation.js';
+import StreamAttemptTracker from './stream-attempt-tracker.js';
+import toGenerationRequest, { PLACEHOLDER_BINDING } from './to-generation-request.js';
 
-/**
- * Longest wait before another look for a way on. What is waited for are repeats
- * of the retry budget, which peers lend within some milliseconds.
- */
-const LONGEST_RETRY_WAIT_MS = 150;
-/** How long a target that said it is full is left alone, in milliseconds. */
-const FULL_PAUSE_MS = 60;
+/** Longest wait before a retry; short, since peers lend retries within milliseconds. */
+const MAX_RETRY_DELAY_MS = 150;
+/** Time without new requests for a target that reported that it is full. */
+const FULL_TARGET_PAUSE_MS = 60;
 
-/** Starts forwarding. The answer, whatever it is, goes to the sink. */
+/** Starts to forward a stream. The sink receives the answer or an error. */
 export default function forwardStream(
   context: ForwardContext,
   admitted: AdmittedRequest,
@@ -48,11 +45,11 @@
   new StreamForwarder(context, admitted, sink).begin();
 }
 
-/** What a target's refusal says of it. */
-function observeTurnedAway(cause: TurnedAwayCause): TargetObservation {
+/** Observation of a target that follows from a rejection. */
+function toObservation(cause: RejectionCause): TargetObservation {
   switch (cause) {
     case 'full':
-      return { kind: 'full', pauseMs: FULL_PAUSE_MS };
+      return { kind: 'full', pauseMs: FULL_TARGET_PAUSE_MS };
     case 'other-target':
       return { kind: 'replaced' };
     case 'unreachable':
@@ -60,7 +57,7 @@
   }
 }
 
-/** Requests at the target of a send, this one aside. */
+/** Number of other requests at the target of an attempt. */
 function countOthers({ slot }: LiveAttempt): number {
   const { inFlight, peerRequests } = slot.tracked;
   return Math.max(0, inFlight + peerRequests - 1);
@@ -69,11 +66,11 @@
 class StreamForwarder {
   private state: SessionState;
   private readonly live: LiveAttempts;
-  private readonly chosen = new Map<number, Slot>();
-  private readonly copies: RunCopies;
+  private readonly chosenSlots = new Map<number, Slot>();
+  private readonly replicas: RunReplicas;
   private readonly answer: StreamAnswer;
   private isDone = false;
-  private readonly sends: StreamSends;
+  private readonly attempts: StreamAttemptTracker;
   private readonly cleanups: (() => void)[] = [];
   private readonly report: StreamReport;
   private readonly guarded: GuardedRequest;
@@ -85,22 +82,22 @@
   ) {
     this.answer = new StreamAnswer(sink);
     this.report = new StreamReport(context, admitted);
-    this.copies = new RunCopies(context, admitted);
-    this.sends = new StreamSends(context, admitted);
+    this.replicas = new RunReplicas(context, admitted);
+    this.attempts = new StreamAttemptTracker(context, admitted);
     this.guarded = context.guard.begin({
-      request: describeIdentity(admitted),
+      request: selectIdentityFields(admitted),
       route: admitted.route.name,
       requestId: admitted.request.requestId,
       service: admitted.service,
       onQuarantined: () => this.fail(this.createQuarantined()),
     });
-    this.live = new LiveAttempts(context, admitted, this.copies, {
+    this.live = new LiveAttempts(context, admitted, this.replicas, {
       createEvents: (number) => this.createEvents(number),
-      onSending: (number, order) => this.report.sent(number, order),
+      onSending: (number, attemptRequest) => this.report.sent(number, attemptRequest),
       onSilent: (number) => this.onSilent(number),
     });
     const { requestId, lastPiece } = admitted.request;
-    const session = createSession(toGeneration(admitted), requestId, context.clock.now());
+    const session = createSession(toGenerationRequest(admitted), requestId, context.clock.now());
     this.state = { ...session, delivered: lastPiece };
   }
 
@@ -109,7 +106,7 @@
     observer.onAdmitted?.(this.admitted);
     const remainingMs = Math.max(0, this.admitted.dueAtMs - clock.now());
     this.cleanups.push(timers.after(remainingMs, () => this.advance({ kind: 'deadline-passed' })));
-    this.sink.onGone(() => this.advance({ kind: 'cancelled' }));
+    this.sink.onCallerLeft(() => this.advance({ kind: 'cancelled' }));
     this.advance({ kind: 'begin', tries: 0, delivered: this.state.delivered });
   }
 
@@ -119,10 +116,10 @@
     }
     const step = advanceSession(this.state, event, this.context.clock.now());
     this.state = step.state;
-    step.commands.forEach((command) => this.carryOut(command));
+    step.commands.forEach((command) => this.execute(command));
   }
 
-  private carryOut(command: SessionCommand): void {
+  private execute(command: SessionCommand): void {
     switch (command.kind) {
       case 'choose-target':
         this.chooseTarget(command.attempt, command.exclude);
@@ -141,16 +138,16 @@
         this.send(command.message);
         break;
       case 'fail':
-        this.fail(this.sends.createError(command.error, command.message));
+        this.fail(this.attempts.createError(command.error, command.message));
         break;
       case 'observe':
         this.report.observed(command.detail);
         break;
       case 'attach':
-        this.leaveUnattached(command.attempt);
+        this.failAttach(command.attempt);
         break;
       default:
-        // Silence is watched for all runs together.
+        // No action is needed for the other commands; the silence monitor watches all runs.
         break;
     }
   }
@@ -163,21 +160,21 @@
     }
   }
 
-  /** Targets of this kind can't be attached to: what was to be read again is left. */
-  private leaveUnattached(attempt: number): void {
+  /** HTTP targets do not support attaching to a run, so the attempt counts as broken. */
+  private failAttach(attempt: number): void {
     this.live.dropAll();
     this.advance({ kind: 'broken', attempt, cause: 'target-gone' });
   }
 
   private retryLater(attempt: number, delayMs: number): void {
-    const cancel = this.context.timers.after(Math.min(delayMs, LONGEST_RETRY_WAIT_MS), () =>
+    const cancel = this.context.timers.after(Math.min(delayMs, MAX_RETRY_DELAY_MS), () =>
       this.advance({ kind: 'retry-due', attempt }),
     );
     this.cleanups.push(cancel);
   }
 
   private chooseTarget(attempt: number, exclude: string[]): void {
-    const end = this.sends.findEnd();
+    const end = this.attempts.findFinalError();
     if (end !== undefined) {
       this.fail(end);
       return;
@@ -192,31 +189,31 @@
     this.cleanups.push(stopAsking);
   }
 
-  private findSlot(attempt: number, exclude: string[], avoidsOthers: boolean): void {
-    if (!this.sends.tryPay()) {
+  private findSlot(attempt: number, exclude: string[], onlyLeastLoaded: boolean): void {
+    if (!this.attempts.trySpendRetry()) {
       this.guarded.noteOver();
       this.advance({ kind: 'no-target', attempt, error: 'overloaded' });
       return;
     }
-    const stopWaiting = findStreamSlot(this.context, this.admitted, this.copies, {
-      isFirstSend: this.sends.count === 0,
-      avoidsOthers,
+    const stopWaiting = findStreamSlot(this.context, this.admitted, this.replicas, {
+      isFirstAttempt: this.attempts.count === 0,
+      onlyLeastLoaded,
       exclude,
-      receive: (slot, refusal) => this.onSlot(attempt, slot, refusal),
-      refuse: () => this.refuseLate(),
+      onSlot: (slot, refusal) => this.onSlot(attempt, slot, refusal),
+      onTooLate: () => this.failTooLate(),
     });
     this.cleanups.push(stopWaiting);
   }
 
   private createQuarantined(): LimeleadError {
-    return this.sends.createError('quarantined', QUARANTINED_MESSAGE, {
+    return this.attempts.createError('quarantined', QUARANTINED_MESSAGE, {
       retryAfterMs: this.guarded.quarantineLeftMs,
     });
   }
 
-  private refuseLate(): void {
+  private failTooLate(): void {
     const message = 'the prompt could not be read before the deadline';
-    this.fail(this.sends.createError('deadline-unreachable', message));
+    this.fail(this.attempts.createError('deadline-unreachable', message));
   }
 
   private onSlot(attempt: number, slot: Slot | undefined, refusal?: SlotRefusal): void {
@@ -227,7 +224,7 @@
     if (refusal !== undefined) {
       this.guarded.noteOver();
       const overrides = reportRefusal(this.context, this.admitted, refusal);
-      this.fail(this.sends.createError('overloaded', REFUSED_MESSAGE, overrides));
+      this.fail(this.attempts.createError('overloaded', REFUSAL_MESSAGE, overrides));
       return;
     }
     if (slot === undefined) {
@@ -235,23 +232,22 @@
       this.advance({ kind: 'no-target', attempt, error: 'no-target' });
       return;
     }
-    this.chosen.set(attempt, slot);
+    this.chosenSlots.set(attempt, slot);
     const targetId = slot.tracked.target.id;
-    this.advance({ kind: 'target-chosen', attempt, targetId, binding: OPAQUE_BINDING });
+    this.advance({ kind: 'target-chosen', attempt, targetId, binding: PLACEHOLDER_BINDING });
   }
 
   private start(number: number, lastPiece: number): void {
-    const slot = this.chosen.get(number);
-    this.chosen.delete(number);
+    const slot = this.chosenSlots.get(number);
+    this.chosenSlots.delete(number);
     if (slot === undefined) {
       return;
     }
-    this.sends.noteSent(slot.tracked.target.id);
+    this.attempts.recordAttempt(slot.tracked.target.id);
     const { policy } = this;
     this.live.start(number, { slot, lastPiece, policy });
   }
 
-  /** How much is paid to go on sooner. */
   private get policy(): RecoveryPolicy {
     return this.state.request.priority.recovery;
   }
@@ -262,14 +258,14 @@
       onPieces: (pieces) => this.onPieces(number, pieces),
       onEnded: (trailer) => this.onEnded(number, trailer),
       onBroken: (reason) => this.onBroken(number, reason),
-      onTurnedAway: (cause, reason) => this.onTurnedAway(number, cause, reason),
-      onAnswered: (head, body) => this.onAnswered(number, head, body),
+      onRejected: (cause, reason) => this.onRejected(number, cause, reason),
+      onOtherAnswer: (head, body) => this.onOtherAnswer(number, head, body),
     };
   }
 
   private onOpened(attempt: number, head: AnswerHead): void {
     if (this.live.get(attempt) !== undefined) {
-      this.answer.noteHead(head);
+      this.answer.setHead(head);
       this.advance({ kind: 'opened', attempt, promptTokens: 0 });
     }
   }
@@ -280,10 +276,10 @@
       return;
     }
     this.context.directory.hear(live.attempt.target.id);
-    live.endReading();
-    this.noteFirstPiece(live);
-    live.hearing.hear();
-    live.pace.notePieces(pieces.length, this.context.clock.now());
+    live.endPrefill();
+    this.recordFirstPiece(live);
+    live.activity.recordActivity();
+    live.paceMeter.recordPieces(pieces.length, this.context.clock.now());
     for (const { number, bytes } of pieces) {
       this.advance({
         kind: 'tokens',
@@ -294,25 +290,28 @@
     }
   }
 
-  /** The time to the first piece of a run that read its whole prompt tells how fast targets read. */
-  private noteFirstPiece(live: LiveAttempt): void {
+  /** Records the time to the first piece; it trains the prefill estimate if the prompt was read. */
+  private recordFirstPiece(live: LiveAttempt): void {
     if (live.firstPieceAfterMs !== undefined) {
       return;
     }
-    const { clock, reading, observer } = this.context;
-    const { isSending, startedAtMs } = live.hearing;
+    const { clock, prefill, observer } = this.context;
+    const { isWriting, startedAtMs } = live.activity;
     live.firstPieceAfterMs = clock.now() - startedAtMs;
     this.guarded.noteHarmless();
-    if (!isSending) {
-      reading.note(this.admitted, live.firstPieceAfterMs);
+    if (!isWriting) {
+      prefill.record(this.admitted, live.firstPieceAfterMs);
     }
-    observer.onBegun?.(this.admitted, live.attempt.target);
+    observer.onRunStarted?.(this.admitted, live.attempt.target);
   }
 
-  private tellSendEnd({ attempt, hearing, firstPieceAfterMs }: LiveAttempt, isGood: boolean): void {
+  private reportAttemptEnded(
+    { attempt, activity, firstPieceAfterMs }: LiveAttempt,
+    isGood: boolean,
+  ): void {
     const { clock, observer } = this.context;
-    const afterMs = firstPieceAfterMs ?? clock.now() - hearing.startedAtMs;
-    observer.onSendEnded?.(this.admitted, attempt.target, { isGood, afterMs });
+    const afterMs = firstPieceAfterMs ?? clock.now() - activity.startedAtMs;
+    observer.onAttemptEnded?.(this.admitted, attempt.target, { isGood, afterMs });
   }
 
   private onEnded(attempt: number, trailer: Buffer): void {
@@ -320,10 +319,10 @@
     if (live === undefined) {
       return;
     }
-    this.answer.noteTrailer(trailer);
+    this.answer.setTrailer(trailer);
     this.context.directory.observe(live.attempt.target.id, { kind: 'answered' });
     this.guarded.noteHarmless();
-    this.tellSendEnd(live, true);
+    this.reportAttemptEnded(live, true);
     this.live.release(attempt);
     this.advance({ kind: 'ended', attempt, length: this.state.delivered, reason: 'stop' });
   }
@@ -334,11 +333,11 @@
   }
 
   private onSilent(attempt: number): void {
-    this.lose(attempt, 'silent', 'nothing came');
+    this.lose(attempt, 'silent', 'no data from the target');
     this.advance({ kind: 'silent', attempt });
   }
 
-  /** The target of an attempt is lost or broke off; its copy is the next attempt's start. */
+  /** Handles an attempt whose target broke off or is silent; the next one resumes from its replica. */
   private lose(attempt: number, cause: LossCause, reason: string): void {
     const live = this.live.get(attempt);
     if (live === undefined) {
@@ -346,9 +345,9 @@
     }
     const { clock, directory, silence } = this.context;
     const target = live.attempt.target.id;
-    this.sends.noteLost(target, cause);
-    // Engines send copies only of runs that have begun to write.
-    this.copies.noteLost(live.hearing.isSending ? live.copy : undefined);
+    this.attempts.recordLoss(target, cause);
+    // Engines replicate only runs that have started to write.
+    this.replicas.onRunLost(live.activity.isWriting ? live.replica : undefined);
     this.report.lost({
       attempt,
       target,
@@ -356,61 +355,61 @@
       reason,
       delivered: this.state.delivered,
       sinceLastPieceMs: clock.now() - this.state.lastDeliveredAtMs,
-      runMs: clock.now() - live.hearing.startedAtMs,
+      runMs: clock.now() - live.activity.startedAtMs,
       wrote: live.firstPieceAfterMs !== undefined,
       beside: countOthers(live),
-      copyAt: live.copy?.keeper.id,
+      copyAt: live.replica?.target.id,
     });
     live.attempt.cancel();
-    const isOwnDoing = cause === 'broken' && this.guarded.isSuspected;
-    if (!isOwnDoing) {
-      this.tellSendEnd(live, false);
+    const isLikelyCrash = cause === 'broken' && this.guarded.isSuspected;
+    if (!isLikelyCrash) {
+      this.reportAttemptEnded(live, false);
     }
     this.live.release(attempt);
-    // A connection that ends with a run on it is a sign of a lost target, as silence is. What ends
-    // under a suspect is its doing: that incarnation is over, and its failure domain not in doubt.
-    directory.observe(target, { kind: isOwnDoing ? 'replaced' : 'lost' });
-    silence.noteLost(target);
-    this.noteEvidence(live, cause);
+    // If the request is suspected of crashes, only this incarnation of the target is over, and its
+    // failure domain is not in doubt. Otherwise a broken connection counts as a lost target.
+    directory.observe(target, { kind: isLikelyCrash ? 'replaced' : 'lost' });
+    silence.onTargetLost(target);
+    this.recordCrashEvidence(live, cause);
   }
 
-  /** Only a connection that ends before the run wrote anything says something of the request. */
-  private noteEvidence({ attempt, hearing }: LiveAttempt, cause: LossCause): void {
+  /** Only a broken connection is evidence against the request; silence is not. */
+  private recordCrashEvidence({ attempt, activity }: LiveAttempt, cause: LossCause): void {
     if (cause === 'broken') {
-      const { startedAtMs } = hearing;
+      const { startedAtMs } = activity;
       this.guarded.noteBroken(attempt.target.id, startedAtMs, this.context.clock.now());
     } else {
       this.guarded.noteOver();
     }
   }
 
-  private onTurnedAway(attempt: number, cause: TurnedAwayCause, reason: string): void {
+  private onRejected(attempt: number, cause: RejectionCause, reason: string): void {
     const live = this.live.get(attempt);
     if (live === undefined) {
       return;
     }
     const { directory } = this.context;
     const { target } = live.attempt;
-    this.sends.noteTurnedAway(target.id, cause);
+    this.attempts.recordRejection(target.id, cause);
     this.guarded.noteOver();
-    directory.observe(target.id, observeTurnedAway(cause));
-    this.report.turnedAway(attempt, target.id, cause, reason);
+    directory.observe(target.id, toObservation(cause));
+    this.report.rejected(attempt, target.id, cause, reason);
     this.live.release(attempt);
     this.advance({ kind: 'broken', attempt, cause: 'refused' });
   }
 
-  /** A finished answer that is no stream: a failure is tried elsewhere while that is allowed. */
-  private onAnswered(attempt: number, head: AnswerHead, body: Buffer): void {
+  /** Handles a complete answer that is not a stream. A server error is retried if allowed. */
+  private onOtherAnswer(attempt: number, head: AnswerHead, body: Buffer): void {
     const live = this.live.get(attempt);
     if (live === undefined) {
       return;
     }
     this.context.directory.observe(live.attempt.target.id, { kind: 'failed' });
     this.guarded.noteHarmless();
-    this.tellSendEnd(live, false);
+    this.reportAttemptEnded(live, false);
     this.live.release(attempt);
-    const mayGoOn = this.admitted.route.repeatable && !this.sends.hasUsedItsTargets;
-    if ((head.status >= SERVER_ERROR_STATUS && mayGoOn) || this.answer.hasBegun) {
+    const canRetry = this.admitted.route.repeatable && !this.attempts.hasReachedMaxTargets;
+    if ((head.status >= MIN_SERVER_ERROR_STATUS && canRetry) || this.answer.hasBegun) {
       this.advance({ kind: 'broken', attempt, cause: 'refused' });
       return;
     }
@@ -419,7 +418,7 @@
 
   private deliver(pieces: string[]): void {
     this.answer.write(pieces);
-    this.report.delivered();
+    this.report.pieceDelivered();
   }
 
   private fail(error: LimeleadError): void {
@@ -428,11 +427,11 @@
 
   private drop(attempt: number): void {
     this.live.drop(attempt);
-    this.chosen.get(attempt)?.release();
-    this.chosen.delete(attempt);
+    this.chosenSlots.get(attempt)?.release();
+    this.chosenSlots.delete(attempt);
   }
 
-  private finish(outcome: string, tell: () => void): void {
+  private finish(outcome: string, notify: () => void): void {
     if (this.isDone) {
       return;
     }
@@ -440,8 +439,8 @@
     this.cleanups.forEach((cleanup) => cleanup());
     this.live.dropAll();
     this.guarded.close();
-    tell();
+    notify();
     this.context.observer.onFinished?.(this.admitted);
-    this.report.finished(outcome, this.state.delivered, this.sends.count);
+    this.report.finished(outcome, this.state.delivered, this.attempts.count);
   }
 }
--- a/packages/forward-request/src/forwarding.fixture.ts
+++ b/packages/forward-request/src/forwarding.fixture.ts
@@ -1,4 +1,4 @@
-/** Targets on real sockets and a caller that writes down what it gets, for the tests of this package. */
+/** Targets on real sockets and a recording caller for the tests of this package. */
 import createDecisionLog from '@limelead/decision-log';
 import type { LimeleadError } from '@limelead/errors';
 import { createLocality } from '@limelead/locality';
@@ -24,21 +24,21 @@
 import type { AdmittedRequest } from './admitted-request.js';
 import type { ForwardContext } from './context.js';
 import type { TargetDialect } from './dialect.js';
-import KeptPrompts from './kept-prompts.js';
+import CachedPromptFinder from './cached-prompt-finder.js';
 import SlotQueue from './slot-queue.js';
-import ReadingTime from './reading-time.js';
-import { NO_LIMITS, type SendPermits } from './send-permits.js';
+import PrefillEstimator from './prefill-estimator.js';
+import { NO_RATE_LIMITS, type SendPermits } from './send-permits.js';
 import { OPEN_GATE } from './target-gate.js';
-import TargetPace from './target-pace.js';
-import SilenceWatch from './silence-watch.js';
+import SlownessTracker from './slowness-tracker.js';
+import SilenceMonitor from './silence-monitor.js';
 
 const clock = { now: () => performance.now() };
 
 const DIRECTIVE_HEADERS = { limit: 'limit', retryAfter: 'retry-after', leaving: 'leaving' };
 
-/** Plain names for a dialect that only the tests speak. */
+/** A simple dialect for the tests. */
 const dialect: TargetDialect = {
-  composeCall: ({ request, target, lastPiece, copyTo, continueFrom }) => ({
+  composeCall: ({ request, target, lastPiece, replicaTarget, resumeFrom }) => ({
     method: request.method,
     path: request.path,
     body: request.body,
@@ -48,9 +48,9 @@
         'last',
         String(lastPiece),
         'copy-to',
-        copyTo?.id ?? '',
+        replicaTarget?.id ?? '',
         'from',
-        continueFrom?.keeper.id ?? '',
+        resumeFrom?.target.id ?? '',
       ],
     ],
   }),
@@ -66,17 +66,17 @@
     headers: ['host', 'test'],
     body: Buffer.alloc(0),
   }),
-  composeKeptQuery: () => ({
+  composeCachedPromptsQuery: () => ({
     method: 'GET',
     path: '/kept',
     headers: ['host', 'test'],
     body: Buffer.alloc(0),
   }),
-  readKept: (body) => new Set(body.toString().split(' ')),
+  readCachedPrompts: (body) => new Set(body.toString().split(' ')),
   readProbe: (body) => ({ runs: new Set(body.toString().split(' ')), waiting: 0 }),
 };
 
-/** What a target saw of one request. */
+/** A request as received by a target. */
 export interface SeenRequest {
   target: string;
   lastPiece: number;
@@ -84,22 +84,22 @@
   from: string;
 }
 
-/** How a target answers a request. */
+/** Answers a request at a target. */
 export type Behaviour = (
   request: IncomingMessage,
   response: ServerResponse,
   seen: SeenRequest,
 ) => void;
 
-/** A piece as the targets of these tests write it. */
+/** Formats a piece of a stream. */
 export function formatPiece(number: number): string {
   return `id: ${number}\ndata: piece ${number}\n\n`;
 }
 
-/** Writes pieces up to the given one and ends the stream. */
+/** Writes the pieces up to `last` and ends the stream. */
 export function streamTo(last: number): Behaviour {
   return (request, response, { lastPiece }) => {
-    begin(request, response);
+    beginAnswer(request, response);
     for (let number = lastPiece + 1; number <= last; number += 1) {
       response.write(formatPiece(number));
     }
@@ -107,10 +107,10 @@
   };
 }
 
-/** Writes pieces up to the given one and does what follows once they are out. */
+/** Writes the pieces up to `last` and calls `follow` after they are sent. */
 export function streamThen(last: number, follow: (response: ServerResponse) => void): Behaviour {
   return (request, response, { lastPiece }) => {
-    begin(request, response);
+    beginAnswer(request, response);
     for (let number = lastPiece + 1; number < last; number += 1) {
       response.write(formatPiece(number));
     }
@@ -118,18 +118,18 @@
   };
 }
 
-/** Begins a good answer to the request. */
-export function begin(request: IncomingMessage, response: ServerResponse): void {
+/** Starts a successful answer to the request. */
+export function beginAnswer(request: IncomingMessage, response: ServerResponse): void {
   response.writeHead(200, { id: String(request.headers['id']), stamp: 'whole' });
 }
 
-/** What the caller got. */
+/** Records the answer that the caller receives. */
 export class RecordingSink implements AnswerSink {
   status = 0;
   body = '';
   outcome: 'open' | 'ended' | 'aborted' | 'refused' = 'open';
   error: LimeleadError | undefined;
-  private gone: () => void = () => undefined;
+  private onLeft: () => void = () => undefined;
   private wake: (() => void)[] = [];
 
   begin(status: number): void {
@@ -155,16 +155,16 @@
     this.finish('refused');
   }
 
-  onGone(callback: () => void): void {
-    this.gone = callback;
+  onCallerLeft(callback: () => void): void {
+    this.onLeft = callback;
   }
 
-  /** The caller leaves. */
+  /** Simulates a caller that disconnects. */
   leave(): void {
-    this.gone();
+    this.onLeft();
   }
 
-  /** Resolves when the condition holds; it is looked at whenever something came. */
+  /** Resolves when the condition holds; checked after each write. */
   async until(holds: () => boolean): Promise<void> {
     while (!holds()) {
       await new Promise<void>((resolve) => this.wake.push(resolve));
@@ -181,18 +181,18 @@
   }
 }
 
-/** Some targets, what they saw, and a VM that forwards to them. */
+/** A VM that forwards to some targets, and the requests that they receive. */
 export class TestBed {
   readonly seen: SeenRequest[] = [];
-  /** Sessions whose prompts a target keeps, divided by blanks. */
-  readonly kept = new Map<string, string>();
+  /** Sessions whose prompts a target caches, separated by spaces. */
+  readonly cachedPrompts = new Map<string, string>();
   readonly directory = new TargetDirectory(clock, {
     hasAnnouncedLeaving: (id) => this.backpressure.isLeaving(id),
   });
   readonly connections = new TargetConnections({ clock, connectTimeoutMs: 300, maxIdle: 4 });
   readonly context: ForwardContext;
   private readonly backpressure: Backpressure;
-  /** What a scheduler would say; by default there is none. */
+  /** Advice of a scheduler; none by default. */
   askTarget: AskTarget = askNobody;
   private readonly servers: Server[] = [];
   private readonly behaviours = new Map<string, Behaviour>();
@@ -228,27 +228,32 @@
       failureDomain: 'north',
       connections: this.connections,
       dialect,
-      slots: this.createSlots(NO_LIMITS),
+      slots: this.createSlots(NO_RATE_LIMITS),
       gate: OPEN_GATE,
-      permits: NO_LIMITS,
+      permits: NO_RATE_LIMITS,
       guard: createLoneGuard({ clock, timers: systemTimers, log, metrics: createMetrics() }),
-      askTarget: (request, receive) => this.askTarget(request, receive),
-      silence: new SilenceWatch({ ...shared, connections: this.connections, dialect, log }),
-      reading: new ReadingTime(),
-      pace: new TargetPace(() => undefined),
-      kept: new KeptPrompts({ ...shared, connections: this.connections, dialect, log }),
+      requestAdvice: (request, receive) => this.askTarget(request, receive),
+      silence: new SilenceMonitor({ ...shared, connections: this.connections, dialect, log }),
+      prefill: new PrefillEstimator(),
+      slowness: new SlownessTracker(() => undefined),
+      cachedPrompts: new CachedPromptFinder({
+        ...shared,
+        connections: this.connections,
+        dialect,
+        log,
+      }),
       log,
       metrics,
       observer: {},
-      readTable: () => table,
+      readRouteTable: () => table,
       readKnowledgeAgeMs: () => 0,
       readConfigurationSource: () => 'store',
-      retriesOf: () => this.spender,
+      retryBudgetOf: () => this.spender,
       countVms: () => 1,
     };
   }
 
-  /** From now on sends need these permits. */
+  /** Replaces the permits. */
   usePermits(permits: SendPermits): void {
     this.context.permits = permits;
     this.context.slots = this.createSlots(permits);
@@ -270,7 +275,7 @@
     });
   }
 
-  /** Starts one target for each behaviour, named t1, t2 and so on; t1 is in this VM's domain. */
+  /** Starts a target per behaviour, named t1, t2 and so on; t1 is in the failure domain of the VM. */
   static async start(...behaviours: Behaviour[]): Promise<TestBed> {
     const bed = new TestBed();
     const targets: ServiceTarget[] = [];
@@ -293,8 +298,8 @@
     return bed;
   }
 
-  /** Targets that saw a request, in order. */
-  get asked(): string[] {
+  /** Targets that received a request, in order. */
+  get askedTargets(): string[] {
     return this.seen.map(({ target }) => target);
   }
 
@@ -313,7 +318,7 @@
         return;
       }
       if (request.url === '/kept') {
-        response.end(this.kept.get(id) ?? '');
+        response.end(this.cachedPrompts.get(id) ?? '');
         return;
       }
       const { last, from } = request.headers;
@@ -333,8 +338,8 @@
   }
 }
 
-/** A request as the front door admits it. */
-export function admit(
+/** Creates a request as the front door admits it. */
+export function createAdmittedRequest(
   route: Partial<ServingRoute> = {},
   request: Partial<IncomingRequest> = {},
 ): AdmittedRequest {
--- a/packages/forward-request/src/limits.ts
+++ b/packages/forward-request/src/limits.ts
@@ -1,13 +1,12 @@
-/** Bounds that streams and calls share. */
+/** Limits and messages shared by streams and calls. */
 
 /**
- * Sends that targets turned away, after which a request is given up. Fewer than
- * the breaks that the session core bears, so that a request which never ran is
- * refused as such.
+ * Rejected attempts allowed per request. Lower than the session core's limit on
+ * broken attempts, so that a request which never ran is reported as not run.
  */
-export const MAX_TURNED_AWAY = 15;
-/** Statuses from this one on say that the target failed. */
-export const SERVER_ERROR_STATUS = 500;
+export const MAX_REJECTED_ATTEMPTS = 15;
+/** Lowest HTTP status that counts as a failure of the target. */
+export const MIN_SERVER_ERROR_STATUS = 500;
 
-/** What callers are told of a request that is kept from targets. */
-export const QUARANTINED_MESSAGE = 'targets ended each time that they began to run the request';
+/** Error message for the caller of a quarantined request. */
+export const QUARANTINED_MESSAGE = 'targets crashed each time they started to run the request';
--- a/packages/forward-request/src/live-attempts.ts
+++ b/packages/forward-request/src/live-attempts.ts
@@ -1,54 +1,54 @@
-/** The sends of one stream that are under way, each with everything that belongs to it. */
+/** Attempts in progress of one stream and the resources that each of them holds. */
 import type { Millis, RecoveryPolicy } from '@limelead/types';
 import type { AdmittedRequest } from './admitted-request.js';
 import type { ForwardContext } from './context.js';
-import type { RunCopy, TargetOrder } from './dialect.js';
+import type { RunReplica, AttemptRequest } from './dialect.js';
 import type { Slot } from './slot-request.js';
-import type RunCopies from './run-copies.js';
-import RunHearing from './run-hearing.js';
-import type { RunPace } from './target-pace.js';
+import type RunReplicas from './run-replicas.js';
+import RunActivity from './run-activity.js';
+import type { RunPaceMeter } from './slowness-tracker.js';
 import StreamAttempt, { type StreamAttemptEvents } from './stream-attempt.js';
 
-/** One send with what belongs to it. */
+/** An attempt with its resources. */
 export interface LiveAttempt {
   attempt: StreamAttempt;
   slot: Slot;
-  /** Where the run's memory is copied to. */
-  copy?: RunCopy;
-  hearing: RunHearing;
-  pace: RunPace;
-  /** Time from the send to its first piece; undefined before that. */
+  /** Replica that the target writes during the run. */
+  replica?: RunReplica;
+  activity: RunActivity;
+  paceMeter: RunPaceMeter;
+  /** Time from the start to the first piece; undefined before it. */
   firstPieceAfterMs?: Millis;
-  /** The run reads its prompt no longer. */
-  endReading: () => void;
-  forgetCopy: () => void;
-  unwatch: () => void;
+  /** Called when the run has read its prompt. */
+  endPrefill: () => void;
+  releaseReplica: () => void;
+  stopMonitoring: () => void;
 }
 
-/** What a send begins with. */
+/** Parameters of a new attempt. */
 export interface AttemptStart {
   slot: Slot;
-  /** Number of the last piece that the caller has; 0 is none. */
+  /** Number of the last piece that the caller has received; 0 for none. */
   lastPiece: number;
   policy: RecoveryPolicy;
 }
 
-/** What the owner of the sends is told. */
+/** Callbacks to the owner of the attempts. */
 export interface LiveAttemptsEvents {
   createEvents(number: number): StreamAttemptEvents;
-  /** Called right before the order goes out. */
-  onSending(number: number, order: TargetOrder): void;
+  /** Called right before the request is sent. */
+  onSending(number: number, attemptRequest: AttemptRequest): void;
   onSilent(number: number): void;
 }
 
-/** Holds the sends by their numbers. */
+/** Holds attempts by their numbers. */
 export default class LiveAttempts {
   private readonly live = new Map<number, LiveAttempt>();
 
   constructor(
     private readonly context: ForwardContext,
     private readonly admitted: AdmittedRequest,
-    private readonly copies: RunCopies,
+    private readonly replicas: RunReplicas,
     private readonly events: LiveAttemptsEvents,
   ) {}
 
@@ -58,39 +58,43 @@
 
   /** Sends the request to the target of the slot. */
   start(number: number, { slot, lastPiece, policy }: AttemptStart): void {
-    const order = this.composeOrder(slot, lastPiece);
-    const { copyTo, continueFrom, target } = order;
+    const attemptRequest = this.composeRequest(slot, lastPiece);
+    const { replicaTarget, resumeFrom, target } = attemptRequest;
     const { directory, silence } = this.context;
-    const attempt = new StreamAttempt(this.context, order, this.events.createEvents(number));
-    const hearing = this.createHearing(number, order, policy);
-    const pace = this.context.pace.createRun(target);
+    const attempt = new StreamAttempt(
+      this.context,
+      attemptRequest,
+      this.events.createEvents(number),
+    );
+    const activity = this.createActivity(number, attemptRequest, policy);
+    const paceMeter = this.context.slowness.createMeter(target);
     this.live.set(number, {
-      pace,
+      paceMeter,
       attempt,
       slot,
-      copy: copyTo && { keeper: copyTo, runId: order.request.requestId },
-      hearing,
-      endReading: continueFrom ? () => undefined : directory.beginReading(target.id),
-      forgetCopy: copyTo ? directory.keepCopy(copyTo.id) : () => undefined,
-      unwatch: silence.watch(hearing),
+      replica: replicaTarget && { target: replicaTarget, runId: attemptRequest.request.requestId },
+      activity,
+      endPrefill: resumeFrom ? () => undefined : directory.beginReading(target.id),
+      releaseReplica: replicaTarget ? directory.keepCopy(replicaTarget.id) : () => undefined,
+      stopMonitoring: silence.monitor(activity),
     });
-    this.events.onSending(number, order);
+    this.events.onSending(number, attemptRequest);
     attempt.send();
   }
 
-  /** A send is over; what belongs to it is given back. */
+  /** Releases the resources of an attempt that has ended. */
   release(number: number): void {
     const live = this.live.get(number);
     if (live !== undefined) {
       this.live.delete(number);
-      live.unwatch();
-      live.endReading();
-      live.forgetCopy();
+      live.stopMonitoring();
+      live.endPrefill();
+      live.releaseReplica();
       live.slot.release();
     }
   }
 
-  /** Ends a send; its target stops the run. */
+  /** Cancels an attempt; its target stops the run. */
   drop(number: number): void {
     this.live.get(number)?.attempt.cancel();
     this.release(number);
@@ -100,7 +104,7 @@
     [...this.live.keys()].forEach((number) => this.drop(number));
   }
 
-  private composeOrder(slot: Slot, lastPiece: number): TargetOrder {
+  private composeRequest(slot: Slot, lastPiece: number): AttemptRequest {
     const { request, organisation, rank, dueAtMs } = this.admitted;
     const { target } = slot.tracked;
     return {
@@ -109,23 +113,23 @@
       organisation,
       remainingMs: dueAtMs - this.context.clock.now(),
       lastPiece,
-      continueFrom: this.copies.use(target),
-      copyTo: this.copies.chooseKeeper(slot),
+      resumeFrom: this.replicas.takeReplicaAt(target),
+      replicaTarget: this.replicas.chooseReplicaTarget(slot),
       rank,
     };
   }
 
-  private createHearing(
+  private createActivity(
     number: number,
-    { request, target, continueFrom }: TargetOrder,
+    { request, target, resumeFrom }: AttemptRequest,
     policy: RecoveryPolicy,
-  ): RunHearing {
-    return new RunHearing({
+  ): RunActivity {
+    return new RunActivity({
       requestId: request.requestId,
       target,
-      continuesCopy: continueFrom !== undefined,
+      resumesFromReplica: resumeFrom !== undefined,
       policy,
-      readingBoundMs: this.context.reading.boundMs(this.admitted),
+      maxPrefillMs: this.context.prefill.maxMs(this.admitted),
       clock: this.context.clock,
       onSilent: () => this.events.onSilent(number),
     });
--- a/packages/forward-request/src/ask-target.ts
+++ b/packages/forward-request/src/query-target.ts
@@ -1,21 +1,20 @@
-/** Asks a target something beside its work, with a bound on the time for the answer. */
+/** Sends a small query to a target, outside of any request. */
 import type { TargetCall, TargetConnections } from '@limelead/target-connections';
 import type { Millis, ServiceTarget, Timers } from '@limelead/types';
 
-/** Longest rest of a connection that a question may use, in milliseconds. */
+/** Longest idle time of a connection that a query reuses. */
 const MAX_IDLE_MS = 2_000;
 
-/** What asking needs. */
-export interface AskOptions {
+export interface QueryOptions {
   connections: TargetConnections;
   timers: Timers;
-  /** Time for the whole answer, in milliseconds. */
+  /** Timeout for the complete answer. */
   timeoutMs: Millis;
 }
 
-/** Gives the body of the answer, or undefined where none came whole in time. */
-export default function askTarget(
-  { connections, timers, timeoutMs }: AskOptions,
+/** Returns the body of the answer, or undefined on a fault or timeout. */
+export default function queryTarget(
+  { connections, timers, timeoutMs }: QueryOptions,
   target: ServiceTarget,
   call: TargetCall,
 ): Promise<Buffer | undefined> {
--- a/packages/forward-request/src/read-answer.ts
+++ b/packages/forward-request/src/read-answer.ts
@@ -1,16 +1,16 @@
-/** Reads what an answer says of its request, and passes on what it says of its target. */
+/** Reads the head of an answer and applies the directives of its target. */
 import type { AnswerHead } from '@limelead/target-connections';
 import type { Millis } from '@limelead/types';
 import type { ForwardContext } from './context.js';
-import type { AnswerFacts, TargetOrder } from './dialect.js';
+import type { AnswerInfo, AttemptRequest } from './dialect.js';
 
-/** Reads the head of an answer; `sentAtMs` is when its request was sent. */
+/** Reads the head of an answer. `sentAtMs` is the time of the attempt. */
 export default function readAnswer(
   { backpressure, dialect, permits }: Pick<ForwardContext, 'backpressure' | 'dialect' | 'permits'>,
-  { request, target }: Pick<TargetOrder, 'request' | 'target'>,
+  { request, target }: Pick<AttemptRequest, 'request' | 'target'>,
   head: AnswerHead,
   sentAtMs: Millis,
-): AnswerFacts {
+): AnswerInfo {
   const facts = dialect.readAnswer(request, head);
   if (facts.isForRequest && !facts.isOtherTarget) {
     const { directives } = facts;
--- a/packages/forward-request/src/report-refusal.ts
+++ b/packages/forward-request/src/report-refusal.ts
@@ -1,13 +1,13 @@
-/** Says why no target could serve a request in time. */
+/** Logs and counts requests that are refused because no slot is available in time. */
 import type { AnswerOverrides } from '@limelead/errors';
 import type { AdmittedRequest } from './admitted-request.js';
 import type { ForwardContext } from './context.js';
 import type { SlotRefusal } from './slot-refusal.js';
 
-/** What callers are told. */
-export const REFUSED_MESSAGE = 'the targets take no more requests before the deadline';
+/** Error message for the caller. */
+export const REFUSAL_MESSAGE = 'no target accepts the request before its deadline';
 
-/** Writes the line; gives what the answer says beside its kind. */
+/** Logs the refusal and returns the fields that it adds to the error answer. */
 export default function reportRefusal(
   { clock, log, metrics }: Pick<ForwardContext, 'clock' | 'log' | 'metrics'>,
   { request, service, dueAtMs }: AdmittedRequest,
--- /dev/null
+++ b/packages/forward-request/src/run-replicas.ts
@@ -0,0 +1,71 @@
+/** Chooses replica targets for the runs of a request and resumes broken runs from their replicas. */
+import { chooseCopyKeeper, KEEPER_DOUBT_MS } from '@limelead/choose-service-target';
+import type { ServiceTarget } from '@limelead/types';
+import type { AdmittedRequest } from './admitted-request.js';
+import type { ForwardContext } from './context.js';
+import type { RunReplica } from './dialect.js';
+import type { Slot } from './slot-request.js';
+
+/** Replicas of the runs of one request. */
+export default class RunReplicas {
+  /** Replica from which the next attempt can resume. */
+  private usable: RunReplica | undefined;
+
+  constructor(
+    private readonly context: ForwardContext,
+    private readonly admitted: AdmittedRequest,
+  ) {}
+
+  /** Remembers the replica of a lost run. */
+  onRunLost(replica: RunReplica | undefined): void {
+    this.usable = replica;
+  }
+
+  /** Acquires a slot at the target of the usable replica; undefined if it accepts no request. */
+  acquireAtReplica(): Slot | undefined {
+    const slot = this.usable && this.context.slots.acquireAtReplica(this.usable.target.id);
+    if (slot === undefined) {
+      this.usable = undefined;
+    }
+    return slot;
+  }
+
+  /** Returns the usable replica if it is at the target. A replica is used at most once. */
+  takeReplicaAt(target: ServiceTarget): RunReplica | undefined {
+    const replica = this.usable;
+    this.usable = undefined;
+    return replica?.target.id === target.id ? replica : undefined;
+  }
+
+  /** Target for the replica of a run in the slot; undefined if the run is not replicated. */
+  chooseReplicaTarget(slot: Slot): ServiceTarget | undefined {
+    const { clock, directory, gate } = this.context;
+    const { service, request, route } = this.admitted;
+    const engine = this.context.readRouteTable()?.findService(service)?.engine;
+    if (!route.repeatable || engine?.copiesRuns !== true) {
+      return undefined;
+    }
+    const advised = this.findAdvisedTarget(slot);
+    if (advised !== undefined) {
+      return advised;
+    }
+    return chooseCopyKeeper(gate.listAdvisable(service, directory.listUsable(service)), {
+      affinityKey: request.affinityKey,
+      running: slot.tracked,
+      isDomainDoubtful: (domain) => directory.isDomainDoubtful(service, domain, KEEPER_DOUBT_MS),
+      now: clock.now(),
+    })?.target;
+  }
+
+  /**
+   * The replica target that the scheduler advised with the slot, unless it is leaving or
+   * suspected. The scheduler spreads the replicas of all VMs over the targets.
+   */
+  private findAdvisedTarget({ replicaTargetId }: Slot): ServiceTarget | undefined {
+    const { directory } = this.context;
+    const target =
+      replicaTargetId === undefined ? undefined : directory.get(replicaTargetId)?.target;
+    const isUsable = target !== undefined && !target.leaving && !directory.isSuspected(target.id);
+    return isUsable ? target : undefined;
+  }
+}
--- a/packages/forward-request/src/send-permits.ts
+++ b/packages/forward-request/src/send-permits.ts
@@ -1,27 +1,27 @@
-/** Permits to send to targets that name the requests a second that they take from all VMs together. */
+/** Permits for targets that advertise a rate limit, which all VMs share. */
 import type { Millis, AdvertisedLimit, WaitingRequests } from '@limelead/types';
 
-/** Is asked on the path of requests, so it may not take long. */
+/** Permits of one VM. Called for each request, so it must be fast. */
 export interface SendPermits {
-  /** Requests that wait are asked about, and told what became of it. */
+  /** Connects the queue of waiting requests. */
   attach(waiting: WaitingRequests): void;
-  /** Whether any target names a limit; while none does, every request may go anywhere. */
+  /** True if any target advertises a limit; otherwise no permits are needed. */
   readonly isLimiting: boolean;
   /**
-   * Whether a request may go to a target now.
-   * @param isExtra a second send beside the first, which takes no permit from another request
+   * Whether a request may be sent to the target now.
+   * @param isHedge true for a hedge, which takes no permit that another request could use
    */
-  maySend(targetId: string, isExtra?: boolean): boolean;
-  /** A request goes there now. */
+  maySend(targetId: string, isHedge?: boolean): boolean;
+  /** Records a request that is sent to the target now. */
   recordSend(targetId: string, service: string): void;
-  /** Requests for a service wait for a slot, or no longer. */
+  /** Called when requests for the service start or stop waiting for a slot. */
   onQueueChanged(service: string): void;
-  /** An answer came to a request that was sent then; steady time. */
-  onResponse(targetId: string, told: AdvertisedLimit, askedAtMs: Millis): void;
+  /** Handles the limit in an answer to a request that was sent at `sentAtMs` (steady time). */
+  onResponse(targetId: string, limit: AdvertisedLimit, sentAtMs: Millis): void;
 }
 
-/** Lets every request through to every target. */
-export const NO_LIMITS: SendPermits = {
+/** Allows every request to every target. */
+export const NO_RATE_LIMITS: SendPermits = {
   attach: () => undefined,
   isLimiting: false,
   maySend: () => true,
--- a/packages/forward-request/src/silence-watch.test.ts
+++ b/packages/forward-request/src/silence-monitor.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { TargetDialect } from './dialect.js';
-import SilenceWatch, { type WatchedRun } from './silence-watch.js';
+import SilenceMonitor, { type MonitoredRun } from './silence-monitor.js';
 
 const target: ServiceTarget = {
   id: 't1',
@@ -18,12 +18,12 @@
   leaving: false,
 };
 
-/** One run that writes and may be silent for 250 ms. */
+/** Creates a monitor with one run whose silence limit is 250 ms. */
 function create() {
   const { clock, timers, advance, jump } = createManualTime();
   const directory = new TargetDirectory(clock);
   directory.replaceAll([target]);
-  const watch = new SilenceWatch({
+  const monitor = new SilenceMonitor({
     clock,
     timers,
     directory,
@@ -32,21 +32,21 @@
     log: createDecisionLog({ vm: 'test', clock, output: (_, done) => done() }),
   });
   let givenUp = 0;
-  const run: WatchedRun = {
+  const run: MonitoredRun = {
     requestId: 'r1',
     target,
-    heardAtMs: clock.now(),
+    lastActivityAtMs: clock.now(),
     startedAtMs: clock.now(),
-    isSending: true,
-    missedInProbes: 0,
-    boundMs: () => 250,
+    isWriting: true,
+    missedProbes: 0,
+    maxSilenceMs: () => 250,
     onSilent: () => (givenUp += 1),
   };
-  watch.watch(run);
+  monitor.monitor(run);
   return { clock, advance, jump, run, givenUp: () => givenUp };
 }
 
-test('a run that is silent for longer than its bound is given up', async () => {
+test('a run that exceeds its silence limit is given up', async () => {
   const { advance, givenUp } = create();
   await advance(240);
   assert.is(givenUp(), 0);
@@ -54,13 +54,13 @@
   assert.is(givenUp(), 1);
 });
 
-test('after the process stood still, what came meanwhile is read before anyone is judged', async () => {
+test('after a stall of the process, buffered pieces are read before runs are given up', async () => {
   const { clock, advance, jump, run, givenUp } = create();
   await advance(60);
   jump(400);
   await advance(1);
   assert.is(givenUp(), 0);
-  run.heardAtMs = clock.now();
+  run.lastActivityAtMs = clock.now();
   await advance(100);
   assert.is(givenUp(), 0);
 });
--- a/packages/forward-request/src/one-way.test.ts
+++ b/packages/forward-request/src/slot-queue-entry.test.ts
@@ -1,4 +1,4 @@
-/** Every request to a target begins at the queue of slots, where what targets name is kept. */
+/** Guards that every request to a target passes the slot queue, which enforces their limits. */
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -19,14 +19,14 @@
   return modules.sort();
 }
 
-test('slots at targets are made by their queue alone', () => {
+test('only the slot queue occupies slots at targets', () => {
   assert.equal(findModules(/directory\.begin\(/), ['forward-request/slot-queue.ts']);
 });
 
-test('calls to targets are sent for a slot, or are small questions beside the work', () => {
+test('only attempts with a slot and small queries send calls to targets', () => {
   assert.equal(findModules(/\bconnections\.send\(/), [
-    'forward-request/ask-target.ts',
     'forward-request/call-attempt.ts',
+    'forward-request/query-target.ts',
     'forward-request/stream-attempt.ts',
   ]);
 });
--- a/packages/forward-request/src/slot-queue.test.ts
+++ b/packages/forward-request/src/slot-queue.test.ts
@@ -7,7 +7,7 @@
 import type { SlotRefusal } from './slot-refusal.js';
 import SlotQueue from './slot-queue.js';
 import type { Slot, SlotRequest } from './slot-request.js';
-import { NO_LIMITS, type SendPermits } from './send-permits.js';
+import { NO_RATE_LIMITS, type SendPermits } from './send-permits.js';
 import { NO_BACKPRESSURE, type TargetBackpressure } from './target-backpressure.js';
 import { OPEN_GATE, type TargetGate } from './target-gate.js';
 
@@ -36,7 +36,7 @@
   };
 }
 
-/** A queue before a target of each of two versions; v2 is tried first. */
+/** Creates a queue with one target of version v1 and one of v2; v2 is preferred. */
 function create(
   gate: Partial<TargetGate>,
   permits: Partial<SendPermits> = {},
@@ -52,87 +52,87 @@
     failureDomain: 'd',
     locality: createLocality({ failureDomain: 'd', regionOf: {} }),
     limit: ({ target }) => target.slots,
-    gate: { ...OPEN_GATE, noteSent: ({ id }) => sent.push(id), ...gate },
-    permits: { ...NO_LIMITS, ...permits },
+    gate: { ...OPEN_GATE, recordSend: ({ id }) => sent.push(id), ...gate },
+    permits: { ...NO_RATE_LIMITS, ...permits },
     backpressure: { ...NO_BACKPRESSURE, isCoolingAny: true, ...backpressure },
     random: { next: () => 0 },
   });
   const slots: (Slot | undefined)[] = [];
   const refusals: (SlotRefusal | undefined)[] = [];
-  const take = (exclude: string[] = []): void => {
+  const acquire = (exclude: string[] = []): void => {
     queue.acquire({ ...REQUEST, exclude: new Set(exclude) }, (slot, refusal) => {
       slots.push(slot);
       refusals.push(refusal);
     });
   };
-  return { queue, sent, slots, refusals, take };
+  return { queue, sent, slots, refusals, acquire };
 }
 
-test('groups are tried in their order, and what is in none is not taken', () => {
-  const { queue, sent, take } = create({
-    arrange: (_, targets) => [targets.filter(({ target }) => target.version === 'v2')],
+test('groups are tried in order, and targets outside of them are not used', () => {
+  const { queue, sent, acquire } = create({
+    groupByPreference: (_, targets) => [targets.filter(({ target }) => target.version === 'v2')],
   });
-  take();
-  take();
+  acquire();
+  acquire();
   assert.equal(sent, ['v2-0']);
   assert.is(queue.waiting, 1);
 });
 
-test('the next group serves where the first has no slot', () => {
+test('the next group is used when the first has no free slot', () => {
   const of =
-    (version: string): TargetGate['arrange'] =>
+    (version: string): TargetGate['groupByPreference'] =>
     (_, targets) => [targets.filter(({ target }) => target.version === version)];
-  const { sent, take } = create({
-    arrange: (...facts) => [...of('v2')(...facts), ...of('v1')(...facts)],
+  const { sent, acquire } = create({
+    groupByPreference: (...facts) => [...of('v2')(...facts), ...of('v1')(...facts)],
   });
-  take();
-  take();
+  acquire();
+  acquire();
   assert.equal(sent, ['v2-0', 'v1-0']);
 });
 
-test('the gate is told of a request that a target already failed', () => {
-  const repeats: boolean[] = [];
-  const { take } = create({
-    arrange: (_, targets, isRepeat) => {
-      repeats.push(isRepeat);
+test('the gate is informed of retries', () => {
+  const retries: boolean[] = [];
+  const { acquire } = create({
+    groupByPreference: (_, targets, isRetry) => {
+      retries.push(isRetry);
       return [targets];
     },
   });
-  take();
-  take(['v1-0']);
-  assert.equal(repeats, [false, true]);
+  acquire();
+  acquire(['v1-0']);
+  assert.equal(retries, [false, true]);
 });
 
-test('a target without a permit is not taken, whichever way leads to it', () => {
+test('no method acquires a slot at a target without a permit', () => {
   const permits = { isLimiting: true, maySend: (id: string) => id === 'v1-0' };
-  const { queue, sent, take } = create({}, permits);
+  const { queue, sent, acquire } = create({}, permits);
   assert.is(queue.acquireAt('v2-0'), undefined);
   assert.is(queue.acquireAtReplica('v2-0'), undefined);
-  take();
-  take();
+  acquire();
+  acquire();
   assert.equal(sent, ['v1-0']);
   assert.is(queue.waiting, 1);
 });
 
-test('a request waits for a permit rather than go back to the target that failed it', () => {
+test('a request waits for a permit rather than return to the target that failed it', () => {
   const permits = { isLimiting: true, maySend: (id: string) => id === 'v1-0' };
-  const { queue, sent, take } = create({}, permits);
-  take(['v1-0']);
+  const { queue, sent, acquire } = create({}, permits);
+  acquire(['v1-0']);
   assert.equal(sent, []);
   assert.is(queue.waiting, 1);
 });
 
-test('a certain target is taken only where the gate lets it', () => {
-  const { queue, sent } = create({ mayTake: ({ version }) => version === 'v1' });
+test('a specific target is used only if the gate allows it', () => {
+  const { queue, sent } = create({ isAllowed: ({ version }) => version === 'v1' });
   assert.is(queue.acquireAt('v2-0'), undefined);
   assert.is(queue.acquireAt('v1-0')?.tracked.target.id, 'v1-0');
   assert.equal(sent, ['v1-0']);
 });
 
-test('a target in a cooldown is reached by no way', () => {
+test('no method acquires a slot at a target in a cooldown', () => {
   const cooling = new Map([['v1-0', 5_000]]);
-  const { queue, sent, take } = create({}, {}, { coolingUntilMs: (id) => cooling.get(id) });
-  take();
+  const { queue, sent, acquire } = create({}, {}, { coolingUntilMs: (id) => cooling.get(id) });
+  acquire();
   assert.equal(sent, ['v2-0']);
   assert.is(queue.acquireAt('v1-0'), undefined);
   assert.is(queue.acquireAtReplica('v1-0'), undefined);
@@ -140,32 +140,32 @@
   assert.ok(queue.acquireAtReplica('v1-0'));
 });
 
-test('where all targets cool down, a request waits for the first one or is refused at once', () => {
+test('if all targets are in a cooldown, a request waits for the first end or is refused at once', () => {
   const held: string[] = [];
   let endMs = 900;
   const backpressure = {
     coolingUntilMs: () => endMs,
     onHeld: ({ requestId, waitMs }: HeldRequest) => void held.push(`${requestId} ${waitMs}`),
   };
-  const { queue, slots, refusals, take } = create({}, {}, backpressure);
-  take();
+  const { queue, slots, refusals, acquire } = create({}, {}, backpressure);
+  acquire();
   assert.equal([slots.length, queue.waiting, held], [0, 1, ['r 900']]);
   endMs = 1_000;
-  take();
+  acquire();
   assert.equal(refusals, [{ kind: 'cooling', retryAfterMs: 1_000, targets: ['v1-0', 'v2-0'] }]);
 });
 
-test('a request is refused where the first target would have too little time for it', () => {
+test('a request is refused if too little time is left after the first cooldown', () => {
   const { queue } = create({}, {}, { coolingUntilMs: () => 960 });
   const refused: boolean[] = [];
   const receive = (_: unknown, refusal?: SlotRefusal): void =>
     void refused.push(refusal !== undefined);
-  queue.acquire({ ...REQUEST, serviceMs: 50 }, receive);
-  queue.acquire({ ...REQUEST, serviceMs: 30 }, receive);
+  queue.acquire({ ...REQUEST, minServiceMs: 50 }, receive);
+  queue.acquire({ ...REQUEST, minServiceMs: 30 }, receive);
   assert.equal([refused, queue.waiting], [[true], 1]);
 });
 
-test('a request that waits for want of targets is not held for a cooldown', () => {
+test('a request that waits because there are no targets is not reported as held for a cooldown', () => {
   const held: string[] = [];
   const onHeld = ({ requestId }: HeldRequest): void => void held.push(requestId);
   const { queue } = create({}, {}, { coolingUntilMs: () => 900, onHeld });
@@ -173,7 +173,7 @@
   assert.equal([queue.waiting, held], [1, []]);
 });
 
-test('no permit is asked for while its target cools down', () => {
+test('a target in a cooldown is reported as avoided to the permits', () => {
   let waiting: WaitingRequests | undefined;
   const cooling = new Map([['v1-0', 5_000]]);
   const attach = (attached: WaitingRequests): void => void (waiting = attached);
@@ -181,7 +181,7 @@
   assert.equal([waiting?.isAvoided('v1-0'), waiting?.isAvoided('v2-0')], [true, false]);
 });
 
-test('requests behind a cooldown are bounded by the slow start', () => {
+test('slow start after a cooldown limits the slots', () => {
   const { queue } = create({}, {}, { limitSlots: () => 0 });
   assert.is(queue.acquireAt('v1-0'), undefined);
 });
--- a/packages/forward-request/src/slot-queue.ts
+++ b/packages/forward-request/src/slot-queue.ts
@@ -1,6 +1,6 @@
 /**
- * Requests that wait for a target with a free slot. The most urgent are served
- * first, then those whose time ends first.
+ * Queue of the requests that wait for a slot, ordered by rank and then by deadline.
+ * All slots at targets are acquired here.
  */
 import { chooseServiceTarget, type ServiceChoiceRequest } from '@limelead/choose-service-target';
 import type { Locality } from '@limelead/locality';
@@ -10,28 +10,27 @@
 import type { Slot, SlotRequest } from './slot-request.js';
 import TargetAvailability, { type TargetAvailabilityOptions } from './target-availability.js';
 
-/** Suspicion and pauses end with time, without any event; so waiters are tried again. */
+/** Interval of retries for waiting requests: suspicion and pauses expire without an event. */
 const RETRY_INTERVAL_MS = 20;
 
-/** Gives a slot, or undefined where none came in time, with why where that is certain at once. */
-type Receive = (slot: Slot | undefined, refusal?: SlotRefusal) => void;
+/** Called with a slot, or with undefined and possibly a reason if none was available in time. */
+type OnSlot = (slot: Slot | undefined, refusal?: SlotRefusal) => void;
 
 interface Waiter {
   id: number;
   request: SlotRequest;
-  receive: Receive;
-  /** It was served, refused or given up. */
+  onSlot: OnSlot;
+  /** True once the request was served, refused or cancelled. */
   isOver: boolean;
 }
 
-/** What the queue needs. */
 export interface SlotQueueOptions extends TargetAvailabilityOptions {
   timers: Timers;
   failureDomain: string;
   locality: Locality;
 }
 
-/** Hands out slots at targets. */
+/** Assigns slots at targets to requests. */
 export default class SlotQueue {
   private waiters: Waiter[] = [];
   private cancelTimer: CancelTimer | undefined;
@@ -49,49 +48,49 @@
     });
   }
 
-  /** Takes a slot at one target where it takes work and has one free. */
-  acquireAt(targetId: string, copyTo?: string): Slot | undefined {
+  /** Acquires a slot at the target if it is available and has a free slot. */
+  acquireAt(targetId: string, replicaTargetId?: string): Slot | undefined {
     const tracked = this.options.directory.get(targetId);
     const isFree =
       tracked !== undefined &&
-      this.availability.hasRoom(tracked) &&
+      this.availability.hasFreeSlot(tracked) &&
       this.availability.isAvailable(tracked);
-    return isFree ? this.begin(tracked, copyTo) : undefined;
+    return isFree ? this.occupySlot(tracked, replicaTargetId) : undefined;
   }
 
-  /** Takes a slot at the target that keeps a copy of the run, which has its memory there already. */
+  /** Acquires a slot at the target of a replica, which already holds the run's memory. */
   acquireAtReplica(targetId: string): Slot | undefined {
     const tracked = this.options.directory.get(targetId);
     return tracked !== undefined && this.availability.isAvailable(tracked)
-      ? this.begin(tracked)
+      ? this.occupySlot(tracked)
       : undefined;
   }
 
-  /** Requests that wait now. */
+  /** Number of waiting requests. */
   get waiting(): number {
     return this.waiters.length;
   }
 
-  /** Takes a slot at once or waits for one; the result gives up waiting. */
-  acquire(request: SlotRequest, receive: Receive): () => void {
+  /** Acquires a slot at once or waits for one. Returns a function that stops waiting. */
+  acquire(request: SlotRequest, onSlot: OnSlot): () => void {
     const slot = this.tryAcquire(request);
     if (slot !== undefined) {
-      receive(slot);
+      onSlot(slot);
       return () => undefined;
     }
     const refusal = this.availability.findRefusal(request);
     if (refusal !== undefined) {
-      receive(undefined, refusal);
+      onSlot(undefined, refusal);
       return () => undefined;
     }
-    return this.wait(request, receive);
+    return this.wait(request, onSlot);
   }
 
-  private wait(request: SlotRequest, receive: Receive): () => void {
+  private wait(request: SlotRequest, onSlot: OnSlot): () => void {
     const { permits } = this.options;
     this.availability.reportHeld(request);
     this.lastId += 1;
-    const waiter: Waiter = { id: this.lastId, request, receive, isOver: false };
+    const waiter: Waiter = { id: this.lastId, request, onSlot, isOver: false };
     this.waiters.push(waiter);
     this.waiters.sort(compareWaiters);
     this.schedule();
@@ -103,21 +102,21 @@
     };
   }
 
-  /** Those that may take a permit, in the order in which they are served. */
+  /** Waiting requests that may use a permit, in the order of service. */
   private listWaiting(service: string): Want[] {
     return this.waiters
-      .filter(({ request }) => request.service === service && request.isExtra !== true)
+      .filter(({ request }) => request.service === service && request.isHedge !== true)
       .map(({ id, request }) => ({ id, rank: request.rank, untilMs: request.untilMs }));
   }
 
   private refuse(id: number, refusal: PermitRefusal): void {
     const waiter = this.waiters.find((other) => other.id === id);
     if (waiter !== undefined && this.remove(waiter)) {
-      waiter.receive(undefined, { kind: 'no-permit', ...refusal });
+      waiter.onSlot(undefined, { kind: 'no-permit', ...refusal });
     }
   }
 
-  /** False where the waiter was gone already. */
+  /** Returns false if the waiter was already removed. */
   private remove(waiter: Waiter): boolean {
     if (waiter.isOver) {
       return false;
@@ -134,27 +133,31 @@
       failureDomain,
       locality,
       exclude: request.exclude,
-      limit: (tracked) => this.availability.slotsAt(tracked),
+      limit: (tracked) => this.availability.slotLimitAt(tracked),
       isDomainDoubtful: (domain) => directory.isDomainDoubtful(request.service, domain),
       now: clock.now(),
     };
     const all = this.availability.listPermitted(request);
-    const candidates = request.avoidsOthers === true ? keepLeastBusy(all, choice) : all;
-    for (const group of gate.arrange(request.service, candidates, request.exclude.size > 0)) {
+    const candidates = request.onlyLeastLoaded === true ? filterLeastLoaded(all, choice) : all;
+    for (const group of gate.groupByPreference(
+      request.service,
+      candidates,
+      request.exclude.size > 0,
+    )) {
       const tracked = chooseServiceTarget(group, choice);
       if (tracked !== undefined) {
-        return this.begin(tracked);
+        return this.occupySlot(tracked);
       }
     }
     return undefined;
   }
 
-  /** Single entry point for sends: what targets ask for is enforced before it. */
-  private begin(tracked: TrackedServiceTarget, copyTo?: string): Slot {
+  /** The only place that occupies slots; the limits of targets are checked before. */
+  private occupySlot(tracked: TrackedServiceTarget, replicaTargetId?: string): Slot {
     const { directory, gate, permits } = this.options;
-    gate.noteSent(tracked.target);
+    gate.recordSend(tracked.target);
     permits.recordSend(tracked.target.id, tracked.target.service);
-    return { tracked, copyTo, release: directory.begin(tracked.target.id) };
+    return { tracked, replicaTargetId, release: directory.begin(tracked.target.id) };
   }
 
   private serveWaiters(): void {
@@ -171,7 +174,7 @@
         slot === undefined ? this.availability.findRefusal(waiter.request) : undefined;
       if (slot !== undefined || refusal !== undefined || waiter.request.untilMs <= now) {
         this.remove(waiter);
-        waiter.receive(slot, refusal);
+        waiter.onSlot(slot, refusal);
       }
     }
   }
@@ -188,8 +191,8 @@
   }
 }
 
-/** Those of the targets that are up which have the fewest requests of all VMs. */
-function keepLeastBusy(
+/** Targets with the fewest requests of all VMs, without excluded and suspected ones. */
+function filterLeastLoaded(
   targets: TrackedServiceTarget[],
   { now, exclude }: ServiceChoiceRequest,
 ): TrackedServiceTarget[] {
--- a/packages/forward-request/src/slot-refusal.ts
+++ b/packages/forward-request/src/slot-refusal.ts
@@ -1,4 +1,4 @@
-/** Why a request that waits for a slot gets none in time, where that is certain at once. */
+/** Reason why a request is refused at once because it cannot get a slot before its deadline. */
 import type { CoolingRefusal } from '@limelead/track-backpressure';
 import type { PermitRefusal } from '@limelead/types';
 
--- a/packages/forward-request/src/slot-request.ts
+++ b/packages/forward-request/src/slot-request.ts
@@ -1,28 +1,28 @@
-/** A slot at a target, and what it is wanted for. */
+/** Slots at targets and requests for them. */
 import type { TrackedServiceTarget } from '@limelead/track-service-targets';
 import type { Millis } from '@limelead/types';
 
-/** What a slot is wanted for. */
+/** A request for a slot. */
 export interface SlotRequest {
   requestId: string;
   service: string;
   affinityKey: string;
   exclude: ReadonlySet<string>;
   rank: number;
-  /** The target may end under the request: only those with the fewest others are looked at. */
-  avoidsOthers?: boolean;
-  /** A second send beside the first: takes no permit that another request could have. */
-  isExtra?: boolean;
-  /** Steady time at which waiting ends. */
+  /** True if the request may crash its target: only the least loaded targets are considered. */
+  onlyLeastLoaded?: boolean;
+  /** True for a hedge, which takes no permit that another request could use. */
+  isHedge?: boolean;
+  /** Steady time until which the request may wait. */
   untilMs: Millis;
-  /** Least time that the target needs for an answer, in milliseconds. */
-  serviceMs?: Millis;
+  /** Shortest time in milliseconds that the target needs for the answer. */
+  minServiceMs?: Millis;
 }
 
-/** A slot at a target; `release` gives it back. */
+/** An acquired slot; `release` must be called once. */
 export interface Slot {
   tracked: TrackedServiceTarget;
-  /** Where the scheduler would keep a copy of the run. */
-  copyTo?: string;
+  /** Replica target that the scheduler advised. */
+  replicaTargetId?: string;
   release(): void;
 }
--- a/packages/forward-request/src/stream-answer.ts
+++ b/packages/forward-request/src/stream-answer.ts
@@ -1,44 +1,44 @@
-/** The caller's side of one streamed answer: its head once, its pieces, and how it ends. */
+/** Writes a streamed answer to the caller: one head, the pieces and the end. */
 import type { LimeleadError } from '@limelead/errors';
 import type { AnswerHead } from '@limelead/target-connections';
 import {
-  keepAnswerHeaders,
-  passWholeAnswer,
+  filterAnswerHeaders,
+  writeWholeAnswer,
   type AnswerSink,
   type WholeAnswer,
 } from './answer-sink.js';
-import { SERVER_ERROR_STATUS } from './limits.js';
+import { MIN_SERVER_ERROR_STATUS } from './limits.js';
 
-/** Writes the answer of one stream, whichever targets its pieces come from. */
+/** Writes the answer of one stream, whose pieces may come from several targets. */
 export default class StreamAnswer {
-  /** The head of the first target that answered; the caller sees no other. */
+  /** Head of the first answer; the heads of later attempts are ignored. */
   private head: AnswerHead | undefined;
-  /** Unnumbered bytes behind the last piece. */
+  /** Unnumbered bytes after the last piece. */
   private trailer: Buffer = Buffer.alloc(0);
   private isBegun = false;
 
   constructor(private readonly sink: AnswerSink) {}
 
-  /** Whether the caller has the head. */
+  /** True once the head was sent to the caller. */
   get hasBegun(): boolean {
     return this.isBegun;
   }
 
-  noteHead(head: AnswerHead): void {
+  setHead(head: AnswerHead): void {
     this.head ??= head;
   }
 
-  noteTrailer(trailer: Buffer): void {
+  setTrailer(trailer: Buffer): void {
     this.trailer = trailer;
   }
 
-  /** Passes pieces on; each is the text of its bytes, one character a byte. */
+  /** Writes pieces in latin1 encoding, one character per byte. */
   write(pieces: string[]): void {
     this.begin();
     pieces.forEach((piece) => this.sink.write(Buffer.from(piece, 'latin1')));
   }
 
-  /** The stream is whole. */
+  /** Completes the stream. */
   end(): void {
     this.begin();
     if (this.trailer.length > 0) {
@@ -47,12 +47,12 @@
     this.sink.end();
   }
 
-  /** A whole answer that is no stream, in place of one. */
+  /** Writes a complete answer in place of a stream. */
   replace(answer: WholeAnswer): void {
-    passWholeAnswer(this.sink, answer);
+    writeWholeAnswer(this.sink, answer);
   }
 
-  /** Nothing more will come: an answer that has begun is cut, so that it does not look whole. */
+  /** Refuses the request, or aborts the answer if it has started. */
   fail(error: LimeleadError): void {
     if (this.isBegun) {
       this.sink.abort(error);
@@ -64,8 +64,8 @@
   private begin(): void {
     if (!this.isBegun) {
       this.isBegun = true;
-      const headers = keepAnswerHeaders(this.head?.rawHeaders ?? []);
-      this.sink.begin(this.head?.status ?? SERVER_ERROR_STATUS, headers);
+      const headers = filterAnswerHeaders(this.head?.rawHeaders ?? []);
+      this.sink.begin(this.head?.status ?? MIN_SERVER_ERROR_STATUS, headers);
     }
   }
 }
--- a/packages/forward-request/src/stream-attempt.ts
+++ b/packages/forward-request/src/stream-attempt.ts
@@ -1,38 +1,38 @@
-/** One send of a streamed request to one target: reads its pieces and knows how it ends. */
+/** One attempt of a stream at one target. Reads its pieces and detects how it ends. */
 import type { AnswerHead, OpenCall } from '@limelead/target-connections';
 import type { Millis, ServiceTarget } from '@limelead/types';
 import createPieceSplitter, { type PieceSplitter } from '@limelead/split-pieces';
 import type { ForwardContext } from './context.js';
-import type { TargetOrder } from './dialect.js';
+import type { AttemptRequest } from './dialect.js';
 import readAnswer from './read-answer.js';
 
-/** Streams take a connection that rested only briefly. */
+/** Longest idle time of a connection that a stream reuses. */
 const STREAM_MAX_IDLE_MS = 1_000;
 const OK = 200;
 
-/** A numbered piece, with the unnumbered bytes that came before it. */
+/** A numbered piece, including the unnumbered bytes before it. */
 export interface NumberedPiece {
   number: number;
   bytes: Buffer;
 }
 
 /** Why a target did not run a request. */
-export type TurnedAwayCause = 'unreachable' | 'full' | 'other-target';
+export type RejectionCause = 'unreachable' | 'full' | 'other-target';
 
-/** What the owner of an attempt is told. After the last four nothing follows. */
+/** Callbacks of an attempt. No callback follows any of the last four. */
 export interface StreamAttemptEvents {
   onOpened(head: AnswerHead): void;
   onPieces(pieces: NumberedPiece[]): void;
-  /** The target closed the stream properly; `trailer` are unnumbered bytes behind the last piece. */
+  /** The stream ended properly; `trailer` holds the unnumbered bytes after the last piece. */
   onEnded(trailer: Buffer): void;
   onBroken(reason: string): void;
-  /** The request has not run there. */
-  onTurnedAway(cause: TurnedAwayCause, reason: string): void;
-  /** The target answered with something else than a stream. */
-  onAnswered(head: AnswerHead, body: Buffer): void;
+  /** The target did not run the request. */
+  onRejected(cause: RejectionCause, reason: string): void;
+  /** The target sent a complete answer that is not a stream. */
+  onOtherAnswer(head: AnswerHead, body: Buffer): void;
 }
 
-/** Sends one order. */
+/** One attempt at one target. */
 export default class StreamAttempt {
   private readonly splitter: PieceSplitter = createPieceSplitter();
   private readonly unnumbered: Buffer[] = [];
@@ -44,12 +44,12 @@
 
   constructor(
     private readonly context: ForwardContext,
-    private readonly order: TargetOrder,
+    private readonly attemptRequest: AttemptRequest,
     private readonly events: StreamAttemptEvents,
   ) {}
 
   get target(): ServiceTarget {
-    return this.order.target;
+    return this.attemptRequest.target;
   }
 
   send(): void {
@@ -57,39 +57,39 @@
     this.sentAtMs = clock.now();
     this.open = connections.send(
       this.target,
-      dialect.composeCall(this.order),
+      dialect.composeCall(this.attemptRequest),
       { maxIdleMs: STREAM_MAX_IDLE_MS },
       {
         onHead: (head) => this.onHead(head),
         onData: (chunk) => this.onData(chunk),
         onEnd: () => this.onEnd(),
         onFault: (fault) =>
-          this.over(() =>
+          this.finish(() =>
             fault.sent === 'no'
-              ? this.events.onTurnedAway('unreachable', fault.message)
+              ? this.events.onRejected('unreachable', fault.message)
               : this.events.onBroken(fault.message),
           ),
       },
     );
   }
 
-  /** Stops reading; the target stops the run when its connection closes. */
+  /** Closes the connection, at which the target stops the run. */
   cancel(): void {
     this.isOver = true;
     this.open?.cancel();
   }
 
   private onHead(head: AnswerHead): void {
-    const facts = readAnswer(this.context, this.order, head, this.sentAtMs);
+    const facts = readAnswer(this.context, this.attemptRequest, head, this.sentAtMs);
     if (!facts.isForRequest) {
       this.open?.cancel();
-      this.over(() => this.events.onBroken('answer of another request'));
+      this.finish(() => this.events.onBroken('the answer belongs to another request'));
       return;
     }
     if (facts.notRun) {
       this.open?.cancel();
       const cause = facts.isOtherTarget ? 'other-target' : 'full';
-      this.over(() => this.events.onTurnedAway(cause, `status ${head.status}`));
+      this.finish(() => this.events.onRejected(cause, `status ${head.status}`));
       return;
     }
     this.head = head;
@@ -108,17 +108,17 @@
       this.otherBody.push(chunk);
       return;
     }
-    const pieces = this.number(chunk);
+    const pieces = this.numberPieces(chunk);
     if (this.splitter.isOverlong) {
       this.open?.cancel();
-      this.over(() => this.events.onBroken('a piece without end'));
+      this.finish(() => this.events.onBroken('a piece is too long'));
     } else if (pieces.length > 0) {
       this.events.onPieces(pieces);
     }
   }
 
-  /** Unnumbered bytes travel with the piece behind them. */
-  private number(chunk: Buffer): NumberedPiece[] {
+  /** Adds unnumbered bytes to the next numbered piece. */
+  private numberPieces(chunk: Buffer): NumberedPiece[] {
     const pieces: NumberedPiece[] = [];
     for (const { number, bytes } of this.splitter.push(chunk)) {
       this.unnumbered.push(bytes);
@@ -135,18 +135,18 @@
       return;
     }
     if (otherBody !== undefined) {
-      this.over(() => this.events.onAnswered(head, Buffer.concat(otherBody)));
+      this.finish(() => this.events.onOtherAnswer(head, Buffer.concat(otherBody)));
     } else if (this.splitter.pendingBytes > 0) {
-      this.over(() => this.events.onBroken('ended inside a piece'));
+      this.finish(() => this.events.onBroken('the stream ended within a piece'));
     } else {
-      this.over(() => this.events.onEnded(Buffer.concat(this.unnumbered)));
+      this.finish(() => this.events.onEnded(Buffer.concat(this.unnumbered)));
     }
   }
 
-  private over(tell: () => void): void {
+  private finish(notify: () => void): void {
     if (!this.isOver) {
       this.isOver = true;
-      tell();
+      notify();
     }
   }
 }
--- a/packages/forward-request/src/stream-report.ts
+++ b/packages/forward-request/src/stream-report.ts
@@ -1,32 +1,32 @@
-/** Lines and figures of one streamed request. */
+/** Log lines and metrics of one streamed request. */
 import type { LossCause } from '@limelead/track-service-targets';
 import type { EventDetail, Millis } from '@limelead/types';
 import type { AdmittedRequest } from './admitted-request.js';
 import type { ForwardContext } from './context.js';
-import countSend from './count-send.js';
-import identifyAdmitted from './identify-admitted.js';
-import type { TargetOrder } from './dialect.js';
+import countAttempt from './count-attempt.js';
+import identifyAdmittedRequest from './identify-admitted-request.js';
+import type { AttemptRequest } from './dialect.js';
 
-/** How an attempt was lost. */
-export interface LossFacts {
+/** Fields of the log line about a lost attempt. */
+export interface LostAttempt {
   attempt: number;
   target: string;
   cause: LossCause;
   reason: string;
-  /** Pieces that the caller has. */
+  /** Number of pieces that the caller has received. */
   delivered: number;
   sinceLastPieceMs: number;
-  /** Time since the send. */
+  /** Time since the start of the attempt. */
   runMs: Millis;
-  /** Whether this run wrote any piece. */
+  /** True if the run wrote a piece. */
   wrote: boolean;
-  /** Other requests of this VM and of its peers at the target. */
+  /** Number of other requests of all VMs at the target. */
   beside: number;
-  /** Where a copy of the run stands. */
+  /** Id of the replica target. */
   copyAt?: string;
 }
 
-/** Writes what was decided about one request. */
+/** Writes the log lines and metrics of one stream. */
 export default class StreamReport {
   private firstPieceMs: Millis | undefined;
   private lastPieceAtMs: Millis = 0;
@@ -39,39 +39,39 @@
 
   sent(
     attempt: number,
-    { target, lastPiece, copyTo, continueFrom, remainingMs }: TargetOrder,
+    { target, lastPiece, replicaTarget, resumeFrom, remainingMs }: AttemptRequest,
   ): void {
     const tracked = this.context.directory.get(target.id);
     this.write('stream-sent', {
       attempt,
       target: target.id,
-      nearness: countSend(this.context, target),
+      nearness: countAttempt(this.context, target),
       lastPiece,
-      copyTo: copyTo?.id,
-      continuesCopy: continueFrom !== undefined,
+      copyTo: replicaTarget?.id,
+      continuesCopy: resumeFrom !== undefined,
       ownRequests: tracked?.inFlight,
       peerRequests: tracked?.peerRequests,
       remainingMs: Math.round(remainingMs),
     });
   }
 
-  lost({ sinceLastPieceMs, runMs, ...facts }: LossFacts): void {
+  lost({ sinceLastPieceMs, runMs, ...facts }: LostAttempt): void {
     this.context.metrics.count('limelead_streams_broken_total', 1, { cause: facts.cause });
     this.write('stream-broken', {
-      identity: identifyAdmitted(this.admitted),
+      identity: identifyAdmittedRequest(this.admitted),
       ...facts,
       runMs: Math.round(runMs),
       sinceLastPieceMs: Math.round(sinceLastPieceMs),
     });
   }
 
-  turnedAway(attempt: number, target: string, cause: string, reason: string): void {
+  rejected(attempt: number, target: string, cause: string, reason: string): void {
     this.context.metrics.count('limelead_streams_turned_away_total', 1, { cause });
     this.write('stream-turned-away', { attempt, target, cause, reason });
   }
 
-  /** A piece goes to the caller. */
-  delivered(): void {
+  /** Records that a piece was passed to the caller. */
+  pieceDelivered(): void {
     const now = this.context.clock.now();
     if (this.firstPieceMs === undefined) {
       this.firstPieceMs = this.elapsedMs();
@@ -82,7 +82,7 @@
     this.lastPieceAtMs = now;
   }
 
-  /** What the session core observed. */
+  /** Reports an event of the session core. */
   observed(detail: EventDetail): void {
     if (detail.kind === 'streamContinued') {
       const { target, attempt, resumeLatencyMs } = detail;
--- a/packages/forward-request/src/target-availability.ts
+++ b/packages/forward-request/src/target-availability.ts
@@ -1,4 +1,4 @@
-/** Whether this VM may send to a target now, and if not, whether waiting can help. */
+/** Decides whether this VM may send to a target now, and whether waiting can help. */
 import {
   findFirstEnd,
   refuseCooling,
@@ -13,12 +13,11 @@
 import type { TargetBackpressure } from './target-backpressure.js';
 import type { TargetGate } from './target-gate.js';
 
-/** Dependencies of the availability checks. */
 export interface TargetAvailabilityOptions {
   clock: Clock;
   random: Random;
   directory: TargetDirectory;
-  /** Requests of this VM that one target takes at once. */
+  /** Concurrency limit of this VM at a target, before back pressure. */
   limit: (tracked: TrackedServiceTarget) => number;
   gate: TargetGate;
   permits: SendPermits;
@@ -30,13 +29,15 @@
   constructor(private readonly options: TargetAvailabilityOptions) {}
 
   /** Whether this VM has a free slot at the target. */
-  hasRoom(tracked: TrackedServiceTarget): boolean {
+  hasFreeSlot(tracked: TrackedServiceTarget): boolean {
     const { clock } = this.options;
-    return tracked.evidence.fullUntilMs <= clock.now() && tracked.inFlight < this.slotsAt(tracked);
+    return (
+      tracked.evidence.fullUntilMs <= clock.now() && tracked.inFlight < this.slotLimitAt(tracked)
+    );
   }
 
   /** Concurrency limit of this VM at the target. */
-  slotsAt(tracked: TrackedServiceTarget): number {
+  slotLimitAt(tracked: TrackedServiceTarget): number {
     const { backpressure, limit } = this.options;
     return backpressure.limitSlots(tracked.target.id, limit(tracked));
   }
@@ -56,17 +57,22 @@
   }
 
   /**
-   * Why the request can't be served in time; undefined while it may be. A hedge is never refused,
-   * since the first attempt may still be answered.
+   * Returns why the request cannot be served in time, or undefined if it can. A hedge is never
+   * refused, since the first attempt may still be answered.
    */
-  findRefusal({ service, untilMs, serviceMs = 0, isExtra }: SlotRequest): SlotRefusal | undefined {
+  findRefusal({
+    service,
+    untilMs,
+    minServiceMs = 0,
+    isHedge,
+  }: SlotRequest): SlotRefusal | undefined {
     const { clock, random } = this.options;
-    if (isExtra === true) {
+    if (isHedge === true) {
       return undefined;
     }
     return refuseCooling({
       cooldowns: this.listCooldowns(service),
-      untilMs: untilMs - serviceMs,
+      untilMs: untilMs - minServiceMs,
       now: clock.now(),
       spreadMs: random.next() * SLOW_START_MS,
     });
@@ -88,13 +94,13 @@
     const { directory, gate } = this.options;
     const { target } = tracked;
     const isUp = !target.leaving && !directory.isSuspected(target.id);
-    return isUp && !this.isCooling(tracked) && gate.mayTake(target);
+    return isUp && !this.isCooling(tracked) && gate.isAllowed(target);
   }
 
-  /** Whether a target is unavailable for another reason than its rate limit. */
+  /** Whether a target is unavailable for a reason other than its rate limit. */
   isAvoided(targetId: string): boolean {
     const tracked = this.options.directory.get(targetId);
-    return tracked === undefined || !this.hasRoom(tracked) || !this.isOpen(tracked);
+    return tracked === undefined || !this.hasFreeSlot(tracked) || !this.isOpen(tracked);
   }
 
   /** Whether a target accepts requests from this VM now; free slots are not checked. */
@@ -106,13 +112,13 @@
    * Targets that may be sent the request now. A target that failed the request is not retried while
    * the others only wait for permits.
    */
-  listPermitted({ service, exclude, isExtra }: SlotRequest): TrackedServiceTarget[] {
+  listPermitted({ service, exclude, isHedge }: SlotRequest): TrackedServiceTarget[] {
     const { permits } = this.options;
     const usable = this.listUsable(service);
     if (!permits.isLimiting) {
       return usable;
     }
-    const permitted = usable.filter(({ target }) => permits.maySend(target.id, isExtra));
+    const permitted = usable.filter(({ target }) => permits.maySend(target.id, isHedge));
     const hasFailed = ({ target }: TrackedServiceTarget): boolean => exclude.has(target.id);
     return permitted.every(hasFailed) && !usable.every(hasFailed) ? [] : permitted;
   }
--- a/packages/forward-request/src/target-backpressure.ts
+++ b/packages/forward-request/src/target-backpressure.ts
@@ -1,21 +1,21 @@
-/** What targets ask for in their answers, and what follows for sends to them. */
+/** Cooldowns and slot limits that follow from the directives of targets. */
 import type { HeldRequest } from '@limelead/track-backpressure';
 import type { DirectiveResponse, Millis } from '@limelead/types';
 
-/** Is asked on the path of requests, so it may not take long. */
+/** Back pressure of targets. Called for each request, so it must be fast. */
 export interface TargetBackpressure {
   onResponse(response: DirectiveResponse): void;
-  /** Whether any target has a cooldown; while none has, all may be sent to. */
+  /** True if any target has a cooldown. */
   readonly isCoolingAny: boolean;
-  /** Steady time until which a target wants nothing from this VM; undefined where it takes work. */
+  /** Steady time at which the cooldown of a target ends; undefined without one. */
   coolingUntilMs(targetId: string): Millis | undefined;
-  /** Requests that this VM may have at a target at once, of those that the target takes. */
+  /** Limits the concurrent requests of this VM at a target, for example during slow start. */
   limitSlots(targetId: string, slots: number): number;
-  /** A request waits, since all targets of its service have cooldowns. */
+  /** Called when a request waits because all targets of its service have cooldowns. */
   onHeld(request: HeldRequest): void;
 }
 
-/** Follows nothing. */
+/** Ignores all directives. */
 export const NO_BACKPRESSURE: TargetBackpressure = {
   onResponse: () => undefined,
   isCoolingAny: false,
--- a/packages/forward-request/src/target-gate.ts
+++ b/packages/forward-request/src/target-gate.ts
@@ -1,34 +1,34 @@
-/** Which targets may take a request now, where versions of a service are treated differently. */
+/** Restricts the targets of a service by version during a roll-out. */
 import type { TrackedServiceTarget } from '@limelead/track-service-targets';
 import type { ServiceTarget } from '@limelead/types';
 
-/** Is asked on the path of requests, so it may not take long. */
+/** Decides which targets may receive requests. Called for each request, so it must be fast. */
 export interface TargetGate {
   /**
-   * Groups of a service's targets in the order in which they are tried; others may not
-   * be taken. The very list where all may be.
-   * @param isRepeat true where a target already failed the request
+   * Groups the targets of a service in the order in which to try them, without the targets
+   * that are not allowed. If all are allowed alike, the only group is the given array itself.
+   * @param isRetry true if a target already failed the request
    */
-  arrange(
+  groupByPreference(
     service: string,
     targets: readonly TrackedServiceTarget[],
-    isRepeat: boolean,
+    isRetry: boolean,
   ): readonly (readonly TrackedServiceTarget[])[];
-  /** Whether just this target may take a request now. */
-  mayTake(target: ServiceTarget): boolean;
-  /** Whether the next request should go where only this VM can tell, whatever others advise. */
-  decidesAlone(service: string): boolean;
-  /** Targets that may be advised to other VMs, and that may keep copies of runs. */
+  /** Whether the target may receive a request now. */
+  isAllowed(target: ServiceTarget): boolean;
+  /** Whether the next request for the service must be placed without advice of the scheduler. */
+  ignoresAdvice(service: string): boolean;
+  /** Filters the targets that may be advised to other VMs or hold replicas. */
   listAdvisable(service: string, targets: TrackedServiceTarget[]): TrackedServiceTarget[];
-  /** A request goes to that target now. */
-  noteSent(target: ServiceTarget): void;
+  /** Records a request that is sent to the target now. */
+  recordSend(target: ServiceTarget): void;
 }
 
-/** Lets every request through to every target. */
+/** Allows every request to every target. */
 export const OPEN_GATE: TargetGate = {
-  arrange: (_, targets) => [targets],
-  mayTake: () => true,
-  decidesAlone: () => false,
+  groupByPreference: (_, targets) => [targets],
+  isAllowed: () => true,
+  ignoresAdvice: () => false,
   listAdvisable: (_, targets) => targets,
-  noteSent: () => undefined,
+  recordSend: () => undefined,
 };
--- a/packages/forward-request/src/to-generation.ts
+++ b/packages/forward-request/src/to-generation-request.ts
@@ -1,4 +1,4 @@
-/** A streamed HTTP request as the session core sees it. */
+/** Translates a streamed HTTP request to the request type of the session core. */
 import type {
   AnswerBinding,
   GenerationRequest,
@@ -8,19 +8,19 @@
 import type { AdmittedRequest } from './admitted-request.js';
 
 const MIN_SILENCE_MS = 240;
-/** Part of the pause that callers bear which detection may take. */
-const SILENCE_SHARE_OF_PAUSE = 0.5;
-const DEFAULT_PAUSE_MS = 800;
+/** Share of the longest acceptable pause that silence detection may use. */
+const MAX_SILENCE_SHARE_OF_PAUSE = 0.5;
+const DEFAULT_MAX_PAUSE_MS = 800;
 const SUSPICION_FACTOR = 6;
 
-/** The version is the targets' own business on this path; one name stands for it. */
-export const OPAQUE_BINDING: AnswerBinding = {
+/** Placeholder for the model version, which HTTP targets do not expose. */
+export const PLACEHOLDER_BINDING: AnswerBinding = {
   modelVersion: { model: '', adapter: '', version: '' },
   seed: 0,
 };
 
-/** Translates a request; its prompt stays opaque, and pieces stand for tokens. */
-export default function toGeneration(admitted: AdmittedRequest): GenerationRequest {
+/** Converts a request. The prompt stays opaque, and one piece counts as one token. */
+export default function toGenerationRequest(admitted: AdmittedRequest): GenerationRequest {
   const { request, route, organisation, service, rank } = admitted;
   return {
     requestId: request.requestId,
@@ -40,9 +40,9 @@
   };
 }
 
-/** Silence is noticed early enough to go on elsewhere within the pause that callers bear. */
-function toRecoveryPolicy({ maxPauseMs = DEFAULT_PAUSE_MS }: ServingRoute): RecoveryPolicy {
-  const maxSilenceMs = maxPauseMs * SILENCE_SHARE_OF_PAUSE;
+/** Limits silence so that a run can resume at another target within the acceptable pause. */
+function toRecoveryPolicy({ maxPauseMs = DEFAULT_MAX_PAUSE_MS }: ServingRoute): RecoveryPolicy {
+  const maxSilenceMs = maxPauseMs * MAX_SILENCE_SHARE_OF_PAUSE;
   return {
     suspicionFactor: SUSPICION_FACTOR,
     minSilenceMs: Math.min(MIN_SILENCE_MS, maxSilenceMs),
--- a/packages/forward-request/src/traffic-observer.ts
+++ b/packages/forward-request/src/traffic-observer.ts
@@ -1,44 +1,42 @@
-/** What parts that count traffic are told of each request. */
+/** Events of requests for components that measure traffic. */
 import type { Millis, ServiceTarget } from '@limelead/types';
 import type { AdmittedRequest } from './admitted-request.js';
 
-/** How a target's answer to one send ended. */
-export interface SendEnd {
-  /** False where the target failed, broke off or gave no answer; its refusals are not told. */
+/** Outcome of one attempt. */
+export interface AttemptOutcome {
+  /** False if the target failed, broke off or did not answer. Rejections are not reported. */
   isGood: boolean;
-  /** Time from the send to the first piece of a stream, or to the end of another answer. */
+  /** Milliseconds to the first piece of a stream, or to the end of another answer. */
   afterMs: Millis;
 }
 
-/** Is called on the path of requests, so it may not take long. */
+/** Receives request events. Called for each request, so it must be fast. */
 export interface TrafficObserver {
-  /** A request passed the filters; it is told once. */
+  /** Called once when a request passes the filters. */
   onAdmitted?(admitted: AdmittedRequest): void;
   /**
-   * A target began to run a request: the first piece of a stream came, or the whole of
-   * another answer, or the connection broke behind a call that was sent. Told once for each
-   * send that was begun.
+   * Called at most once per attempt when its target is known or assumed to have started it:
+   * the first piece of a stream arrived, another answer is complete, or the connection broke
+   * after a call was sent.
    */
-  onBegun?(admitted: AdmittedRequest, target: ServiceTarget): void;
-  /** A send that was begun, or that broke off before, ended. */
-  onSendEnded?(admitted: AdmittedRequest, target: ServiceTarget, end: SendEnd): void;
-  /**
-   * A send was given up before its answer came, for a better one or since its time was
-   * over: its answer takes longer than that.
-   */
-  onSendAbandoned?(admitted: AdmittedRequest, target: ServiceTarget, afterMs: Millis): void;
-  /** The caller has its final answer, or left; it is told once. */
+  onRunStarted?(admitted: AdmittedRequest, target: ServiceTarget): void;
+  /** Called when an attempt ends, whether or not its run started. */
+  onAttemptEnded?(admitted: AdmittedRequest, target: ServiceTarget, end: AttemptOutcome): void;
+  /** Called when an attempt is cancelled before its answer, which takes longer than `afterMs`. */
+  onAttemptAbandoned?(admitted: AdmittedRequest, target: ServiceTarget, afterMs: Millis): void;
+  /** Called once when the caller has the complete answer or has left. */
   onFinished?(admitted: AdmittedRequest): void;
 }
 
-/** Tells several observers. */
-export function tellAll(observers: readonly TrafficObserver[]): TrafficObserver {
+/** Combines several observers into one that calls all of them. */
+export function combineObservers(observers: readonly TrafficObserver[]): TrafficObserver {
   return {
     onAdmitted: (...facts) => observers.forEach((observer) => observer.onAdmitted?.(...facts)),
-    onBegun: (...facts) => observers.forEach((observer) => observer.onBegun?.(...facts)),
-    onSendEnded: (...facts) => observers.forEach((observer) => observer.onSendEnded?.(...facts)),
-    onSendAbandoned: (...facts) =>
-      observers.forEach((observer) => observer.onSendAbandoned?.(...facts)),
+    onRunStarted: (...facts) => observers.forEach((observer) => observer.onRunStarted?.(...facts)),
+    onAttemptEnded: (...facts) =>
+      observers.forEach((observer) => observer.onAttemptEnded?.(...facts)),
+    onAttemptAbandoned: (...facts) =>
+      observers.forEach((observer) => observer.onAttemptAbandoned?.(...facts)),
     onFinished: (...facts) => observers.forEach((observer) => observer.onFinished?.(...facts)),
   };
 }
--- a/packages/gateway/src/capacity.test.ts
+++ b/packages/gateway/src/capacity.test.ts
@@ -49,9 +49,9 @@
   const { part, time, reports } = createPart({ scaling: SCALING });
   part.observer?.onAdmitted?.(ADMITTED);
   await time.advance(1_000);
-  part.observer?.onBegun?.(ADMITTED, TARGET);
+  part.observer?.onRunStarted?.(ADMITTED, TARGET);
   await time.advance(1_000);
-  part.observer?.onSendEnded?.(ADMITTED, TARGET, { isGood: true, afterMs: 100 });
+  part.observer?.onAttemptEnded?.(ADMITTED, TARGET, { isGood: true, afterMs: 100 });
   part.observer?.onFinished?.(ADMITTED);
   await time.advance(1_000);
   const seen = reports.map((report) => (report as { services: unknown[] }).services[0]);
--- a/packages/gateway/src/capacity.ts
+++ b/packages/gateway/src/capacity.ts
@@ -95,7 +95,7 @@
         counts.waiting += 1;
       }
     },
-    onBegun: (admitted) => {
+    onRunStarted: (admitted) => {
       const counted = this.requests.get(admitted);
       if (counted === undefined) {
         return;
@@ -106,7 +106,7 @@
         counted.counts.running += 1;
       }
     },
-    onSendEnded: (admitted, _, { isGood, afterMs }) => {
+    onAttemptEnded: (admitted, _, { isGood, afterMs }) => {
       // A run that goes on elsewhere reads little or nothing of its prompt.
       if (isGood && this.requests.get(admitted)?.begun === 1) {
         this.countPace(admitted, afterMs);
--- a/packages/gateway/src/engine-load.ts
+++ b/packages/gateway/src/engine-load.ts
@@ -2,14 +2,14 @@
  * This VM's load on engines, as it is told to others. Plain services are left out:
  * runs of engines last, and one more slows the others down.
  */
-import type { TargetPace } from '@limelead/forward-request';
+import type { SlownessTracker } from '@limelead/forward-request';
 import type { TargetLoad } from '@limelead/share-evidence';
 import type { TargetDirectory, TrackedServiceTarget } from '@limelead/track-service-targets';
 
 /** What it needs. */
 export interface EngineLoadOptions {
   directory: TargetDirectory;
-  pace: TargetPace;
+  pace: SlownessTracker;
   isEngine(service: string): boolean;
   /** The load changed. */
   onChange(): void;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -6,13 +6,13 @@
 } from '@limelead/decision-log';
 import { StoreFollower, type StorePort } from '@limelead/follow-store';
 import {
-  KeptPrompts,
+  CachedPromptFinder,
   OPEN_GATE,
   SlotQueue,
-  ReadingTime,
-  SilenceWatch,
-  TargetPace,
-  tellAll,
+  PrefillEstimator,
+  SilenceMonitor,
+  SlownessTracker,
+  combineObservers,
   type ForwardContext,
   type TargetDialect,
   type TargetGate,
@@ -101,7 +101,7 @@
   /** Undefined where this VM has no address for peers. */
   private readonly exchange: EvidenceExchange | undefined;
   private readonly frontDoor: HttpFrontDoor;
-  private readonly pace: TargetPace;
+  private readonly pace: SlownessTracker;
   private readonly engineLoad: EngineLoad;
   private readonly retries: RetryBudgets;
   /** Parts that look at the whole fleet; those that nothing asks for are not there. */
@@ -131,7 +131,7 @@
       onLoad: (tracked) => this.engineLoad.note(tracked),
       hasAnnouncedLeaving: (id) => this.backpressure.isLeaving(id),
     });
-    this.pace = new TargetPace((id, slowness) => {
+    this.pace = new SlownessTracker((id, slowness) => {
       this.directory.notePace(id, slowness);
       this.exchange?.noteLoad();
     });
@@ -335,19 +335,19 @@
       connections,
       dialect,
       slots: new SlotQueue({ ...shared, failureDomain, locality, limit: limitOf, permits }),
-      askTarget: (request, receive) =>
+      requestAdvice: (request, receive) =>
         this.exchange?.askTarget(request, receive) ?? askNobody(request, receive),
-      silence: new SilenceWatch({ ...shared, connections, dialect, log }),
-      reading: new ReadingTime(),
-      pace: this.pace,
-      kept: new KeptPrompts({ ...shared, connections, dialect, log }),
+      silence: new SilenceMonitor({ ...shared, connections, dialect, log }),
+      prefill: new PrefillEstimator(),
+      slowness: this.pace,
+      cachedPrompts: new CachedPromptFinder({ ...shared, connections, dialect, log }),
       log,
       metrics: this.metrics,
-      observer: tellAll(this.parts.flatMap(({ observer }) => observer ?? [])),
-      readTable: () => this.knowledge.routes,
+      observer: combineObservers(this.parts.flatMap(({ observer }) => observer ?? [])),
+      readRouteTable: () => this.knowledge.routes,
       readKnowledgeAgeMs: () => this.knowledgeAgeMs,
       readConfigurationSource: () => this.knowledge.configurationSource,
-      retriesOf: (service) => this.retries.of(service),
+      retryBudgetOf: (service) => this.retries.of(service),
       countVms: () => this.countVms(),
     };
   }
--- a/packages/gateway/src/roll-outs.ts
+++ b/packages/gateway/src/roll-outs.ts
@@ -63,9 +63,9 @@
     this.rollOuts = this.createRollOuts();
     this.gate = this.createGate();
     this.observer = {
-      onSendEnded: (admitted, target, { isGood, afterMs }) =>
+      onAttemptEnded: (admitted, target, { isGood, afterMs }) =>
         this.noteEnded(admitted, target, isGood, afterMs),
-      onSendAbandoned: (admitted, target, afterMs) =>
+      onAttemptAbandoned: (admitted, target, afterMs) =>
         this.noteEnded(admitted, target, true, afterMs),
     };
   }
@@ -214,11 +214,12 @@
       return rollOuts;
     };
     return {
-      arrange: (service, targets, isRepeat) => current().arrange(service, targets, isRepeat),
-      mayTake: (target) => current().mayTake(target),
-      decidesAlone: (service) => current().wantsTrial(service),
+      groupByPreference: (service, targets, isRepeat) =>
+        current().arrange(service, targets, isRepeat),
+      isAllowed: (target) => current().mayTake(target),
+      ignoresAdvice: (service) => current().wantsTrial(service),
       listAdvisable: (service, targets) => current().listAdvisable(service, targets),
-      noteSent: (target) => rollOuts.noteSent(target),
+      recordSend: (target) => rollOuts.noteSent(target),
     };
   }
 }
--- a/packages/gateway/src/target-ends.ts
+++ b/packages/gateway/src/target-ends.ts
@@ -1,5 +1,5 @@
 /** Tells the end of a target from a broken link and from a target that resets connections. */
-import { askTarget, type TargetDialect } from '@limelead/forward-request';
+import { queryTarget, type TargetDialect } from '@limelead/forward-request';
 import type { TargetConnections } from '@limelead/target-connections';
 import type { TargetDirectory } from '@limelead/track-service-targets';
 import type { Millis, Timers } from '@limelead/types';
@@ -44,7 +44,7 @@
       return asked;
     }
     const { connections, timers, dialect } = this.options;
-    const answer = askTarget(
+    const answer = queryTarget(
       { connections, timers, timeoutMs: ANSWER_MS },
       target,
       dialect.composeProbe(target),
--- a/packages/gateway/src/target-scheduler.test.ts
+++ b/packages/gateway/src/target-scheduler.test.ts
@@ -1,5 +1,5 @@
 import { createLocality } from '@limelead/locality';
-import { NO_LIMITS, OPEN_GATE } from '@limelead/forward-request';
+import { NO_RATE_LIMITS, OPEN_GATE } from '@limelead/forward-request';
 import { TargetDirectory } from '@limelead/track-service-targets';
 import type { ServiceTarget } from '@limelead/types';
 import type { TargetAnswer, TargetQuestion } from '@limelead/share-evidence';
@@ -38,7 +38,7 @@
   const scheduler = new TargetScheduler({
     ...{ self: 'self', clock, directory, locality },
     gate: OPEN_GATE,
-    permits: NO_LIMITS,
+    permits: NO_RATE_LIMITS,
   });
   let asked = 0;
   const advise = (peer: string, question: TargetQuestion): TargetAnswer | undefined =>
--- a/packages/gateway/src/usage-part.test.ts
+++ b/packages/gateway/src/usage-part.test.ts
@@ -36,7 +36,12 @@
   } as unknown as UsagePartOptions;
   const part = createUsagePart(context, options);
   const begun = { organisation: 'a' } as never;
-  return { time, part, told, begin: () => part.observer?.onBegun?.(begun, undefined as never) };
+  return {
+    time,
+    part,
+    told,
+    begin: () => part.observer?.onRunStarted?.(begun, undefined as never),
+  };
 }
 
 function listRequests(told: readonly PeerReport[]): number[] {
--- a/packages/gateway/src/usage-part.ts
+++ b/packages/gateway/src/usage-part.ts
@@ -109,7 +109,7 @@
 
   return {
     observer: {
-      onBegun: ({ organisation }) => {
+      onRunStarted: ({ organisation }) => {
         if (organisation !== undefined) {
           counter.count(organisation);
         }
--- a/packages/http-front-door/src/http-front-door.test.ts
+++ b/packages/http-front-door/src/http-front-door.test.ts
@@ -2,14 +2,14 @@
 import { LimeleadError } from '@limelead/errors';
 import type { ForwardContext, TargetDialect } from '@limelead/forward-request';
 import {
-  KeptPrompts,
+  CachedPromptFinder,
   NO_BACKPRESSURE,
-  NO_LIMITS,
+  NO_RATE_LIMITS,
   OPEN_GATE,
   SlotQueue,
-  ReadingTime,
-  SilenceWatch,
-  TargetPace,
+  PrefillEstimator,
+  SilenceMonitor,
+  SlownessTracker,
 } from '@limelead/forward-request';
 import { createLocality } from '@limelead/locality';
 import createMetrics from '@limelead/metrics';
@@ -64,8 +64,13 @@
   }),
   composeProbe: () => ({ method: 'GET', path: '/', headers: [], body: Buffer.alloc(0) }),
   readProbe: () => undefined,
-  composeKeptQuery: () => ({ method: 'GET', path: '/', headers: [], body: Buffer.alloc(0) }),
-  readKept: () => new Set(),
+  composeCachedPromptsQuery: () => ({
+    method: 'GET',
+    path: '/',
+    headers: [],
+    body: Buffer.alloc(0),
+  }),
+  readCachedPrompts: () => new Set(),
 };
 
 const route: ServingRoute = {
@@ -206,27 +211,27 @@
       failureDomain: 'north',
       connections,
       dialect: targets,
-      askTarget: askNobody,
+      requestAdvice: askNobody,
       slots: new SlotQueue({
         ...{ ...shared, failureDomain: 'north', locality },
         limit: () => 4,
         gate: OPEN_GATE,
-        permits: NO_LIMITS,
+        permits: NO_RATE_LIMITS,
       }),
       gate: OPEN_GATE,
-      permits: NO_LIMITS,
+      permits: NO_RATE_LIMITS,
       guard: createLoneGuard({ clock, timers: systemTimers, log, metrics }),
-      silence: new SilenceWatch({ ...shared, connections, dialect: targets, log }),
-      reading: new ReadingTime(),
-      pace: new TargetPace(() => undefined),
-      kept: new KeptPrompts({ ...shared, connections, dialect: targets, log }),
+      silence: new SilenceMonitor({ ...shared, connections, dialect: targets, log }),
+      prefill: new PrefillEstimator(),
+      slowness: new SlownessTracker(() => undefined),
+      cachedPrompts: new CachedPromptFinder({ ...shared, connections, dialect: targets, log }),
       log,
       metrics,
       observer: {},
-      readTable: () => this.table,
+      readRouteTable: () => this.table,
       readKnowledgeAgeMs: () => 0,
       readConfigurationSource: () => 'store',
-      retriesOf: () => new RetrySpender({ ratio: 1, slack: 10, windowMs: 1_000 }),
+      retryBudgetOf: () => new RetrySpender({ ratio: 1, slack: 10, windowMs: 1_000 }),
       countVms: () => 1,
     };
   }
--- a/packages/http-front-door/src/http-front-door.ts
+++ b/packages/http-front-door/src/http-front-door.ts
@@ -125,7 +125,7 @@
 
   /** A configuration may be known now: requests that waited for one go on. */
   noteKnowledge(): void {
-    if (this.held.size > 0 && this.options.context.readTable() !== undefined) {
+    if (this.held.size > 0 && this.options.context.readRouteTable() !== undefined) {
       this.held.releaseAll();
     }
   }
@@ -158,7 +158,7 @@
     });
     const arrival: Arrival = { message, response, sink, receivedAtMs: context.clock.now() };
     this.guard(arrival, () => {
-      if (context.readTable() === undefined && !this.isStopping) {
+      if (context.readRouteTable() === undefined && !this.isStopping) {
         this.hold(arrival);
       } else {
         this.route(arrival);
@@ -194,8 +194,8 @@
   }
 
   private route(arrival: Arrival): void {
-    const { clock, readTable } = this.options.context;
-    const table = readTable();
+    const { clock, readRouteTable } = this.options.context;
+    const table = readRouteTable();
     if (table !== undefined) {
       this.filter({ ...arrival, table, target: readTarget(arrival.message) });
       return;
@@ -303,13 +303,13 @@
   }
 
   private noteHeld({ message, receivedAtMs }: Arrival): void {
-    const { clock, log, metrics, readTable } = this.options.context;
+    const { clock, log, metrics, readRouteTable } = this.options.context;
     const heldMs = Math.round(clock.now() - receivedAtMs);
     metrics.recordMs('limelead_held_for_configuration_ms', heldMs);
     log.write('request-held', {
       requestId: readRequestId(this.options.dialect, message.rawHeaders),
       heldMs,
-      configuration: readTable()?.version,
+      configuration: readRouteTable()?.version,
     });
   }
 
@@ -327,9 +327,9 @@
 
   /** What decides now: which configuration, who told it, and how old knowledge is. */
   private describeKnowledge(): LogFields {
-    const { readTable, readConfigurationSource, readKnowledgeAgeMs } = this.options.context;
+    const { readRouteTable, readConfigurationSource, readKnowledgeAgeMs } = this.options.context;
     return {
-      configuration: readTable()?.version,
+      configuration: readRouteTable()?.version,
       source: readConfigurationSource(),
       knowledgeAgeMs: readKnowledgeAgeMs(),
     };
--- a/packages/http-front-door/src/response-sink.test.ts
+++ b/packages/http-front-door/src/response-sink.test.ts
@@ -27,7 +27,7 @@
     onRefused: () => undefined,
   });
   let told = 0;
-  sink.onGone(() => (told += 1));
+  sink.onCallerLeft(() => (told += 1));
   stop();
   assert.is(told, 1);
 });
--- a/packages/http-front-door/src/response-sink.ts
+++ b/packages/http-front-door/src/response-sink.ts
@@ -91,7 +91,7 @@
   }
 
   /** Told at once where the caller left before: a request and its end may be read together. */
-  onGone(callback: () => void): void {
+  onCallerLeft(callback: () => void): void {
     const tell = (): void => {
       if (!this.isOver) {
         this.isOver = true;
--- a/packages/load/src/replay-load.fixture.ts
+++ b/packages/load/src/replay-load.fixture.ts
@@ -3,7 +3,7 @@
  * own. VMs and their knowledge of targets are the product's; targets are a few lines:
  * they read one prompt after another, and then write at their pace.
  */
-import { NO_BACKPRESSURE, NO_LIMITS, OPEN_GATE, SlotQueue } from '@limelead/forward-request';
+import { NO_BACKPRESSURE, NO_RATE_LIMITS, OPEN_GATE, SlotQueue } from '@limelead/forward-request';
 import { createLocality } from '@limelead/locality';
 import { TargetDirectory, type PacedLoad } from '@limelead/track-service-targets';
 import { hashText, type Millis, type ServiceTarget } from '@limelead/types';
@@ -126,7 +126,7 @@
       locality: createLocality({ failureDomain, regionOf: {} }),
       limit: ({ target }) => target.slots,
       gate: OPEN_GATE,
-      permits: NO_LIMITS,
+      permits: NO_RATE_LIMITS,
       backpressure: NO_BACKPRESSURE,
       random: { next: () => 0 },
     });
--- a/packages/load/src/shed-fleet.fixture.ts
+++ b/packages/load/src/shed-fleet.fixture.ts
@@ -3,7 +3,7 @@
  * queue of slots, directory and backpressure; targets and callers are a few lines.
  */
 import {
-  NO_LIMITS,
+  NO_RATE_LIMITS,
   OPEN_GATE,
   SlotQueue,
   type Slot,
@@ -130,7 +130,7 @@
     const isHinted = (id: string): boolean => (hintedUntilMs.get(id) ?? 0) > clock.now();
     const gate: TargetGate = {
       ...OPEN_GATE,
-      arrange: (_, targets) =>
+      groupByPreference: (_, targets) =>
         hintedUntilMs.size === 0
           ? [targets]
           : [targets.filter(({ target }) => !isHinted(target.id)), targets],
@@ -139,7 +139,7 @@
       ...{ clock, timers: clock, directory, failureDomain: 'd', gate, backpressure, random },
       locality: createLocality({ failureDomain: 'd', regionOf: {} }),
       limit: ({ target }) => target.slots,
-      permits: NO_LIMITS,
+      permits: NO_RATE_LIMITS,
     });
     return { slots, backpressure, hintedUntilMs };
   }
@@ -172,7 +172,7 @@
       exclude: new Set<string>(),
     };
     vm.slots.acquire(
-      { ...request, rank: 1, untilMs: call.atMs + DEADLINE_MS, serviceMs: LEAST_CALL_MS },
+      { ...request, rank: 1, untilMs: call.atMs + DEADLINE_MS, minServiceMs: LEAST_CALL_MS },
       (slot) => {
         if (slot !== undefined) {
           this.send(vm, call, slot);
