--- a/packages/measure/src/experiments/front-door.ts
+++ b/packages/measure/src/experiments/front-door.ts
@@ -1,14 +1,14 @@
 /** Cost of the HTTP front door against a bare relay on the same libraries. */
 import {
-  KeptPrompts,
-  keepEndToEnd,
+  CachedPromptFinder,
+  filterEndToEndHeaders,
   NO_BACKPRESSURE,
-  NO_LIMITS,
+  NO_RATE_LIMITS,
   OPEN_GATE,
   SlotQueue,
-  ReadingTime,
-  SilenceWatch,
-  TargetPace,
+  PrefillEstimator,
+  SilenceMonitor,
+  SlownessTracker,
   type ForwardContext,
   type TargetDialect,
 } from '@limelead/forward-request';
@@ -169,27 +169,27 @@
     locality,
     connections,
     dialect,
-    askTarget: askNobody,
+    requestAdvice: askNobody,
     slots: new SlotQueue({
       ...{ ...shared, failureDomain: 'd1', locality },
       limit: () => 1_000,
       gate: OPEN_GATE,
-      permits: NO_LIMITS,
+      permits: NO_RATE_LIMITS,
     }),
     gate: OPEN_GATE,
-    permits: NO_LIMITS,
+    permits: NO_RATE_LIMITS,
     guard: createLoneGuard({ clock, timers: systemTimers, log, metrics: createMetrics() }),
-    silence: new SilenceWatch({ ...shared, connections, dialect, log }),
-    reading: new ReadingTime(),
-    pace: new TargetPace(() => undefined),
-    kept: new KeptPrompts({ ...shared, connections, dialect, log }),
+    silence: new SilenceMonitor({ ...shared, connections, dialect, log }),
+    prefill: new PrefillEstimator(),
+    slowness: new SlownessTracker(() => undefined),
+    cachedPrompts: new CachedPromptFinder({ ...shared, connections, dialect, log }),
     log,
     metrics: createMetrics(),
     observer: {},
-    readTable: () => table,
+    readRouteTable: () => table,
     readKnowledgeAgeMs: () => 0,
     readConfigurationSource: () => 'store',
-    retriesOf: () => spender,
+    retryBudgetOf: () => spender,
     countVms: () => 1,
   };
 }
@@ -230,7 +230,7 @@
   composeCall: ({ request }) => ({
     method: request.method,
     path: request.path,
-    headers: keepEndToEnd(request.rawHeaders, OWN_HEADERS),
+    headers: filterEndToEndHeaders(request.rawHeaders, OWN_HEADERS),
     body: request.body,
   }),
   readAnswer: (request, { headers }) => ({
@@ -241,8 +241,13 @@
   }),
   composeProbe: () => ({ method: 'GET', path: '/call/1', headers: [], body: Buffer.alloc(0) }),
   readProbe: () => undefined,
-  composeKeptQuery: () => ({ method: 'GET', path: '/call/1', headers: [], body: Buffer.alloc(0) }),
-  readKept: () => new Set(),
+  composeCachedPromptsQuery: () => ({
+    method: 'GET',
+    path: '/call/1',
+    headers: [],
+    body: Buffer.alloc(0),
+  }),
+  readCachedPrompts: () => new Set(),
 };
 
 /** A child process and what it tells. */
