--- a/packages/admit-request/src/admission.test.ts
+++ b/packages/admit-request/src/admission-controller.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { computeShare, createAdmission } from './index.js';
+import { computeLimitShare, createAdmissionController } from './index.js';
 
 const ORGANISATION = {
   name: 'haneul',
@@ -19,14 +19,16 @@
   isResumed: false,
 };
 
-function kindOf(outcome: ReturnType<ReturnType<typeof createAdmission>['admit']>): string {
+function kindOf(
+  outcome: ReturnType<ReturnType<typeof createAdmissionController>['admit']>,
+): string {
   return E.isRight(outcome) ? 'admitted' : outcome.left.kind;
 }
 
 test('over a long time no more than the rate is admitted, whatever the arrivals', () => {
   fc.assert(
     fc.property(fc.array(fc.integer({ min: 0, max: 300 }), { maxLength: 300 }), (pauses) => {
-      const admission = createAdmission({ maxOpen: 1_000 }, () => 1);
+      const admission = createAdmissionController({ maxOpenRequests: 1_000 }, () => 1);
       let now = 0;
       let admitted = 0;
       for (const pause of pauses) {
@@ -44,7 +46,7 @@
 });
 
 test('a refusal for the rate says when to come back, and coming back then works', () => {
-  const admission = createAdmission({ maxOpen: 1_000 }, () => 1);
+  const admission = createAdmissionController({ maxOpenRequests: 1_000 }, () => 1);
   const refused = Array.from({ length: 30 }, () => admission.admit(REQUEST, 0)).find(E.isLeft);
   assert.ok(refused !== undefined);
   const { retryAfterMs } = refused.left.answer;
@@ -52,7 +54,7 @@
 });
 
 test('the VM sheds the less urgent first', () => {
-  const admission = createAdmission({ maxOpen: 10 }, () => 1);
+  const admission = createAdmissionController({ maxOpenRequests: 10 }, () => 1);
   for (let open = 0; open < 8; open += 1) {
     assert.is(kindOf(admission.admit(REQUEST, 0)), 'admitted');
   }
@@ -61,14 +63,14 @@
 });
 
 test('what can not land before its deadline is refused as not run', () => {
-  const admission = createAdmission({ maxOpen: 10 }, () => 1);
+  const admission = createAdmissionController({ maxOpenRequests: 10 }, () => 1);
   const outcome = admission.admit({ ...REQUEST, deadlineAtMs: 100, expectedWaitMs: 200 }, 0);
   assert.ok(E.isLeft(outcome) && outcome.left.kind === 'deadline-unreachable');
   assert.is(outcome.left.answer.execution, 'not-run');
 });
 
 test('under pressure the small organisation is still admitted when the large one is not', () => {
-  const admission = createAdmission({ maxOpen: 1_000 }, () => 1);
+  const admission = createAdmissionController({ maxOpenRequests: 1_000 }, () => 1);
   const large = {
     ...ORGANISATION,
     name: 'large',
@@ -87,7 +89,7 @@
 });
 
 test('an answer that goes on here is not refused, and does not count against the rate', () => {
-  const admission = createAdmission({ maxOpen: 1 }, () => 1);
+  const admission = createAdmissionController({ maxOpenRequests: 1 }, () => 1);
   assert.is(kindOf(admission.admit(REQUEST, 0)), 'admitted');
   assert.is(kindOf(admission.admit(REQUEST, 0)), 'overloaded');
   const resumed = { ...REQUEST, isResumed: true, expectedWaitMs: 60_000 };
@@ -97,12 +99,12 @@
 });
 
 test('a released request frees its place once', () => {
-  const admission = createAdmission({ maxOpen: 10 }, () => 1);
+  const admission = createAdmissionController({ maxOpenRequests: 10 }, () => 1);
   const outcome = admission.admit(REQUEST, 0);
   assert.ok(E.isRight(outcome));
   outcome.right.release();
   outcome.right.release();
-  assert.is(admission.open(), 0);
+  assert.is(admission.countOpen(), 0);
 });
 
 test('the shares of all VMs together stay near the limit, and no VM gets none', () => {
@@ -112,7 +114,7 @@
         const others = demands
           .map((requestsPerSecond, vm) => ({ vm: String(vm), requestsPerSecond }))
           .filter((_, vm) => vm !== self);
-        return computeShare(own, others, demands.length);
+        return computeLimitShare(own, others, demands.length);
       });
       const sum = shares.reduce((total, share) => total + share, 0);
       assert.ok(sum <= 1 + 1e-9);
@@ -123,7 +125,7 @@
 });
 
 test('a VM that hears nothing of the others keeps to an equal share', () => {
-  assert.is(computeShare(1_000, [], 4), 0.25);
+  assert.is(computeLimitShare(1_000, [], 4), 0.25);
 });
 
 test.run();
--- a/packages/admit-request/src/admission.ts
+++ b/packages/admit-request/src/admission-controller.ts
@@ -6,21 +6,21 @@
 /** Seconds of an organisation's rate that may come at once. */
 const BURST_SECONDS = 2;
 /** Part of the VM's places that each rank below the most urgent leaves free for the ranks above it. */
-const RESERVED_PER_RANK = 0.1;
-const MAX_RESERVED = 0.5;
+const RESERVED_SHARE_PER_RANK = 0.1;
+const MAX_RESERVED_SHARE = 0.5;
 const DEMAND_HALF_LIFE_MS = 2_000;
 /** Part of the allowed wait below which nobody is refused for it. */
-const RELAXED_PRESSURE = 0.75;
+const MIN_SHEDDING_PRESSURE = 0.75;
 /** Part of the allowed wait from which everybody is refused. */
 const REFUSE_ALL_PRESSURE = 1.5;
 /** Times its fair share that an organisation may have open when shares begin to count. */
-const SLACK_AT_RELAXED = 2;
-const MIN_OVERLOAD_RETRY_MS = 500;
+const SLACK_PER_PRESSURE = 2;
+const MIN_RETRY_AFTER_MS = 500;
 
 /** Limits of the VM itself. */
 export interface AdmissionLimits {
   /** Requests open on this VM at a time. */
-  maxOpen: number;
+  maxOpenRequests: number;
 }
 
 /** What is to be admitted. */
@@ -38,18 +38,18 @@
 }
 
 /** An admitted request; has to be released once. */
-export interface Ticket {
+export interface AdmissionTicket {
   release(): void;
 }
 
 /** Admits requests. */
-export interface Admission {
-  admit(request: AdmissionRequest, now: Millis): E.Either<LimeleadError, Ticket>;
-  open(): number;
+export interface AdmissionController {
+  admit(request: AdmissionRequest, now: Millis): E.Either<LimeleadError, AdmissionTicket>;
+  countOpen(): number;
   /** Requests a second that this VM sees of one organisation. */
   demandOf(organisation: string, now: Millis): number;
   /** Requests a second that this VM sees of each organisation that asked lately. */
-  demand(now: Millis): { organisation: string; requestsPerSecond: number }[];
+  listDemands(now: Millis): { organisation: string; requestsPerSecond: number }[];
 }
 
 interface OrganisationUse {
@@ -58,23 +58,23 @@
   tokens: number;
   refilledAtMs: Millis;
   /** Decaying count of requests, for the demand. */
-  recent: number;
-  recentAtMs: Millis;
+  recentRequests: number;
+  decayedAtMs: Millis;
 }
 
 /** Creates the admission; `shareOf` gives the part of an organisation's limits that this VM may use. */
-export default function createAdmission(
+export default function createAdmissionController(
   limits: AdmissionLimits,
   shareOf: (organisation: string) => number,
-): Admission {
+): AdmissionController {
   const uses = new Map<string, OrganisationUse>();
   let open = 0;
 
-  function admit(request: AdmissionRequest, now: Millis): E.Either<LimeleadError, Ticket> {
+  function admit(request: AdmissionRequest, now: Millis): E.Either<LimeleadError, AdmissionTicket> {
     const { organisation } = request;
     const use = uses.get(organisation.name) ?? createUse(organisation, shareOf, now);
     uses.set(organisation.name, use);
-    noteDemand(use, now);
+    recordDemand(use, now);
     const refusal = request.isResumed
       ? undefined
       : findRefusal(request, { use, uses, open, limits, shareOf }, now);
@@ -87,7 +87,7 @@
     return E.right(createTicket(use));
   }
 
-  function createTicket(use: OrganisationUse): Ticket {
+  function createTicket(use: OrganisationUse): AdmissionTicket {
     let isReleased = false;
     return {
       release() {
@@ -102,16 +102,16 @@
 
   return {
     admit,
-    open: () => open,
+    countOpen: () => open,
     demandOf: (organisation, now) => {
       const use = uses.get(organisation);
-      return use === undefined ? 0 : readDemand(use, now);
+      return use === undefined ? 0 : computeDemand(use, now);
     },
-    demand: (now) => {
-      forgetIdle(uses, now);
+    listDemands: (now) => {
+      evictIdle(uses, now);
       return [...uses].map(([organisation, use]) => ({
         organisation,
-        requestsPerSecond: readDemand(use, now),
+        requestsPerSecond: computeDemand(use, now),
       }));
     },
   };
@@ -134,7 +134,7 @@
 ): LimeleadError | undefined {
   return (
     findDeadlineRefusal(request, now) ??
-    findOverload(request, open, limits) ??
+    findOverloadRefusal(request, open, limits) ??
     findQueueRefusal(request, use, uses, open) ??
     findLimitRefusal(request.organisation, use, shareOf(request.organisation.name), now)
   );
@@ -145,9 +145,9 @@
   shareOf: (organisation: string) => number,
   now: Millis,
 ): OrganisationUse {
-  const tokens = burstOf(organisation, shareOf(organisation.name));
+  const tokens = computeBurst(organisation, shareOf(organisation.name));
   const { weight } = organisation;
-  return { open: 0, weight, tokens, refilledAtMs: now, recent: 0, recentAtMs: now };
+  return { open: 0, weight, tokens, refilledAtMs: now, recentRequests: 0, decayedAtMs: now };
 }
 
 function findDeadlineRefusal(request: AdmissionRequest, now: Millis): LimeleadError | undefined {
@@ -157,13 +157,13 @@
     : undefined;
 }
 
-function findOverload(
+function findOverloadRefusal(
   request: AdmissionRequest,
   open: number,
   limits: AdmissionLimits,
 ): LimeleadError | undefined {
-  const reserved = Math.min(MAX_RESERVED, request.rank * RESERVED_PER_RANK);
-  return open >= limits.maxOpen * (1 - reserved)
+  const reserved = Math.min(MAX_RESERVED_SHARE, request.rank * RESERVED_SHARE_PER_RANK);
+  return open >= limits.maxOpenRequests * (1 - reserved)
     ? new LimeleadError('overloaded', 'this VM has too many open requests')
     : undefined;
 }
@@ -180,21 +180,21 @@
   open: number,
 ): LimeleadError | undefined {
   const pressure = expectedWaitMs / maxQueueMs;
-  if (pressure < RELAXED_PRESSURE) {
+  if (pressure < MIN_SHEDDING_PRESSURE) {
     return undefined;
   }
-  const slack = Math.max(0, (REFUSE_ALL_PRESSURE - pressure) * SLACK_AT_RELAXED);
-  const fairShare = organisation.weight / sumWeights(uses);
+  const slack = Math.max(0, (REFUSE_ALL_PRESSURE - pressure) * SLACK_PER_PRESSURE);
+  const fairShare = organisation.weight / sumOpenWeights(uses);
   const isWithinShare = use.open < slack * fairShare * open + 1;
   return isWithinShare && pressure < REFUSE_ALL_PRESSURE
     ? undefined
     : new LimeleadError('overloaded', 'the targets are too busy', {
-        retryAfterMs: Math.ceil(Math.max(expectedWaitMs, MIN_OVERLOAD_RETRY_MS)),
+        retryAfterMs: Math.ceil(Math.max(expectedWaitMs, MIN_RETRY_AFTER_MS)),
       });
 }
 
 /** Weights of the organisations that have something open. */
-function sumWeights(uses: ReadonlyMap<string, OrganisationUse>): number {
+function sumOpenWeights(uses: ReadonlyMap<string, OrganisationUse>): number {
   let sum = 0;
   for (const { open, weight } of uses.values()) {
     sum += open > 0 ? weight : 0;
@@ -209,7 +209,7 @@
   now: Millis,
 ): LimeleadError | undefined {
   const rate = organisation.requestsPerSecond * share;
-  refill(use, rate, burstOf(organisation, share), now);
+  refill(use, rate, computeBurst(organisation, share), now);
   if (use.tokens < 1) {
     const retryAfterMs = Math.ceil(((1 - use.tokens) * 1000) / rate);
     return new LimeleadError('rate-limited', 'the rate of the organisation is used up', {
@@ -227,27 +227,27 @@
   use.refilledAtMs = now;
 }
 
-function burstOf(organisation: Organisation, share: number): number {
+function computeBurst(organisation: Organisation, share: number): number {
   return Math.max(1, organisation.requestsPerSecond * share * BURST_SECONDS);
 }
 
-function noteDemand(use: OrganisationUse, now: Millis): void {
-  use.recent = decay(use, now) + 1;
-  use.recentAtMs = now;
+function recordDemand(use: OrganisationUse, now: Millis): void {
+  use.recentRequests = computeDecayedRequests(use, now) + 1;
+  use.decayedAtMs = now;
 }
 
-function readDemand(use: OrganisationUse, now: Millis): number {
+function computeDemand(use: OrganisationUse, now: Millis): number {
   const meanLifeSeconds = DEMAND_HALF_LIFE_MS / Math.LN2 / 1000;
-  return decay(use, now) / meanLifeSeconds;
+  return computeDecayedRequests(use, now) / meanLifeSeconds;
 }
 
-function decay(use: OrganisationUse, now: Millis): number {
-  return use.recent * 0.5 ** ((now - use.recentAtMs) / DEMAND_HALF_LIFE_MS);
+function computeDecayedRequests(use: OrganisationUse, now: Millis): number {
+  return use.recentRequests * 0.5 ** ((now - use.decayedAtMs) / DEMAND_HALF_LIFE_MS);
 }
 
-function forgetIdle(uses: Map<string, OrganisationUse>, now: Millis): void {
+function evictIdle(uses: Map<string, OrganisationUse>, now: Millis): void {
   for (const [organisation, use] of uses) {
-    if (use.open === 0 && decay(use, now) < 0.01) {
+    if (use.open === 0 && computeDecayedRequests(use, now) < 0.01) {
       uses.delete(organisation);
     }
   }
--- a/packages/admit-request/src/index.ts
+++ b/packages/admit-request/src/index.ts
@@ -1,4 +1,9 @@
 /** Admission: organisations' limits, the VM's own limit, deadlines and shedding by priority. */
-export { default as createAdmission } from './admission.js';
-export type { Admission, AdmissionLimits, AdmissionRequest, Ticket } from './admission.js';
-export { default as computeShare, type DemandReport } from './compute-share.js';
+export { default as createAdmissionController } from './admission-controller.js';
+export type {
+  AdmissionController,
+  AdmissionLimits,
+  AdmissionRequest,
+  AdmissionTicket,
+} from './admission-controller.js';
+export { default as computeLimitShare, type PeerDemand } from './compute-limit-share.js';
--- a/packages/daemon/src/create-context.ts
+++ b/packages/daemon/src/create-context.ts
@@ -1,5 +1,5 @@
 /** Creates the parts of one VM and ties them together. */
-import { computeShare, createAdmission } from '@limelead/admit-request';
+import { computeLimitShare, createAdmissionController } from '@limelead/admit-request';
 import { createCallClaimer } from '@limelead/claim-call';
 import {
   createHttpKeyValueStore,
@@ -55,9 +55,12 @@
   const countVms = (): number => members.present(clock.now()).length + 1;
   const shareOf = (organisation: string): number => {
     const own = admission.demandOf(organisation, clock.now());
-    return computeShare(own, peers.demandOf(organisation), countVms());
+    return computeLimitShare(own, peers.demandOf(organisation), countVms());
   };
-  const admission = createAdmission({ maxOpen: settings.limits.maxOpenRequests }, shareOf);
+  const admission = createAdmissionController(
+    { maxOpenRequests: settings.limits.maxOpenRequests },
+    shareOf,
+  );
 
   const recoveryPlaces = (): number => {
     const engines = targets.usableEngines(clock.now()).length;
@@ -115,7 +118,7 @@
 
 function registerGauges({ metrics, openGenerations, admission, configuration }: VmContext): void {
   metrics.gauge('limelead_open_generations', () => openGenerations.size);
-  metrics.gauge('limelead_open_requests', () => admission.open());
+  metrics.gauge('limelead_open_requests', () => admission.countOpen());
   metrics.gauge('limelead_configuration_revision', () => configuration.configuration.revision);
   metrics.gauge('limelead_cpu_milliseconds', readCpuMilliseconds);
   metrics.gauge('limelead_resident_bytes', () => process.memoryUsage.rss());
--- a/packages/daemon/src/peer-conversation.ts
+++ b/packages/daemon/src/peer-conversation.ts
@@ -155,7 +155,7 @@
       leaving: this.isLeaving,
       listVersion: list.version,
       listAgeMs: Number.isFinite(readAtMs) ? now - readAtMs : Number.MAX_SAFE_INTEGER,
-      demand: admission.demand(now),
+      demand: admission.listDemands(now),
     };
   }
 
--- a/packages/daemon/src/services/generation-service.ts
+++ b/packages/daemon/src/services/generation-service.ts
@@ -1,7 +1,7 @@
 /** The RPC service Generation. */
 import { create } from '@bufbuild/protobuf';
 import type { ConnectError, HandlerContext, ServiceImpl } from '@connectrpc/connect';
-import type { Ticket } from '@limelead/admit-request';
+import type { AdmissionTicket } from '@limelead/admit-request';
 import { findSpec } from '@limelead/configuration-state';
 import { estimateQueueMs } from '@limelead/choose-target';
 import { LimeleadError } from '@limelead/errors';
@@ -131,7 +131,7 @@
   organisation: Organisation,
   request: GenerationRequest,
   isResumed: boolean,
-): Ticket {
+): AdmissionTicket {
   const ticket = context.admission.admit(
     {
       organisation,
--- a/packages/daemon/src/start-daemon.ts
+++ b/packages/daemon/src/start-daemon.ts
@@ -178,12 +178,12 @@
   private async whenNothingIsOpen(): Promise<void> {
     const { admission, timers, clock, settings, logger } = this.context;
     const giveUpAtMs = clock.now() + settings.timing.drainMs;
-    while (admission.open() > 0 && clock.now() < giveUpAtMs) {
+    while (admission.countOpen() > 0 && clock.now() < giveUpAtMs) {
       await delay(timers, OPEN_CHECK_MS);
     }
-    if (admission.open() > 0) {
+    if (admission.countOpen() > 0) {
       logger.error('requests were still open at the end of the drain', {
-        open: admission.open(),
+        open: admission.countOpen(),
       });
     }
   }
--- a/packages/daemon/src/vm-context.ts
+++ b/packages/daemon/src/vm-context.ts
@@ -1,5 +1,5 @@
 /** What the parts of one VM share. */
-import type { Admission } from '@limelead/admit-request';
+import type { AdmissionController } from '@limelead/admit-request';
 import type { ChooseTarget } from '@limelead/choose-target';
 import type { Logger } from '@limelead/logger';
 import type { Metrics } from '@limelead/metrics';
@@ -54,7 +54,7 @@
   members: MemberTable;
   configuration: ConfigurationHolder;
   configurationStore: ConfigurationStore;
-  admission: Admission;
+  admission: AdmissionController;
   pacer: RecoveryPacer;
   chooseTarget: ChooseTarget;
   authenticator: Authenticator;
