--- a/packages/admit-request/src/admission-controller.test.ts
+++ b/packages/admit-request/src/admission-controller.test.ts
@@ -25,7 +25,7 @@
   return E.isRight(outcome) ? 'admitted' : outcome.left.kind;
 }
 
-test('over a long time no more than the rate is admitted, whatever the arrivals', () => {
+test('requests above the rate and the burst are refused for any arrival pattern', () => {
   fc.assert(
     fc.property(fc.array(fc.integer({ min: 0, max: 300 }), { maxLength: 300 }), (pauses) => {
       const admission = createAdmissionController({ maxOpenRequests: 1_000 }, () => 1);
@@ -45,7 +45,7 @@
   );
 });
 
-test('a refusal for the rate says when to come back, and coming back then works', () => {
+test('a request refused for the rate is admitted after its retry time', () => {
   const admission = createAdmissionController({ maxOpenRequests: 1_000 }, () => 1);
   const refused = Array.from({ length: 30 }, () => admission.admit(REQUEST, 0)).find(E.isLeft);
   assert.ok(refused !== undefined);
@@ -53,7 +53,7 @@
   assert.is(kindOf(admission.admit(REQUEST, retryAfterMs)), 'admitted');
 });
 
-test('the VM sheds the less urgent first', () => {
+test('the VM sheds less urgent requests first', () => {
   const admission = createAdmissionController({ maxOpenRequests: 10 }, () => 1);
   for (let open = 0; open < 8; open += 1) {
     assert.is(kindOf(admission.admit(REQUEST, 0)), 'admitted');
@@ -62,14 +62,14 @@
   assert.is(kindOf(admission.admit(REQUEST, 0)), 'admitted');
 });
 
-test('what can not land before its deadline is refused as not run', () => {
+test('a request that cannot reach a target before its deadline is refused as not run', () => {
   const admission = createAdmissionController({ maxOpenRequests: 10 }, () => 1);
   const outcome = admission.admit({ ...REQUEST, deadlineAtMs: 100, expectedWaitMs: 200 }, 0);
   assert.ok(E.isLeft(outcome) && outcome.left.kind === 'deadline-unreachable');
   assert.is(outcome.left.answer.execution, 'not-run');
 });
 
-test('under pressure the small organisation is still admitted when the large one is not', () => {
+test('under pressure an organisation above its fair share is refused before one below it', () => {
   const admission = createAdmissionController({ maxOpenRequests: 1_000 }, () => 1);
   const large = {
     ...ORGANISATION,
@@ -77,18 +77,22 @@
     requestsPerSecond: 10_000,
     maxConcurrent: 10_000,
   };
-  const ask = (organisation: typeof large, expectedWaitMs: number) =>
+  const admit = (organisation: typeof large, expectedWaitMs: number) =>
     kindOf(admission.admit({ ...REQUEST, organisation, expectedWaitMs }, 0));
   for (let open = 0; open < 50; open += 1) {
-    assert.is(ask(large, 0), 'admitted');
+    assert.is(admit(large, 0), 'admitted');
   }
-  assert.is(ask(ORGANISATION, 0), 'admitted');
-  assert.is(ask(large, 1_100), 'overloaded');
-  assert.is(ask(ORGANISATION, 1_100), 'admitted');
-  assert.is(ask(ORGANISATION, 1_600), 'overloaded', 'nobody is admitted to a hopeless queue');
+  assert.is(admit(ORGANISATION, 0), 'admitted');
+  assert.is(admit(large, 1_100), 'overloaded');
+  assert.is(admit(ORGANISATION, 1_100), 'admitted');
+  assert.is(
+    admit(ORGANISATION, 1_600),
+    'overloaded',
+    'all are refused if the expected wait is far too long',
+  );
 });
 
-test('an answer that goes on here is not refused, and does not count against the rate', () => {
+test('a resumed request is not refused and does not count against the rate', () => {
   const admission = createAdmissionController({ maxOpenRequests: 1 }, () => 1);
   assert.is(kindOf(admission.admit(REQUEST, 0)), 'admitted');
   assert.is(kindOf(admission.admit(REQUEST, 0)), 'overloaded');
@@ -98,7 +102,7 @@
   }
 });
 
-test('a released request frees its place once', () => {
+test('a second release of a request has no effect', () => {
   const admission = createAdmissionController({ maxOpenRequests: 10 }, () => 1);
   const outcome = admission.admit(REQUEST, 0);
   assert.ok(E.isRight(outcome));
@@ -107,7 +111,7 @@
   assert.is(admission.countOpen(), 0);
 });
 
-test('the shares of all VMs together stay near the limit, and no VM gets none', () => {
+test('the shares of all VMs sum up to the limit at most, and each VM has a minimum share', () => {
   fc.assert(
     fc.property(fc.array(fc.nat(1_000), { minLength: 1, maxLength: 30 }), (demands) => {
       const shares = demands.map((own, self) => {
@@ -124,7 +128,7 @@
   );
 });
 
-test('a VM that hears nothing of the others keeps to an equal share', () => {
+test('a VM without reports from its peers uses an equal share', () => {
   assert.is(computeLimitShare(1_000, [], 4), 0.25);
 });
 
--- a/packages/admit-request/src/admission-controller.ts
+++ b/packages/admit-request/src/admission-controller.ts
@@ -1,54 +1,54 @@
-/** The admission of one VM. Every method that depends on time takes the present time. */
+/** Admission control of one VM. Methods that depend on time take the current time. */
 import { LimeleadError } from '@limelead/errors';
 import type { Millis, Organisation } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
 
-/** Seconds of an organisation's rate that may come at once. */
+/** Size of a burst, in seconds of the organisation's rate. */
 const BURST_SECONDS = 2;
-/** Part of the VM's places that each rank below the most urgent leaves free for the ranks above it. */
+/** Share of the VM's open requests that each rank leaves to more urgent ranks. */
 const RESERVED_SHARE_PER_RANK = 0.1;
 const MAX_RESERVED_SHARE = 0.5;
 const DEMAND_HALF_LIFE_MS = 2_000;
-/** Part of the allowed wait below which nobody is refused for it. */
+/** Ratio of the expected to the allowed wait from which requests are shed. */
 const MIN_SHEDDING_PRESSURE = 0.75;
-/** Part of the allowed wait from which everybody is refused. */
+/** Ratio from which all requests are refused. */
 const REFUSE_ALL_PRESSURE = 1.5;
-/** Times its fair share that an organisation may have open when shares begin to count. */
+/** Multiple of its fair share that an organisation may use, per unit below REFUSE_ALL_PRESSURE. */
 const SLACK_PER_PRESSURE = 2;
 const MIN_RETRY_AFTER_MS = 500;
 
-/** Limits of the VM itself. */
+/** Limits of the VM. */
 export interface AdmissionLimits {
-  /** Requests open on this VM at a time. */
+  /** Maximum number of open requests on this VM. */
   maxOpenRequests: number;
 }
 
-/** What is to be admitted. */
+/** A request for admission. */
 export interface AdmissionRequest {
   organisation: Organisation;
   rank: number;
-  /** Unix milliseconds; undefined is no deadline. */
+  /** Unix milliseconds; undefined for no deadline. */
   deadlineAtMs?: Millis;
-  /** Milliseconds of waiting for a target, as the router expects. */
+  /** Expected wait for a target in milliseconds. */
   expectedWaitMs: number;
-  /** True for an answer that goes on here: it was admitted once, and is not refused in its middle. */
+  /** True if the request resumes an answer; it was admitted before and is never refused. */
   isResumed: boolean;
-  /** Expected wait beyond which the request's priority wants a refusal. */
+  /** Longest wait in milliseconds that the priority of the request allows. */
   maxQueueMs: number;
 }
 
-/** An admitted request; has to be released once. */
+/** Represents an open request; `release` must be called when it ends. */
 export interface AdmissionTicket {
   release(): void;
 }
 
-/** Admits requests. */
+/** Admits or refuses requests and tracks the open ones. */
 export interface AdmissionController {
   admit(request: AdmissionRequest, now: Millis): E.Either<LimeleadError, AdmissionTicket>;
   countOpen(): number;
-  /** Requests a second that this VM sees of one organisation. */
+  /** Requests per second of one organisation at this VM. */
   demandOf(organisation: string, now: Millis): number;
-  /** Requests a second that this VM sees of each organisation that asked lately. */
+  /** Requests per second of each recently active organisation at this VM. */
   listDemands(now: Millis): { organisation: string; requestsPerSecond: number }[];
 }
 
@@ -57,12 +57,15 @@
   weight: number;
   tokens: number;
   refilledAtMs: Millis;
-  /** Decaying count of requests, for the demand. */
+  /** Exponentially decaying count of requests, as of `decayedAtMs`. */
   recentRequests: number;
   decayedAtMs: Millis;
 }
 
-/** Creates the admission; `shareOf` gives the part of an organisation's limits that this VM may use. */
+/**
+ * Creates an admission controller.
+ * @param shareOf share (0 to 1) of an organisation's limits that this VM may use
+ */
 export default function createAdmissionController(
   limits: AdmissionLimits,
   shareOf: (organisation: string) => number,
@@ -117,13 +120,13 @@
   };
 }
 
-/** What a refusal is decided from, besides the request. */
+/** State that decides on a refusal, besides the request. */
 interface AdmissionState {
   use: OrganisationUse;
   uses: ReadonlyMap<string, OrganisationUse>;
   open: number;
   limits: AdmissionLimits;
-  /** Worked out only where nothing else refuses. */
+  /** Called only if no other check refuses the request. */
   shareOf: (organisation: string) => number;
 }
 
@@ -153,7 +156,10 @@
 function findDeadlineRefusal(request: AdmissionRequest, now: Millis): LimeleadError | undefined {
   const { deadlineAtMs, expectedWaitMs } = request;
   return deadlineAtMs !== undefined && now + expectedWaitMs > deadlineAtMs
-    ? new LimeleadError('deadline-unreachable', 'the answer could not land before its deadline')
+    ? new LimeleadError(
+        'deadline-unreachable',
+        'no target is expected to be free before the deadline',
+      )
     : undefined;
 }
 
@@ -169,9 +175,9 @@
 }
 
 /**
- * Refuses before queues at the targets grow. The closer the expected wait comes
- * to what the priority allows, the less an organisation may have open beyond
- * its fair share; those below their share are refused last.
+ * Refuses requests before queues at the targets grow. The closer the expected wait is to
+ * the allowed wait, the fewer open requests an organisation may have relative to its fair
+ * share, so organisations below their share are refused last.
  */
 function findQueueRefusal(
   { organisation, expectedWaitMs, maxQueueMs }: AdmissionRequest,
@@ -193,7 +199,7 @@
       });
 }
 
-/** Weights of the organisations that have something open. */
+/** Sum of the weights of organisations with open requests. */
 function sumOpenWeights(uses: ReadonlyMap<string, OrganisationUse>): number {
   let sum = 0;
   for (const { open, weight } of uses.values()) {
@@ -212,7 +218,7 @@
   refill(use, rate, computeBurst(organisation, share), now);
   if (use.tokens < 1) {
     const retryAfterMs = Math.ceil(((1 - use.tokens) * 1000) / rate);
-    return new LimeleadError('rate-limited', 'the rate of the organisation is used up', {
+    return new LimeleadError('rate-limited', 'the organisation exceeds its request rate', {
       retryAfterMs,
     });
   }
--- a/packages/admit-request/src/compute-limit-share.ts
+++ b/packages/admit-request/src/compute-limit-share.ts
@@ -1,18 +1,17 @@
-/** Pure decision: which part of an organisation's limit one VM may hand out. */
+/** Computes the share of an organisation's limit that one VM may use. Pure. */
 
-/** Requests a second that one VM sees of one organisation. */
+/** Request rate of one organisation at one VM. */
 export interface PeerDemand {
   vm: string;
   requestsPerSecond: number;
 }
 
-/** Part of an equal share that a VM keeps however little it sees, so that a first request is admitted. */
+/** Part of an equal share that a VM has without any demand, so that it admits a first request. */
 const MIN_PART_OF_EQUAL_SHARE = 0.5;
 
 /**
- * Splits the limit by the demand that each VM sees. Without reports of others,
- * as in a partition, a VM falls back to an equal share of the VMs it knows of,
- * so that the sum stays within the limit.
+ * Returns the share (0 to 1) of this VM, in proportion to its demand. Unless all other VMs
+ * have reported their demand, it is an equal share, so that the sum stays within the limit.
  */
 export default function computeLimitShare(
   ownDemand: number,
--- a/packages/admit-request/src/index.ts
+++ b/packages/admit-request/src/index.ts
@@ -1,4 +1,4 @@
-/** Admission: organisations' limits, the VM's own limit, deadlines and shedding by priority. */
+/** Admission control: limits of organisations and of the VM, deadlines and shedding by priority. */
 export { default as createAdmissionController } from './admission-controller.js';
 export type {
   AdmissionController,
