--- a/packages/gateway/src/create-exchange.ts
+++ b/packages/gateway/src/create-exchange.ts
@@ -3,7 +3,7 @@
 import type { StoreFollower } from '@limelead/follow-store';
 import type { Locality } from '@limelead/locality';
 import type { TargetGate } from '@limelead/forward-request';
-import type { SendPermits } from '@limelead/permit-sends';
+import type { SendLimiter } from '@limelead/permit-sends';
 import type { RequestGuard } from '@limelead/quarantine-requests';
 import { EvidenceExchange, type PeerId, type PeerReport } from '@limelead/share-evidence';
 import type { RetryBudgets } from '@limelead/spend-retries';
@@ -30,7 +30,7 @@
   engineLoad: EngineLoad;
   retries: RetryBudgets;
   guard: RequestGuard;
-  permits: SendPermits;
+  permits: SendLimiter;
   backpressure: Backpressure;
   gate: TargetGate;
   storeAddress: string;
@@ -87,7 +87,7 @@
     onLimits: (facts, peer) => parts.permits.onPeerUpdate(peer, facts),
     readLeaving: () => parts.backpressure.listLeaving(),
     onLeaving: (facts, peer) => parts.backpressure.onPeerUpdate(peer, facts),
-    onPermits: (message, peer) => parts.permits.hear(peer, message),
+    onPermits: (message, peer) => parts.permits.onMessage(peer, message),
     onPermitPeerLost: (peer) => parts.permits.onPeerLost(peer),
     lendRepeats: (service, wanted) => retries.lend(service, wanted),
     onRepeats: parts.onRepeats,
--- a/packages/gateway/src/create-permits.ts
+++ b/packages/gateway/src/create-permits.ts
@@ -1,5 +1,5 @@
 /** Joins the permits to send with the targets that are known and the conversation with peers. */
-import { SendPermits } from '@limelead/permit-sends';
+import { SendLimiter } from '@limelead/permit-sends';
 import type { FleetPartContext } from './fleet-part.js';
 
 /** A VM that has no address for peers grants its permits itself. */
@@ -14,16 +14,16 @@
   metrics,
   directory,
   readExchange,
-}: FleetPartContext): SendPermits {
+}: FleetPartContext): SendLimiter {
   const readFleet = () => readExchange()?.permits;
-  return new SendPermits({
+  return new SendLimiter({
     ...{ clock, timers, random, log, metrics },
     fleet: {
       get self() {
         return readFleet()?.self ?? ALONE;
       },
       countVms: () => readFleet()?.vmCount ?? 1,
-      countReached: () => readFleet()?.reachedCount ?? 1,
+      countReachableVms: () => readFleet()?.reachedCount ?? 1,
       chooseGrantor: (service) => {
         const fleet = readFleet();
         return fleet === undefined ? ALONE : fleet.chooseGrantor(service);
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -21,7 +21,7 @@
 import { createLocality, type Locality } from '@limelead/locality';
 import type { ConditionalStore, DutyPlatform } from '@limelead/ports';
 import createMetrics, { type Metrics } from '@limelead/metrics';
-import type { SendPermits } from '@limelead/permit-sends';
+import type { SendLimiter } from '@limelead/permit-sends';
 import type { EvidenceExchange } from '@limelead/share-evidence';
 import { RetryBudgets } from '@limelead/spend-retries';
 import { TargetConnections } from '@limelead/target-connections';
@@ -106,7 +106,7 @@
   private readonly retries: RetryBudgets;
   /** Parts that look at the whole fleet; those that nothing asks for are not there. */
   private readonly parts: FleetPart[];
-  private readonly permits: SendPermits;
+  private readonly permits: SendLimiter;
   private readonly backpressure: Backpressure;
   private readonly quarantine: QuarantinePart;
   private readonly servers: Server[] = [];
--- a/packages/permit-sends/src/fleet.fixture.ts
+++ b/packages/permit-sends/src/fleet.fixture.ts
@@ -1,40 +1,40 @@
-/** A whole fleet on a clock of its own, before targets that name limits, for the tests of this package. */
+/** Simulates a fleet of VMs and rate-limited targets on a virtual clock. */
 import type { PermitRefusal, AdvertisedLimit, WaitingRequests } from '@limelead/types';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { PermitMessage } from './permit-messages.js';
 import type { LimitFleet, PermitTargets } from './permit-ports.js';
-import SendPermits from './send-permits.js';
+import SendLimiter from './send-limiter.js';
 
 const SERVICE = 'api';
-const ANSWER_MS = 20;
-/** Time of a message, at least and at most. */
-const LINK_MS = 1;
-const SLOW_LINK_MS = 5;
-/** Peers of gossip in a large fleet. */
+const ANSWER_DELAY_MS = 20;
+/** Range of a message's delay. */
+const MIN_LINK_DELAY_MS = 1;
+const MAX_LINK_DELAY_MS = 5;
+/** Number of gossip peers of a VM in a large fleet. */
 const GOSSIP_PEERS = 8;
-/** Time after which a VM that is gone decides nothing, and after which it is forgotten. */
-const SPEAKS_WITHIN_MS = 2_500;
+/** Time after which a killed VM is no longer chosen as grantor, and after which it is forgotten. */
+const FAILURE_DETECTION_MS = 2_500;
 const FORGET_AFTER_MS = 12_000;
 const WINDOW_MS = 4_000;
-const HEARD_WITHIN_MS = 500;
+const PROPAGATION_MS = 500;
 
-/** What a VM of the fleet keeps to. */
-export type Permits = Pick<
-  SendPermits,
+/** A rate limiter under test. */
+export type Limiter = Pick<
+  SendLimiter,
   | 'attach'
   | 'maySend'
   | 'recordSend'
   | 'onQueueChanged'
   | 'onResponse'
   | 'onPeerUpdate'
-  | 'hear'
+  | 'onMessage'
   | 'onPeerLost'
   | 'listLimits'
 >;
 
-/** What permits of one VM are made of. */
-export interface PermitParts {
+/** Dependencies of one VM's limiter. */
+export interface PermitDependencies {
   fleet: LimitFleet;
   targets: PermitTargets;
   clock: { now(): number };
@@ -42,7 +42,7 @@
   random: { next(): number };
   log: { write(): void };
   metrics: { count(): void; gauge(): void };
-  /** Of the fleet. */
+  /** Number of VMs in the fleet. */
   size: number;
 }
 
@@ -53,55 +53,55 @@
   untilMs: number;
 }
 
-/** How a fleet is laid out. */
+/** Size of a fleet and the limiter that it uses. */
 export interface FleetOptions {
   size: number;
   targets: number;
   seed: number;
-  createPermits?: (parts: PermitParts) => Permits;
+  createLimiter?: (parts: PermitDependencies) => Limiter;
 }
 
-/** One VM: requests that wait, and permits. */
+/** One VM with its waiting requests and limiter. */
 class Vm {
   waiting: Waiter[] = [];
-  permits: Permits;
+  limiter: Limiter;
   isUp = true;
-  /** Until then nothing of it moves. */
+  /** Until then the VM runs no timers and handles no messages. */
   frozenUntilMs = 0;
-  goneAtMs = Infinity;
+  killedAtMs = Infinity;
 
   constructor(
     private readonly fleet: Fleet,
     readonly name: string,
-    create: () => Permits,
+    create: () => Limiter,
   ) {
-    this.permits = create();
-    this.join();
+    this.limiter = create();
+    this.attachQueue();
   }
 
-  join(): void {
+  attachQueue(): void {
     const waiting: WaitingRequests = {
       list: () => [...this.waiting],
       serve: () => this.serve(),
       refuse: (want, refusal) => this.refuse(want, refusal),
       isAvoided: () => false,
     };
-    this.permits.attach(waiting);
+    this.limiter.attach(waiting);
   }
 
-  take(waiter: Waiter): void {
+  enqueue(waiter: Waiter): void {
     this.waiting.push(waiter);
     this.serve();
     if (this.waiting.includes(waiter)) {
-      this.permits.onQueueChanged(SERVICE);
+      this.limiter.onQueueChanged(SERVICE);
     }
   }
 
   serve(): void {
     for (const waiter of [...this.waiting].sort((a, b) => a.rank - b.rank)) {
-      const target = this.fleet.targets.find((id) => this.permits.maySend(id));
+      const target = this.fleet.targets.find((id) => this.limiter.maySend(id));
       if (target !== undefined && this.remove(waiter.id)) {
-        this.permits.recordSend(target, SERVICE);
+        this.limiter.recordSend(target, SERVICE);
         this.fleet.onSent(this, target, waiter);
       }
     }
@@ -121,7 +121,7 @@
   }
 }
 
-/** VMs, links and targets. */
+/** The VMs, their links and the targets. */
 export default class Fleet {
   now = 0;
   readonly targets: string[];
@@ -129,14 +129,14 @@
   readonly sends: { target: string; vm: string; atMs: number; rank: number; waitedMs: number }[] =
     [];
   readonly refusals: { rank: number; heldMs: number; retryAfterMs: number; atMs: number }[] = [];
-  overdue = 0;
-  messages = 0;
-  /** Requests a second that each target names now; undefined for none. */
+  expiredCount = 0;
+  messageCount = 0;
+  /** Limit that each target advertises, in requests a second; undefined for none. */
   perSecond: number | undefined;
-  isCut: (a: string, b: string) => boolean = () => false;
-  private namedAtMs = Infinity;
+  isLinkCut: (a: string, b: string) => boolean = () => false;
+  private firstLimitAtMs = Infinity;
   private lastId = 0;
-  private readonly due = new Map<number, (() => void)[]>();
+  private readonly scheduled = new Map<number, (() => void)[]>();
   private readonly generator;
 
   constructor(private readonly options: FleetOptions) {
@@ -149,58 +149,68 @@
     return uniformFloat64(this.generator);
   }
 
-  at(atMs: number, run: () => void): void {
-    const due = this.due.get(Math.ceil(atMs)) ?? [];
+  schedule(atMs: number, run: () => void): void {
+    const due = this.scheduled.get(Math.ceil(atMs)) ?? [];
     due.push(run);
-    this.due.set(Math.ceil(atMs), due);
+    this.scheduled.set(Math.ceil(atMs), due);
   }
 
-  playUntil(untilMs: number): void {
+  runUntil(untilMs: number): void {
     for (; this.now <= untilMs; this.now += 1) {
-      for (let run = this.due.get(this.now)?.shift(); run; run = this.due.get(this.now)?.shift()) {
+      for (
+        let run = this.scheduled.get(this.now)?.shift();
+        run;
+        run = this.scheduled.get(this.now)?.shift()
+      ) {
         run();
       }
-      this.due.delete(this.now);
-      this.dropOverdue();
+      this.scheduled.delete(this.now);
+      this.dropExpired();
     }
   }
 
-  /** Callers ask for so many requests a second at one of those VMs each, from now on. */
-  load(perSecond: number, untilMs: number, choose: () => number, waitMs = 1_000, rank = 1): void {
+  /** Starts a Poisson load; `choose` returns the index of the VM for each request. */
+  startLoad(
+    perSecond: number,
+    untilMs: number,
+    choose: () => number,
+    waitMs = 1_000,
+    rank = 1,
+  ): void {
     const next = (): void => {
       const vm = this.vms[choose()];
       if (vm?.isUp === true && this.now >= vm.frozenUntilMs) {
         this.lastId += 1;
-        vm.take({ id: this.lastId, rank, arrivedAtMs: this.now, untilMs: this.now + waitMs });
+        vm.enqueue({ id: this.lastId, rank, arrivedAtMs: this.now, untilMs: this.now + waitMs });
       }
       const pauseMs = (-Math.log(1 - this.draw()) * 1_000) / perSecond;
       if (this.now + pauseMs < untilMs) {
-        this.at(this.now + Math.max(1, pauseMs), next);
+        this.schedule(this.now + Math.max(1, pauseMs), next);
       }
     };
-    this.at(this.now + 1, next);
+    this.schedule(this.now + 1, next);
   }
 
-  /** Any VM, each as likely as the others. */
-  any = (): number => Math.floor(this.draw() * this.vms.length);
+  /** Index of a random VM. */
+  pickAnyVm = (): number => Math.floor(this.draw() * this.vms.length);
 
   kill(index: number): void {
     const vm = this.vms[index]!;
     vm.isUp = false;
     vm.waiting = [];
-    vm.goneAtMs = this.now;
-    this.vms.forEach((other) => other.permits.onPeerLost(vm.name));
+    vm.killedAtMs = this.now;
+    this.vms.forEach((other) => other.limiter.onPeerLost(vm.name));
   }
 
   restart(index: number): void {
     const vm = this.vms[index]!;
-    vm.permits = this.createPermits(vm.name);
-    vm.join();
+    vm.limiter = this.createLimiter(vm.name);
+    vm.attachQueue();
     vm.isUp = true;
-    vm.goneAtMs = Infinity;
+    vm.killedAtMs = Infinity;
     for (const other of this.vms.filter((one) => one.isUp && one !== vm)) {
       this.transmit(other.name, vm.name, () =>
-        vm.permits.onPeerUpdate(other.name, this.age(other.permits.listLimits())),
+        vm.limiter.onPeerUpdate(other.name, this.roundTimes(other.limiter.listLimits())),
       );
     }
   }
@@ -212,11 +222,14 @@
   onSent(vm: Vm, target: string, { rank, arrivedAtMs }: Waiter): void {
     const atMs = this.now;
     this.sends.push({ target, vm: vm.name, atMs, rank, waitedMs: atMs - arrivedAtMs });
-    const told: AdvertisedLimit =
+    const limit: AdvertisedLimit =
       this.perSecond === undefined ? { kind: 'none' } : { kind: 'rate', perSecond: this.perSecond };
-    this.inTime(vm.name, ANSWER_MS, () => {
-      this.namedAtMs = Math.min(this.namedAtMs, told.kind === 'rate' ? this.now : Infinity);
-      vm.permits.onResponse(target, told, atMs);
+    this.scheduleAt(vm.name, ANSWER_DELAY_MS, () => {
+      this.firstLimitAtMs = Math.min(
+        this.firstLimitAtMs,
+        limit.kind === 'rate' ? this.now : Infinity,
+      );
+      vm.limiter.onResponse(target, limit, atMs);
       vm.serve();
     });
   }
@@ -225,18 +238,18 @@
     this.refusals.push({ rank, heldMs: this.now - arrivedAtMs, retryAfterMs, atMs: this.now });
   }
 
-  /** Most sends to one target in any window behind the time to hear of the limit. */
-  mostInWindow(fromMs = this.namedAtMs + HEARD_WITHIN_MS): number {
-    return Math.max(...this.targets.map((target) => this.mostAt(target, fromMs)));
+  /** Maximum sends to one target in any window after the limit has reached all VMs. */
+  maxSendsInWindow(fromMs = this.firstLimitAtMs + PROPAGATION_MS): number {
+    return Math.max(...this.targets.map((target) => this.maxSendsTo(target, fromMs)));
   }
 
-  /** Part of what the targets allow in a span of time that was sent. */
-  usedIn(fromMs: number, toMs: number, perSecond: number): number {
+  /** Sends in a time span as a share of the sends that the targets allow. */
+  shareOfRateUsed(fromMs: number, toMs: number, perSecond: number): number {
     const sent = this.sends.filter(({ atMs }) => atMs >= fromMs && atMs < toMs).length;
     return sent / ((this.targets.length * perSecond * (toMs - fromMs)) / 1_000);
   }
 
-  private mostAt(target: string, fromMs: number): number {
+  private maxSendsTo(target: string, fromMs: number): number {
     const times = this.sends.filter((send) => send.target === target).map(({ atMs }) => atMs);
     const counted = times.filter((atMs) => atMs >= fromMs);
     return Math.max(
@@ -247,21 +260,21 @@
     );
   }
 
-  private dropOverdue(): void {
+  private dropExpired(): void {
     for (const vm of this.vms) {
       const left = vm.waiting.filter(({ untilMs }) => untilMs > this.now);
-      this.overdue += vm.waiting.length - left.length;
+      this.expiredCount += vm.waiting.length - left.length;
       vm.waiting = left;
     }
   }
 
   private createVm(name: string): Vm {
-    return new Vm(this, name, () => this.createPermits(name));
+    return new Vm(this, name, () => this.createLimiter(name));
   }
 
-  private createPermits(name: string): Permits {
-    const { createPermits = (parts) => new SendPermits(parts) } = this.options;
-    return createPermits({
+  private createLimiter(name: string): Limiter {
+    const { createLimiter = (parts) => new SendLimiter(parts) } = this.options;
+    return createLimiter({
       size: this.options.size,
       fleet: this.createLinks(name),
       targets: {
@@ -278,7 +291,7 @@
 
   private startTimer(name: string, delayMs: number, run: () => void): () => void {
     let isOver = false;
-    this.inTime(name, delayMs, () => {
+    this.scheduleAt(name, delayMs, () => {
       if (!isOver) {
         run();
       }
@@ -289,61 +302,69 @@
   }
 
   private createLinks(self: string): LimitFleet {
-    const reaches = (vm: Vm): boolean => vm.isUp && !this.isCut(self, vm.name);
-    const isKnown = (vm: Vm): boolean => this.now - vm.goneAtMs < FORGET_AFTER_MS;
-    const speaks = (vm: Vm): boolean => this.now - vm.goneAtMs < SPEAKS_WITHIN_MS;
+    const isReachable = (vm: Vm): boolean => vm.isUp && !this.isLinkCut(self, vm.name);
+    const isKnown = (vm: Vm): boolean => this.now - vm.killedAtMs < FORGET_AFTER_MS;
+    const isTrusted = (vm: Vm): boolean => this.now - vm.killedAtMs < FAILURE_DETECTION_MS;
     return {
       self,
       countVms: () => this.vms.filter(isKnown).length,
-      countReached: () => this.vms.filter(reaches).length,
+      countReachableVms: () => this.vms.filter(isReachable).length,
       chooseGrantor: () => {
-        const grantor = this.vms.find(speaks);
-        return grantor !== undefined && reaches(grantor) ? grantor.name : undefined;
+        const grantor = this.vms.find(isTrusted);
+        return grantor !== undefined && isReachable(grantor) ? grantor.name : undefined;
       },
-      send: (vm, message) => this.carry(self, vm, message),
-      publishLimits: (facts, from) =>
-        this.listGossip(self)
+      send: (vm, message) => this.sendMessage(self, vm, message),
+      publishLimits: (updates, from) =>
+        this.listGossipPeers(self)
           .filter((peer) => peer !== from)
-          .forEach((peer) => this.tell(self, peer, facts)),
-      sendLimitCorrection: (vm, facts) => this.tell(self, vm, facts),
+          .forEach((peer) => this.sendUpdates(self, peer, updates)),
+      sendLimitCorrection: (vm, updates) => this.sendUpdates(self, vm, updates),
     };
   }
 
-  private listGossip(self: string): string[] {
+  private listGossipPeers(self: string): string[] {
     const index = this.vms.findIndex(({ name }) => name === self);
     const others = this.vms.map((_, step) => this.vms[(index + step) % this.vms.length]!.name);
     const step = Math.max(1, Math.floor(others.length / GOSSIP_PEERS));
-    return others.slice(1).filter((_, place) => place % step === 0);
+    return others.slice(1).filter((_, index) => index % step === 0);
   }
 
-  private tell(from: string, to: string, facts: Parameters<Permits['onPeerUpdate']>[1]): void {
-    this.transmit(from, to, (vm) => vm.permits.onPeerUpdate(from, this.age(facts)));
+  private sendUpdates(
+    from: string,
+    to: string,
+    updates: Parameters<Limiter['onPeerUpdate']>[1],
+  ): void {
+    this.transmit(from, to, (vm) => vm.limiter.onPeerUpdate(from, this.roundTimes(updates)));
   }
 
-  /** Spans are rounded on their way. */
-  private age(facts: Parameters<Permits['onPeerUpdate']>[1]) {
-    return facts.map((fact) => ({ ...fact, askedAtMs: Math.round(fact.askedAtMs) }));
+  /** Rounds times as the codec of the messages does. */
+  private roundTimes(updates: Parameters<Limiter['onPeerUpdate']>[1]) {
+    return updates.map((update) => ({ ...update, askedAtMs: Math.round(update.askedAtMs) }));
   }
 
-  private carry(from: string, to: string, message: PermitMessage): void {
-    this.transmit(from, to, (vm) => vm.permits.hear(from, message));
+  private sendMessage(from: string, to: string, message: PermitMessage): void {
+    this.transmit(from, to, (vm) => vm.limiter.onMessage(from, message));
   }
 
   private transmit(from: string, to: string, deliver: (vm: Vm) => void): void {
-    this.messages += 1;
+    this.messageCount += 1;
     const vm = this.vms.find(({ name }) => name === to);
-    if (vm === undefined || this.isCut(from, to)) {
+    if (vm === undefined || this.isLinkCut(from, to)) {
       return;
     }
-    this.inTime(to, LINK_MS + this.draw() * (SLOW_LINK_MS - LINK_MS), () => deliver(vm));
+    this.scheduleAt(
+      to,
+      MIN_LINK_DELAY_MS + this.draw() * (MAX_LINK_DELAY_MS - MIN_LINK_DELAY_MS),
+      () => deliver(vm),
+    );
   }
 
-  /** Runs at a VM that is up, when it is not frozen. */
-  private inTime(name: string, delayMs: number, run: () => void): void {
-    this.at(this.now + Math.max(0, delayMs), () => {
+  /** Runs an action of a VM after a delay, once it is not frozen, unless it was killed. */
+  private scheduleAt(name: string, delayMs: number, run: () => void): void {
+    this.schedule(this.now + Math.max(0, delayMs), () => {
       const vm = this.vms?.find((one) => one.name === name);
       if (vm !== undefined && vm.frozenUntilMs > this.now) {
-        this.at(vm.frozenUntilMs, run);
+        this.schedule(vm.frozenUntilMs, run);
       } else if (vm?.isUp === true) {
         run();
       }
--- a/packages/permit-sends/src/index.ts
+++ b/packages/permit-sends/src/index.ts
@@ -1,6 +1,6 @@
-/** Keeps the sends of all VMs to a target within the rate that the target named. */
-export { default as SendPermits } from './send-permits.js';
-export type { SendPermitsOptions } from './send-permits.js';
+/** Keeps the sends of all VMs to a target within the rate limit that the target advertises. */
+export { default as SendLimiter } from './send-limiter.js';
+export type { SendLimiterOptions } from './send-limiter.js';
 export type { LimitFleet, PermitTargets } from './permit-ports.js';
-export type { LimitFact } from './limit-book.js';
+export type { LimitUpdate as LimitFact } from './limit-table.js';
 export type { AskPermits, GivePermits, PermitMessage, ReturnPermit } from './permit-messages.js';
--- a/packages/permit-sends/src/permit-messages.ts
+++ b/packages/permit-sends/src/permit-messages.ts
@@ -1,10 +1,10 @@
-/** What VMs say to each other about permits. Spans in place of times, since each VM's clock is its own. */
+/** Messages between VMs about permits. They carry durations instead of times, since the clocks of VMs differ. */
 import type { Millis } from '@limelead/types';
 
-/** Asks the grantor of a service; replaces what the VM asked for before. */
+/** Requests permits from the grantor of a service; replaces the previous permit request of the VM. */
 export interface AskPermits {
   service: string;
-  /** Asks of one VM are numbered from 1. */
+  /** Number of the permit request; each VM counts from 1. */
   number: number;
   wants: { id: number; rank: number; leftMs: Millis }[];
   avoid: string[];
@@ -12,22 +12,22 @@
   received: number;
 }
 
-/** What the grantor gives the VM, and that it got its ask. */
+/** Acknowledges a permit request, and carries the grants and refusals for the VM. */
 export interface GivePermits {
   service: string;
-  /** The last ask of the VM that the grantor got. */
+  /** Number of the last permit request that the grantor received from the VM. */
   number: number;
   grants: { want: number; target: string }[];
   refusals: { want: number; retryAfterMs: Millis }[];
 }
 
-/** The VM had no use for a permit. */
+/** Returns an unused permit. */
 export interface ReturnPermit {
   service: string;
   target: string;
 }
 
-/** One of the three. */
+/** Any message about permits. */
 export type PermitMessage =
   | ({ kind: 'ask-permits' } & AskPermits)
   | ({ kind: 'give-permits' } & GivePermits)
--- a/packages/permit-sends/src/permit-ports.ts
+++ b/packages/permit-sends/src/permit-ports.ts
@@ -1,31 +1,31 @@
-/** What permits need of the fleet and of its targets. */
-import type { LimitFact } from './limit-book.js';
+/** Interfaces to the fleet and its targets that the rate limiter depends on. */
+import type { LimitUpdate } from './limit-table.js';
 import type { PermitMessage } from './permit-messages.js';
 
 /** The VMs of the fleet. */
 export interface PermitFleet {
   self: string;
-  /** VMs that are believed to run, this one included. */
+  /** Number of VMs that are considered running, including this one. */
   countVms(): number;
-  /** Those of them that can ask this one, itself included. */
-  countReached(): number;
-  /** The VM that grants the permits of a service for all; undefined where it can't be reached. */
+  /** Number of those that are linked to this VM, including itself. */
+  countReachableVms(): number;
+  /** The VM that grants the permits of a service for all VMs; undefined if it can't be reached. */
   chooseGrantor(service: string): string | undefined;
   send(vm: string, message: PermitMessage): void;
 }
 
-/** The VMs of the fleet, and how news of limits reach them. */
+/** The VMs of the fleet, and the gossip of limits. */
 export interface LimitFleet extends PermitFleet {
-  /** Tells other VMs, the one that told it aside. */
-  publishLimits(facts: LimitFact[], from?: string): void;
-  /** Tells one VM. */
-  sendLimitCorrection(vm: string, facts: LimitFact[]): void;
+  /** Sends updates to all peers except the one that they came from. */
+  publishLimits(updates: LimitUpdate[], from?: string): void;
+  /** Sends newer updates to a peer that sent outdated ones. */
+  sendLimitCorrection(vm: string, updates: LimitUpdate[]): void;
 }
 
-/** The targets, as this VM knows them. */
+/** The targets known to this VM. */
 export interface PermitTargets {
-  /** Service of a target; undefined where it is not known. */
+  /** Service of a target; undefined if the target is unknown. */
   serviceOf(target: string): string | undefined;
-  /** Targets of a service that take work. */
+  /** Targets of a service that accept requests. */
   listUsable(service: string): readonly string[];
 }
--- a/packages/permit-sends/src/rate-bucket.ts
+++ b/packages/permit-sends/src/rate-bucket.ts
@@ -1,21 +1,18 @@
-/** The permits of one target, one after the other at its rate (GCRA). */
+/** Spaces the permits of one target evenly at its rate (GCRA). */
 import type { Millis } from '@limelead/types';
 
 const SECOND_MS: Millis = 1_000;
-/**
- * A target that takes nothing is tried this rarely, in requests a second: only the answer to a
- * request can tell that its need is over.
- */
-const TRIAL_PER_SECOND = 1 / 30;
+/** Rate of probes to a target with a limit of 0, since only a response can lift the limit. */
+const PROBE_PER_SECOND = 1 / 30;
 
-/** Gives out permits by time. */
+/** Rate limiter without burst. */
 export default class RateBucket {
   private intervalMs: Millis;
   private nextAtMs: Millis;
 
   /**
-   * @param perSecond permits a second; 0 for trials only
-   * @param firstAfter when the first one is due, in times between two
+   * @param perSecond permits a second; 0 for probes only
+   * @param firstAfter delay of the first permit, in intervals between permits
    */
   constructor(perSecond: number, now: Millis, firstAfter: number) {
     this.intervalMs = toInterval(perSecond);
@@ -32,23 +29,23 @@
     return SECOND_MS / this.intervalMs;
   }
 
-  /** Takes one; what was not taken in time is not made up for. */
-  take(now: Millis): void {
+  /** Takes one permit; permits that were not taken in time do not accumulate. */
+  consume(now: Millis): void {
     this.nextAtMs = Math.max(this.nextAtMs, now) + this.intervalMs;
   }
 
-  /** One that was taken was not used. */
-  giveBack(): void {
+  /** Puts back a permit that was taken and not used. */
+  restore(): void {
     this.nextAtMs -= this.intervalMs;
   }
 
-  /** None is due before that time, in times between two. */
+  /** Delays the next permit by at least that many intervals. */
   postpone(now: Millis, firstAfter: number): void {
     this.nextAtMs = Math.max(this.nextAtMs, now + this.intervalMs * firstAfter);
   }
 
-  /** Permits come at another rate; what was waited for of the next one counts. */
-  change(perSecond: number, now: Millis): void {
+  /** Changes the rate and scales the time left until the next permit. */
+  setRate(perSecond: number, now: Millis): void {
     const intervalMs = toInterval(perSecond);
     const leftMs = Math.max(0, this.nextAtMs - now);
     this.nextAtMs = now + (leftMs * intervalMs) / this.intervalMs;
@@ -57,5 +54,5 @@
 }
 
 function toInterval(perSecond: number): Millis {
-  return SECOND_MS / Math.max(perSecond, TRIAL_PER_SECOND);
+  return SECOND_MS / Math.max(perSecond, PROBE_PER_SECOND);
 }
--- a/packages/permit-sends/src/service-permits.ts
+++ b/packages/permit-sends/src/service-permits.ts
@@ -1,6 +1,6 @@
 /**
- * The permits of one service as one VM sees them: it asks the VM that grants them for all, is asked
- * where that is this one, and keeps to its own part of the rates where nobody answers.
+ * Permits of one service at one VM. The VM requests permits from the grantor, or grants them for
+ * all VMs where it is the grantor itself. Without an answer it keeps to its share of the rates.
  */
 import type { LimitedLines } from '@limelead/decision-log';
 import type {
@@ -12,237 +12,241 @@
   Timers,
   Want,
 } from '@limelead/types';
-import AskBook from './ask-book.js';
-import type { PermitAsk, PermitDecision } from './permit-grantor.js';
+import PermitRequestTracker from './permit-request-tracker.js';
+import type { PermitRequest, PermitDecision } from './permit-grantor.js';
 import type { AskPermits, GivePermits } from './permit-messages.js';
 import type { PermitFleet } from './permit-ports.js';
 import TimedGrantor from './timed-grantor.js';
 
-/** A VM that waits asks anew this often, so that what got lost is noticed. */
-const REFRESH_MS: Millis = 200;
-/** Least time between two asks, for each VM that there is: one VM answers those of all. */
-const ASK_PAUSE_PER_VM_MS: Millis = 0.5;
-/** Time for an answer: several round trips between failure domains. */
-const ANSWER_MS: Millis = 150;
-/** Requests that one ask names at most; those behind them wait until these are served. */
-const MOST_WANTS = 50;
-/** A permit for the next request that comes, behind all that wait. */
-const SPARE_WANT = 0;
-const SPARE_RANK = 1_000_000;
-/** Time between two asks for a spare permit: it shows whether the need of the target is over. */
-const SPARE_PAUSE_MS: Millis = 1_000;
-/** A spare permit lapses, so that its send is not moved into another span of time. */
-const SPARE_LIFE_MS: Millis = 250;
-
-const NOTHING = { grants: [], refusals: [] };
-
-/** What one service's permits need. */
+/** Interval at which a VM with waiting requests repeats its permit request, so that a lost message is noticed. */
+const REQUEST_REFRESH_MS: Millis = 200;
+/** Minimum time between two permit requests, multiplied by the number of VMs, since one grantor answers them all. */
+const MIN_REQUEST_PAUSE_PER_VM_MS: Millis = 0.5;
+/** Time for an answer: several round trips between failure domains. After it the VM grants locally. */
+const ANSWER_TIMEOUT_MS: Millis = 150;
+/** Maximum number of waiting requests that one permit request names; the others wait until these are served. */
+const MAX_WANTS = 50;
+/** Id and rank of a spare permit, which is for the next arriving request and ranks after all waiting requests. */
+const SPARE_PERMIT_ID = 0;
+const SPARE_PERMIT_RANK = 1_000_000;
+/** Minimum time between two spare permits; a request sent with one shows whether the target still has a limit. */
+const SPARE_REQUEST_PAUSE_MS: Millis = 1_000;
+/** An unused permit expires, so that its send does not fall into a later rate window. */
+const PERMIT_TTL_MS: Millis = 250;
+
+const NO_DECISIONS = { grants: [], refusals: [] };
+
+/** Dependencies of `ServicePermits`. */
 export interface ServicePermitsOptions {
   service: string;
   fleet: PermitFleet;
   clock: Clock;
   timers: Timers;
   random: Random;
-  /** Targets that name limits, with the permits a second that are granted to those of all VMs who ask. */
-  takeRates(): ReadonlyMap<string, number>;
-  /** Requests that wait at this VM, in the order in which they are served. */
-  listWants(): readonly Want[];
-  /** Targets that this VM can't send to now, of those that name limits. */
+  /** Updates the local allowance; returns the rest of each limited target's rate, in permits a second. */
+  updateRates(): ReadonlyMap<string, number>;
+  /** Waiting requests of this VM, in the order in which they are served. */
+  listWaiting(): readonly Want[];
+  /** Limited targets that this VM can't send to now. */
   listAvoided(): ReadonlySet<string>;
-  /** Whether all targets that take work name limits. */
-  isAllLimited(): boolean;
-  /** Gives a permit; false where no request had a use for it. */
+  /** Whether all usable targets of the service have limits. */
+  isEveryTargetLimited(): boolean;
+  /** A permit was granted; returns false if no waiting request used it. */
   onGranted(target: string, untilMs: Millis): boolean;
-  /** A spare permit came. */
-  onSpare(target: string, untilMs: Millis): void;
+  /** A spare permit was granted. */
+  onSparePermit(target: string, untilMs: Millis): void;
   onRefused(want: number, refusal: PermitRefusal): void;
   count(outcome: 'granted' | 'returned' | 'stale' | 'refused'): void;
-  noteAlone: LimitedLines;
+  logIsolation: LimitedLines;
 }
 
-/** Asks, grants and keeps to the own part. */
+/** Requests, grants and uses the permits of one service. */
 export default class ServicePermits {
-  /** Serves all VMs while this one grants. */
-  private readonly forAll: TimedGrantor;
-  /** Serves this VM alone, with its part of the rates, while no grantor answers. */
-  private readonly alone: TimedGrantor;
+  /** Serves all VMs while this VM is the grantor. */
+  private readonly fleetGrantor: TimedGrantor;
+  /** Serves only this VM, with its share of the rates, while no grantor answers. */
+  private readonly localGrantor: TimedGrantor;
   private isGrantor = false;
-  private isAlone = false;
-  private readonly asks: AskBook;
-  /** Number of the last ask of each VM. */
-  private readonly heard = new Map<string, number>();
-  private lastAskAtMs: Millis = -Infinity;
+  private isIsolated = false;
+  private readonly sentRequests: PermitRequestTracker;
+  /** Number of the last permit request of each VM. */
+  private readonly lastNumberByVm = new Map<string, number>();
+  private lastRequestAtMs: Millis = -Infinity;
   private unansweredSinceMs: Millis | undefined;
-  private wantedSpareAtMs: Millis = -Infinity;
-  private hasAsked = false;
-  private askDueAtMs: Millis = Infinity;
-  private cancelAsk: CancelTimer | undefined;
+  private spareWantedAtMs: Millis = -Infinity;
+  private hasOpenRequest = false;
+  private nextRequestAtMs: Millis = Infinity;
+  private cancelNextRequest: CancelTimer | undefined;
 
   constructor(private readonly options: ServicePermitsOptions) {
     const { random } = options;
-    this.asks = new AskBook(options.clock);
-    this.forAll = new TimedGrantor({
+    this.sentRequests = new PermitRequestTracker(options.clock);
+    this.fleetGrantor = new TimedGrantor({
       ...options,
-      drawFirst: () => 1,
-      onDecision: (decision) => this.share(decision),
+      drawFirstDelay: () => 1,
+      onDecision: (decision) => this.distribute(decision),
     });
-    this.alone = new TimedGrantor({
+    this.localGrantor = new TimedGrantor({
       ...options,
-      drawFirst: () => random.next(),
-      onDecision: (decision) => this.takeOwn(decision, this.alone),
+      drawFirstDelay: () => random.next(),
+      onDecision: (decision) => this.applyOwnDecision(decision, this.localGrantor),
     });
   }
 
-  /** Requests that wait at this VM for all others. */
-  get waiting(): number {
-    return this.forAll.waiting;
+  /** Waiting requests of all VMs that this VM knows as their grantor. */
+  get waitingCount(): number {
+    return this.fleetGrantor.waitingCount;
   }
 
-  /** Requests of this VM wait, or no longer. */
+  /** The waiting requests of this VM changed. */
   onQueueChanged(): void {
-    const pauseMs = this.options.fleet.countVms() * ASK_PAUSE_PER_VM_MS;
-    this.askAt(Math.max(this.now, this.lastAskAtMs + pauseMs));
+    const pauseMs = this.options.fleet.countVms() * MIN_REQUEST_PAUSE_PER_VM_MS;
+    this.scheduleRequest(Math.max(this.now, this.lastRequestAtMs + pauseMs));
   }
 
-  /** A request went to a target without a limit, while others of the service name some. */
-  recordSendElsewhere(): void {
-    if (this.now - this.wantedSpareAtMs >= SPARE_PAUSE_MS) {
-      this.wantedSpareAtMs = this.now;
+  /** A request was sent to a target without a limit, while other targets of the service have limits. */
+  recordUnlimitedSend(): void {
+    if (this.now - this.spareWantedAtMs >= SPARE_REQUEST_PAUSE_MS) {
+      this.spareWantedAtMs = this.now;
       this.onQueueChanged();
     }
   }
 
-  /** A target names another rate. */
-  onRates(): void {
+  /** The rate of a target changed. */
+  onRatesChanged(): void {
     this.applyRates();
-    this.forAll.decide();
+    this.fleetGrantor.decide();
     this.onQueueChanged();
   }
 
-  /** A VM asks this one, which answers only where it grants for all. */
-  onAsk(vm: string, { number, wants, avoid, mayRefuse, received }: AskPermits): void {
+  /** A VM requests permits; ignored unless this VM is the grantor. */
+  onRequest(vm: string, { number, wants, avoid, mayRefuse, received }: AskPermits): void {
     if (this.options.fleet.chooseGrantor(this.options.service) !== this.options.fleet.self) {
       this.isGrantor = false;
       return;
     }
-    this.beginGranting();
-    this.heard.set(vm, number);
+    this.startGranting();
+    this.lastNumberByVm.set(vm, number);
     const now = this.now;
-    const told = wants.map(({ id, rank, leftMs }) => ({ id, rank, untilMs: now + leftMs }));
-    this.forAll.take({ vm, wants: told, avoid: new Set(avoid), mayRefuse, received });
-    // The asker has to see that its ask was heard, also where there is nothing to give.
-    this.give(vm, NOTHING);
-    this.forAll.decide();
+    const timed = wants.map(({ id, rank, leftMs }) => ({ id, rank, untilMs: now + leftMs }));
+    this.fleetGrantor.setRequest({ vm, wants: timed, avoid: new Set(avoid), mayRefuse, received });
+    // Acknowledges the permit request, even if nothing can be granted yet.
+    this.sendDecision(vm, NO_DECISIONS);
+    this.fleetGrantor.decide();
   }
 
-  /** The grantor answered. */
-  onGiven(vm: string, { number, grants, refusals }: GivePermits): void {
-    if (!this.asks.receive(vm, number, grants.length)) {
+  /** A grantor answered. */
+  onGrants(vm: string, { number, grants, refusals }: GivePermits): void {
+    if (!this.sentRequests.recordGrants(vm, number, grants.length)) {
       grants.forEach(() => this.options.count('stale'));
       return;
     }
     this.unansweredSinceMs = undefined;
-    this.leaveAlone();
+    this.endIsolation();
     grants.forEach(({ want, target }) =>
-      this.use(want, target, (unused) => this.return(vm, unused)),
+      this.applyGrant(want, target, (unused) => this.returnPermit(vm, unused)),
     );
     refusals.forEach(({ want, retryAfterMs }) =>
-      this.refuse(want, { retryAfterMs, grantedBy: vm }),
+      this.applyRefusal(want, { retryAfterMs, grantedBy: vm }),
     );
   }
 
-  /** A VM had no use for a permit. */
-  onReturned(vm: string, target: string): void {
-    this.forAll.giveBack(vm, target);
+  /** A VM returns a permit that it did not use. */
+  onPermitReturned(vm: string, target: string): void {
+    this.fleetGrantor.returnPermit(vm, target);
   }
 
   /** The link to a VM is lost. */
   onVmLost(vm: string): void {
-    this.forAll.forget(vm);
-    this.heard.delete(vm);
-    this.asks.forget(vm);
+    this.fleetGrantor.forget(vm);
+    this.lastNumberByVm.delete(vm);
+    this.sentRequests.forget(vm);
   }
 
   private get now(): Millis {
     return this.options.clock.now();
   }
 
-  /** Asks then, or earlier where that is due already. */
-  private askAt(atMs: Millis): void {
-    if (this.askDueAtMs <= atMs) {
+  /** Sends a permit request at that time, unless an earlier one is scheduled. */
+  private scheduleRequest(atMs: Millis): void {
+    if (this.nextRequestAtMs <= atMs) {
       return;
     }
-    this.cancelAsk?.();
-    this.askDueAtMs = atMs;
-    this.cancelAsk = this.options.timers.after(atMs - this.now, () => {
-      this.askDueAtMs = Infinity;
-      this.ask();
+    this.cancelNextRequest?.();
+    this.nextRequestAtMs = atMs;
+    this.cancelNextRequest = this.options.timers.after(atMs - this.now, () => {
+      this.nextRequestAtMs = Infinity;
+      this.requestPermits();
     });
   }
 
-  /** Asks for all that wait, and goes on while some do. */
-  private ask(): void {
-    const wants = this.options.takeRates().size === 0 ? [] : this.listWants();
-    if (wants.length === 0 && !this.hasAsked) {
+  /** Requests permits for all waiting requests, and repeats that while there are any. */
+  private requestPermits(): void {
+    const wants = this.options.updateRates().size === 0 ? [] : this.listWaiting();
+    if (wants.length === 0 && !this.hasOpenRequest) {
       return;
     }
-    this.hasAsked = wants.length > 0;
-    this.lastAskAtMs = this.now;
-    this.route(wants);
-    if (this.hasAsked) {
-      this.askAt(this.now + REFRESH_MS);
+    this.hasOpenRequest = wants.length > 0;
+    this.lastRequestAtMs = this.now;
+    this.routeRequest(wants);
+    if (this.hasOpenRequest) {
+      this.scheduleRequest(this.now + REQUEST_REFRESH_MS);
     }
   }
 
-  private listWants(): Want[] {
-    const wants = this.options.listWants().slice(0, MOST_WANTS);
-    const spareUntilMs = this.wantedSpareAtMs + SPARE_LIFE_MS;
+  private listWaiting(): Want[] {
+    const wants = this.options.listWaiting().slice(0, MAX_WANTS);
+    const spareUntilMs = this.spareWantedAtMs + PERMIT_TTL_MS;
     return spareUntilMs > this.now
-      ? [...wants, { id: SPARE_WANT, rank: SPARE_RANK, untilMs: spareUntilMs }]
+      ? [...wants, { id: SPARE_PERMIT_ID, rank: SPARE_PERMIT_RANK, untilMs: spareUntilMs }]
       : wants;
   }
 
-  private route(wants: Want[]): void {
+  private routeRequest(wants: Want[]): void {
     const { service, fleet } = this.options;
     const grantor = fleet.chooseGrantor(service);
     this.isGrantor &&= grantor === fleet.self;
     if (grantor === fleet.self) {
-      this.beginGranting();
-      this.leaveAlone();
+      this.startGranting();
+      this.endIsolation();
       this.unansweredSinceMs = undefined;
-      this.askOwn(this.forAll, wants);
+      this.requestLocally(this.fleetGrantor, wants);
       return;
     }
     if (grantor !== undefined) {
-      this.askPeer(grantor, wants);
+      this.requestFromPeer(grantor, wants);
     }
-    if (this.isAlone || grantor === undefined) {
-      this.actAlone(wants, grantor);
+    if (this.isIsolated || grantor === undefined) {
+      this.grantLocally(wants, grantor);
     }
   }
 
-  private askOwn(grantor: TimedGrantor, wants: Want[]): void {
-    grantor.take({ ...this.describeAsk(wants), vm: this.options.fleet.self, received: Infinity });
+  private requestLocally(grantor: TimedGrantor, wants: Want[]): void {
+    grantor.setRequest({
+      ...this.describeRequest(wants),
+      vm: this.options.fleet.self,
+      received: Infinity,
+    });
     grantor.decide();
   }
 
-  private describeAsk(wants: Want[]): Pick<PermitAsk, 'wants' | 'avoid' | 'mayRefuse'> {
-    const { listAvoided, isAllLimited } = this.options;
-    return { wants, avoid: listAvoided(), mayRefuse: isAllLimited() };
+  private describeRequest(wants: Want[]): Pick<PermitRequest, 'wants' | 'avoid' | 'mayRefuse'> {
+    const { listAvoided, isEveryTargetLimited } = this.options;
+    return { wants, avoid: listAvoided(), mayRefuse: isEveryTargetLimited() };
   }
 
-  private askPeer(grantor: string, wants: Want[]): void {
+  private requestFromPeer(grantor: string, wants: Want[]): void {
     const { service, fleet, timers } = this.options;
     const now = this.now;
     if (this.unansweredSinceMs === undefined) {
       this.unansweredSinceMs = now;
-      timers.after(ANSWER_MS, () => this.checkAnswer(grantor));
+      timers.after(ANSWER_TIMEOUT_MS, () => this.checkAnswer(grantor));
     }
-    const { avoid, mayRefuse } = this.describeAsk(wants);
+    const { avoid, mayRefuse } = this.describeRequest(wants);
     fleet.send(grantor, {
       kind: 'ask-permits',
       service,
-      number: this.asks.begin(),
+      number: this.sentRequests.startRequest(),
       wants: wants.map(({ id, rank, untilMs }) => ({
         id,
         rank,
@@ -250,72 +254,72 @@
       })),
       avoid: [...avoid],
       mayRefuse,
-      received: this.asks.countFrom(grantor),
+      received: this.sentRequests.countGrantsFrom(grantor),
     });
   }
 
   private checkAnswer(grantor: string): void {
     const sinceMs = this.unansweredSinceMs;
-    if (sinceMs !== undefined && this.now - sinceMs >= ANSWER_MS) {
-      this.actAlone(this.listWants(), grantor);
+    if (sinceMs !== undefined && this.now - sinceMs >= ANSWER_TIMEOUT_MS) {
+      this.grantLocally(this.listWaiting(), grantor);
     }
   }
 
-  /** Keeps to the own part of the rates: what others send can't be known now. */
-  private actAlone(wants: Want[], grantor: string | undefined): void {
-    if (!this.isAlone) {
-      const { service, fleet, noteAlone } = this.options;
-      this.isAlone = true;
+  /** Keeps to this VM's share of the rates, since the sends of other VMs are unknown. */
+  private grantLocally(wants: Want[], grantor: string | undefined): void {
+    if (!this.isIsolated) {
+      const { service, fleet, logIsolation } = this.options;
+      this.isIsolated = true;
       this.applyRates();
-      this.alone.restart();
-      noteAlone({ service, grantor, isAlone: true, vms: fleet.countVms() });
+      this.localGrantor.postponeAll();
+      logIsolation({ service, grantor, isAlone: true, vms: fleet.countVms() });
     }
-    this.askOwn(this.alone, wants);
+    this.requestLocally(this.localGrantor, wants);
   }
 
-  private leaveAlone(): void {
-    if (this.isAlone) {
-      this.isAlone = false;
-      this.alone.forget(this.options.fleet.self);
-      this.options.noteAlone({ service: this.options.service, isAlone: false });
+  private endIsolation(): void {
+    if (this.isIsolated) {
+      this.isIsolated = false;
+      this.localGrantor.forget(this.options.fleet.self);
+      this.options.logIsolation({ service: this.options.service, isAlone: false });
     }
   }
 
-  private beginGranting(): void {
+  private startGranting(): void {
     this.applyRates();
     if (!this.isGrantor) {
       this.isGrantor = true;
-      this.forAll.restart();
+      this.fleetGrantor.postponeAll();
     }
   }
 
-  /** VMs that can't ask this one may be granted permits by another. */
+  /** Reduces the fleet rate by the share of VMs that can't reach this one: another VM may grant them permits. */
   private applyRates(): void {
     const { fleet } = this.options;
     const vms = Math.max(1, fleet.countVms());
-    const rates = this.options.takeRates();
-    this.forAll.setRates(scale(rates, Math.min(1, fleet.countReached() / vms)));
-    this.alone.setRates(scale(rates, 1 / vms));
+    const rates = this.options.updateRates();
+    this.fleetGrantor.setRates(scale(rates, Math.min(1, fleet.countReachableVms() / vms)));
+    this.localGrantor.setRates(scale(rates, 1 / vms));
   }
 
-  /** Gives each VM its part of what was decided for all. */
-  private share(decision: PermitDecision): void {
+  /** Sends each VM the part of a decision that concerns it. */
+  private distribute(decision: PermitDecision): void {
     const vms = new Set([...decision.grants, ...decision.refusals].map(({ vm }) => vm));
     for (const vm of vms) {
       if (vm === this.options.fleet.self) {
-        this.takeOwn(decision, this.forAll);
+        this.applyOwnDecision(decision, this.fleetGrantor);
       } else {
-        this.give(vm, decision);
+        this.sendDecision(vm, decision);
       }
     }
   }
 
-  private give(vm: string, { grants, refusals }: Omit<PermitDecision, 'nextAtMs'>): void {
+  private sendDecision(vm: string, { grants, refusals }: Omit<PermitDecision, 'nextAtMs'>): void {
     const { service, fleet } = this.options;
     fleet.send(vm, {
       kind: 'give-permits',
       service,
-      number: this.heard.get(vm) ?? 0,
+      number: this.lastNumberByVm.get(vm) ?? 0,
       grants: grants
         .filter((grant) => grant.vm === vm)
         .map(({ want, target }) => ({ want, target })),
@@ -325,37 +329,39 @@
     });
   }
 
-  private takeOwn({ grants, refusals }: PermitDecision, from: TimedGrantor): void {
+  private applyOwnDecision({ grants, refusals }: PermitDecision, from: TimedGrantor): void {
     const { self } = this.options.fleet;
     for (const { vm, want, target } of grants) {
       if (vm === self) {
-        this.use(want, target, (unused) => from.giveBack(self, unused));
+        this.applyGrant(want, target, (unused) => from.returnPermit(self, unused));
       }
     }
     refusals
       .filter(({ vm }) => vm === self)
-      .forEach(({ want, retryAfterMs }) => this.refuse(want, { retryAfterMs, grantedBy: self }));
+      .forEach(({ want, retryAfterMs }) =>
+        this.applyRefusal(want, { retryAfterMs, grantedBy: self }),
+      );
   }
 
-  private use(want: number, target: string, giveBack: (target: string) => void): void {
-    const { count, onGranted, onSpare } = this.options;
+  private applyGrant(want: number, target: string, returnUnused: (target: string) => void): void {
+    const { count, onGranted, onSparePermit } = this.options;
     count('granted');
-    if (want === SPARE_WANT) {
-      this.wantedSpareAtMs = this.now - SPARE_LIFE_MS;
-      onSpare(target, this.now + SPARE_LIFE_MS);
-    } else if (!onGranted(target, this.now + SPARE_LIFE_MS)) {
+    if (want === SPARE_PERMIT_ID) {
+      this.spareWantedAtMs = this.now - PERMIT_TTL_MS;
+      onSparePermit(target, this.now + PERMIT_TTL_MS);
+    } else if (!onGranted(target, this.now + PERMIT_TTL_MS)) {
       count('returned');
-      giveBack(target);
+      returnUnused(target);
     }
     this.onQueueChanged();
   }
 
-  private refuse(want: number, refusal: PermitRefusal): void {
+  private applyRefusal(want: number, refusal: PermitRefusal): void {
     this.options.count('refused');
     this.options.onRefused(want, refusal);
   }
 
-  private return(vm: string, target: string): void {
+  private returnPermit(vm: string, target: string): void {
     const { service, fleet } = this.options;
     fleet.send(vm, { kind: 'return-permit', service, target });
   }
--- a/packages/permit-sends/src/target-limits.ts
+++ b/packages/permit-sends/src/target-limits.ts
@@ -1,5 +1,5 @@
 /**
- * Rate limits that targets advertise, from their answers and from peers. A change is gossiped to
+ * Rate limits that targets advertise, from their responses and from peers. A change is gossiped to
  * the other VMs, each of which forwards it once; a peer with an outdated update is sent the newest.
  */
 import { createLineLimit, type DecisionLog, type LimitedLines } from '@limelead/decision-log';
@@ -11,107 +11,112 @@
   type Random,
   type AdvertisedLimit,
 } from '@limelead/types';
-import LimitBook, { type LimitFact } from './limit-book.js';
+import LimitTable, { type LimitUpdate } from './limit-table.js';
 
 /** Longest time for an update to reach every VM. */
-const NEWS_TRAVEL_MS: Millis = 60_000;
+const MAX_PROPAGATION_MS: Millis = 60_000;
 
-/** What is needed. */
+/** Dependencies of `TargetLimits`. */
 export interface TargetLimitsOptions {
   clock: Clock;
   random: Random;
   log: Pick<DecisionLog, 'write'>;
   metrics: Pick<Metrics, 'count' | 'gauge'>;
-  /** Tells other VMs, the one that told it aside. */
-  publish(facts: LimitFact[], from?: string): void;
-  /** Tells one VM. */
-  sendCorrection(vm: string, facts: LimitFact[]): void;
-  /** A target takes another rate than before. */
+  /** Sends updates to all peers except the one that they came from. */
+  publish(updates: LimitUpdate[], from?: string): void;
+  /** Sends newer updates to a peer that sent outdated ones. */
+  sendCorrection(vm: string, updates: LimitUpdate[]): void;
+  /** The limit of a target changed. */
   onChange(target: string): void;
 }
 
-/** Hears answers and other VMs. */
+/** Tracks the limits of all targets and gossips their changes. */
 export default class TargetLimits {
-  private readonly book = new LimitBook();
+  private readonly table = new LimitTable();
   /**
-   * Updates that were handled. Each hop makes an update seem younger by its time in transit: two of
-   * the same moment would overtake each other from VM to VM without end.
+   * Marks of handled updates. Each hop makes an update seem younger by its time in transit, so two
+   * updates of the same moment would otherwise replace each other from VM to VM forever.
    */
-  private readonly seen = new RecentTimes(NEWS_TRAVEL_MS);
-  private readonly ownMarks: string;
+  private readonly handledUpdates = new RecentTimes(MAX_PROPAGATION_MS);
+  private readonly markPrefix: string;
   private lastMark = 0;
-  private readonly noteUnreadable: LimitedLines;
-  private readonly noteChange: LimitedLines;
+  private readonly logUnreadable: LimitedLines;
+  private readonly logChange: LimitedLines;
 
   constructor(private readonly options: TargetLimitsOptions) {
     const { clock, random, log, metrics } = options;
-    this.ownMarks = String(random.next());
-    this.noteUnreadable = createLineLimit(log, clock, 'target-limit-unreadable');
-    this.noteChange = createLineLimit(log, clock, 'target-limit-changed');
-    metrics.gauge('limelead_limited_targets', () => this.book.limited.size);
+    this.markPrefix = String(random.next());
+    this.logUnreadable = createLineLimit(log, clock, 'target-limit-unreadable');
+    this.logChange = createLineLimit(log, clock, 'target-limit-changed');
+    metrics.gauge('limelead_limited_targets', () => this.table.limitedTargets.size);
   }
 
   /** Requests a second that a target takes from all VMs together; undefined without a limit. */
-  read(target: string): number | undefined {
-    return this.book.read(target);
+  getRate(target: string): number | undefined {
+    return this.table.getRate(target);
   }
 
-  /** Targets that name a limit now, with the requests a second. */
-  get limited(): ReadonlyMap<string, number> {
-    return this.book.limited;
+  /** Requests a second of each target that has a limit. */
+  get limitedTargets(): ReadonlyMap<string, number> {
+    return this.table.limitedTargets;
   }
 
-  /** All that is known, for a VM that has just met this one. */
-  list(): LimitFact[] {
-    return this.book.list();
+  /** All known updates, for a newly linked VM. */
+  list(): LimitUpdate[] {
+    return this.table.list();
   }
 
-  /** An answer came to a request that was sent then. */
-  onResponse(target: string, told: AdvertisedLimit, askedAtMs: Millis): void {
-    if (told.kind === 'unreadable') {
-      this.noteUnreadable({ target, text: told.text });
+  /**
+   * Handles the limit in a target's response.
+   * @param askedAtMs when the request was sent
+   */
+  onResponse(target: string, limit: AdvertisedLimit, askedAtMs: Millis): void {
+    if (limit.kind === 'unreadable') {
+      this.logUnreadable({ target, text: limit.text });
     }
-    const perSecond = told.kind === 'rate' ? told.perSecond : undefined;
+    const perSecond = limit.kind === 'rate' ? limit.perSecond : undefined;
     this.lastMark += 1;
-    this.take({ target, perSecond, askedAtMs, mark: `${this.ownMarks}.${this.lastMark}` });
+    this.applyUpdate({ target, perSecond, askedAtMs, mark: `${this.markPrefix}.${this.lastMark}` });
   }
 
-  /** Another VM told what it knows. */
-  onPeerUpdate(vm: string, facts: LimitFact[]): void {
+  /** Handles updates of a peer. */
+  onPeerUpdate(vm: string, updates: LimitUpdate[]): void {
     const now = this.options.clock.now();
-    for (const fact of facts.filter(({ mark }) => this.seen.ageMs(mark, now) === undefined)) {
-      this.take(fact, vm);
+    for (const update of updates.filter(
+      ({ mark }) => this.handledUpdates.ageMs(mark, now) === undefined,
+    )) {
+      this.applyUpdate(update, vm);
     }
   }
 
-  /** That incarnation is over. */
+  /** Forgets an incarnation that ended. */
   forget(target: string): void {
-    this.book.forget(target);
+    this.table.forget(target);
   }
 
-  private take(fact: LimitFact, vm?: string): void {
-    const outcome = this.book.take(fact);
+  private applyUpdate(update: LimitUpdate, vm?: string): void {
+    const outcome = this.table.apply(update);
     if (outcome.kind !== 'known') {
-      this.seen.note(fact.mark, this.options.clock.now());
+      this.handledUpdates.note(update.mark, this.options.clock.now());
     }
     if (outcome.kind === 'changed') {
-      this.onChanged(fact, outcome.from, vm);
+      this.onChanged(update, outcome.from, vm);
     } else if (outcome.kind === 'outdated' && vm !== undefined) {
       this.options.sendCorrection(vm, [outcome.newest]);
     }
   }
 
-  private onChanged(fact: LimitFact, from: number | undefined, vm: string | undefined): void {
+  private onChanged(update: LimitUpdate, from: number | undefined, vm: string | undefined): void {
     const { clock, metrics, publish, onChange } = this.options;
     metrics.count('limelead_limit_changes_total');
-    this.noteChange({
-      target: fact.target,
+    this.logChange({
+      target: update.target,
       from,
-      to: fact.perSecond,
+      to: update.perSecond,
       source: vm ?? 'answer',
-      askedAgoMs: Math.round(clock.now() - fact.askedAtMs),
+      askedAgoMs: Math.round(clock.now() - update.askedAtMs),
     });
-    onChange(fact.target);
-    publish([fact], vm);
+    onChange(update.target);
+    publish([update], vm);
   }
 }
--- a/packages/permit-sends/src/timed-grantor.ts
+++ b/packages/permit-sends/src/timed-grantor.ts
@@ -1,19 +1,19 @@
-/** Grants permits at their time. */
+/** Runs a `PermitGrantor` on timers. */
 import type { CancelTimer, Clock, Millis, Random, Timers } from '@limelead/types';
-import PermitGrantor, { type PermitAsk, type PermitDecision } from './permit-grantor.js';
+import PermitGrantor, { type PermitRequest, type PermitDecision } from './permit-grantor.js';
 
-/** What it needs. */
+/** Dependencies of `TimedGrantor`. */
 export interface TimedGrantorOptions {
   clock: Clock;
   timers: Timers;
   random: Random;
-  /** When the first permit of a target is due, in times between two. */
-  drawFirst(): number;
-  /** Permits were granted, or requests wait in vain. */
+  /** Delay of a target's first permit, in intervals between permits. */
+  drawFirstDelay(): number;
+  /** Called with every decision, even if it grants and refuses nothing. */
   onDecision(decision: PermitDecision): void;
 }
 
-/** Decides whenever a permit is due or something changed. */
+/** Decides whenever a permit is due or the caller asks for a decision. */
 export default class TimedGrantor {
   private readonly grantor: PermitGrantor;
   private cancelTimer: CancelTimer | undefined;
@@ -22,38 +22,38 @@
     this.grantor = new PermitGrantor(options);
   }
 
-  /** Requests that wait here, of all VMs. */
-  get waiting(): number {
-    return this.grantor.waiting;
+  /** Waiting requests of all VMs. */
+  get waitingCount(): number {
+    return this.grantor.waitingCount;
   }
 
-  /** Takes the targets that name limits, with the permits a second that are granted here. */
+  /** Replaces the limited targets and the permits a second to grant for each. */
   setRates(rates: ReadonlyMap<string, number>): void {
     this.grantor.setRates(rates, this.now);
   }
 
-  /** Nobody knows what was granted elsewhere in the meantime: no permit is due at once. */
-  restart(): void {
-    this.grantor.restart(this.now);
+  /** Makes no permit due at once, since another VM may have granted permits in the meantime. */
+  postponeAll(): void {
+    this.grantor.postponeAll(this.now);
   }
 
-  /** A VM asks; what it asked for before is forgotten. */
-  take(ask: PermitAsk): void {
-    this.grantor.take(ask, this.now);
+  /** Replaces the permit request of a VM. */
+  setRequest(request: PermitRequest): void {
+    this.grantor.setRequest(request, this.now);
   }
 
-  /** A VM had no use for a permit. */
-  giveBack(vm: string, target: string): void {
-    this.grantor.giveBack(vm, target);
+  /** Takes back an unused permit and decides again. */
+  returnPermit(vm: string, target: string): void {
+    this.grantor.returnPermit(vm, target);
     this.decide();
   }
 
-  /** A VM is gone, or asks here no more. */
+  /** Forgets the permit request and grants of a VM. */
   forget(vm: string): void {
     this.grantor.forget(vm);
   }
 
-  /** Grants what is due now, and the rest in its time. */
+  /** Decides now, and schedules the next decision. */
   decide(): void {
     const decision = this.grantor.decide(this.now);
     this.cancelTimer?.();
