--- a/packages/permit-sends/src/index.ts
+++ b/packages/permit-sends/src/index.ts
@@ -2,5 +2,5 @@
 export { default as SendLimiter } from './send-limiter.js';
 export type { SendLimiterOptions } from './send-limiter.js';
 export type { LimitFleet, PermitTargets } from './permit-ports.js';
-export type { LimitUpdate as LimitFact } from './limit-table.js';
+export type { LimitUpdate } from './limit-table.js';
 export type { AskPermits, GivePermits, PermitMessage, ReturnPermit } from './permit-messages.js';
--- a/packages/share-evidence/src/permit-codecs.ts
+++ b/packages/share-evidence/src/permit-codecs.ts
@@ -1,5 +1,5 @@
 /** How limits of targets and permits to send travel: ages in place of times, since each VM's clock is its own. */
-import type { LimitFact } from '@limelead/permit-sends';
+import type { LimitUpdate } from '@limelead/permit-sends';
 import type { Millis } from '@limelead/types';
 import * as t from 'io-ts';
 
@@ -45,7 +45,7 @@
 type LimitNews = t.TypeOf<typeof limitNewsCodec>;
 
 /** Composes the news. */
-export function composeLimitNews(facts: LimitFact[], now: Millis): LimitNews {
+export function composeLimitNews(facts: LimitUpdate[], now: Millis): LimitNews {
   return facts.map(({ target, perSecond, askedAtMs, mark }) => ({
     target,
     perSecond: perSecond ?? null,
@@ -55,7 +55,7 @@
 }
 
 /** Reads the news. */
-export function readLimitNews(news: LimitNews, now: Millis): LimitFact[] {
+export function readLimitNews(news: LimitNews, now: Millis): LimitUpdate[] {
   return news.map(({ target, perSecond, askedAgoMs, mark }) => ({
     target,
     perSecond: perSecond ?? undefined,
--- a/packages/share-evidence/src/permit-exchange.ts
+++ b/packages/share-evidence/src/permit-exchange.ts
@@ -2,7 +2,7 @@
  * What VMs tell each other of limits that targets name, and of permits to send. Limits go to all
  * by gossip; permits pass between a VM and the one that grants them for all.
  */
-import type { LimitFact, PermitMessage } from '@limelead/permit-sends';
+import type { LimitUpdate, PermitMessage } from '@limelead/permit-sends';
 import type { Clock } from '@limelead/types';
 import chooseGrantor from './choose-grantor.js';
 import type Membership from './membership.js';
@@ -64,13 +64,13 @@
   }
 
   /** Tells limits to the peers of gossip, the one that told them aside. */
-  publishLimits(facts: LimitFact[], from?: PeerId): void {
+  publishLimits(facts: LimitUpdate[], from?: PeerId): void {
     const peers = this.options.listPeers().filter((peer) => peer !== from);
     this.options.broadcast(this.compose(facts), peers);
   }
 
   /** Tells limits to one peer. */
-  sendLimitCorrection(peer: PeerId, facts: LimitFact[]): void {
+  sendLimitCorrection(peer: PeerId, facts: LimitUpdate[]): void {
     this.options.send(peer, this.compose(facts));
   }
 
@@ -108,7 +108,7 @@
     }
   }
 
-  private compose(facts: LimitFact[]): EvidenceMessage {
+  private compose(facts: LimitUpdate[]): EvidenceMessage {
     const limits = composeLimitNews(facts, this.options.clock.now());
     return { kind: 'lost', targets: [], replaced: [], limits };
   }
--- a/packages/share-evidence/src/types.ts
+++ b/packages/share-evidence/src/types.ts
@@ -1,7 +1,7 @@
 /** Shapes that the parts of the exchange share. */
 import type { DecisionLog } from '@limelead/decision-log';
 import type { StoreItem } from '@limelead/follow-store';
-import type { LimitFact, PermitMessage } from '@limelead/permit-sends';
+import type { LimitUpdate, PermitMessage } from '@limelead/permit-sends';
 import type { GuardNews } from '@limelead/quarantine-requests';
 import type { PacedLoad, TargetLoss, ToldLoad } from '@limelead/track-service-targets';
 import type { LeavingFact } from '@limelead/track-backpressure';
@@ -116,9 +116,9 @@
   /** A peer told of such requests. */
   onGuardNews(news: GuardNews, peer: PeerId): void;
   /** Limits that targets named, for a peer that has just met this one. */
-  readLimits(): LimitFact[];
+  readLimits(): LimitUpdate[];
   /** A peer told such limits. */
-  onLimits(facts: LimitFact[], peer: PeerId): void;
+  onLimits(facts: LimitUpdate[], peer: PeerId): void;
   /** All targets that announced that they leave, for a newly linked peer. */
   readLeaving(): LeavingFact[];
   /** A peer published leaving targets. */
