--- a/packages/forward-request/src/forward-call.ts
+++ b/packages/forward-request/src/forward-call.ts
@@ -82,7 +82,7 @@
   ) {
     this.payments = new SendPayments(context, admitted);
     this.report = new CallReport(context, admitted);
-    this.guarded = context.guard.begin({
+    this.guarded = context.guard.guardRequest({
       request: describeIdentity(admitted),
       route: admitted.route.name,
       requestId: admitted.request.requestId,
@@ -114,7 +114,7 @@
     this.isWaiting = true;
     this.isExtra = isExtra;
     let isAnswered = false;
-    const stopAsking = this.guarded.ask((admission) => {
+    const stopAsking = this.guarded.requestAdmission((admission) => {
       isAnswered = true;
       if (admission === 'refuse') {
         this.onQuarantined();
@@ -148,7 +148,7 @@
     }
     if (slot === undefined) {
       this.refusal = refusal;
-      this.guarded.noteOver();
+      this.guarded.recordInconclusiveRun();
       this.giveUp();
       return;
     }
@@ -195,7 +195,7 @@
   /** A long answer is passed on as it comes; from here on no other can take its place. */
   private beginStreaming(attempt: CallAttempt, head: AnswerHead): void {
     this.streaming = attempt;
-    this.guarded.noteHarmless();
+    this.guarded.recordHarmlessRun();
     this.tellUnanswered('answered', attempt);
     this.cancelOthers(attempt);
     const length = head.headers.get('content-length');
@@ -212,7 +212,7 @@
     const isGood = status < SERVER_ERROR_STATUS;
     const kind = isGood ? 'answered' : 'failed';
     this.context.directory.observe(attempt.target.id, { kind });
-    this.guarded.noteHarmless();
+    this.guarded.recordHarmlessRun();
     this.context.observer.onBegun?.(this.admitted, attempt.target);
     this.tellSendEnd(attempt, isGood);
     if (this.streaming === attempt) {
@@ -239,9 +239,9 @@
       if (!this.guarded.isSuspected) {
         this.tellSendEnd(attempt, false);
       }
-      this.guarded.noteBroken(attempt.target.id, attempt.sentAtMs, this.context.clock.now());
+      this.guarded.recordBrokenRun(attempt.target.id, attempt.sentAtMs, this.context.clock.now());
     } else {
-      this.guarded.noteOver();
+      this.guarded.recordInconclusiveRun();
     }
     if (this.streaming === attempt) {
       this.sink.abort(new LimeleadError('outcome-unknown', 'the answer broke off'));
@@ -253,7 +253,7 @@
       this.ran -= 1;
       this.afterNotRun();
     } else {
-      this.guarded.whenKnown(() => this.afterFailure());
+      this.guarded.afterChecks(() => this.afterFailure());
     }
   }
 
@@ -272,7 +272,7 @@
       isOtherTarget ? { kind: 'replaced' } : { kind: 'full', pauseMs: FULL_PAUSE_MS },
     );
     this.report.turnedAway(attempt, isOtherTarget);
-    this.guarded.noteOver();
+    this.guarded.recordInconclusiveRun();
     if (!isOtherTarget) {
       this.tried.delete(id);
     }
--- a/packages/forward-request/src/forward-stream.ts
+++ b/packages/forward-request/src/forward-stream.ts
@@ -87,7 +87,7 @@
     this.report = new StreamReport(context, admitted);
     this.copies = new RunCopies(context, admitted);
     this.sends = new StreamSends(context, admitted);
-    this.guarded = context.guard.begin({
+    this.guarded = context.guard.guardRequest({
       request: describeIdentity(admitted),
       route: admitted.route.name,
       requestId: admitted.request.requestId,
@@ -182,7 +182,7 @@
       this.fail(end);
       return;
     }
-    const stopAsking = this.guarded.ask((admission) => {
+    const stopAsking = this.guarded.requestAdmission((admission) => {
       if (admission === 'refuse') {
         this.fail(this.createQuarantined());
       } else {
@@ -194,7 +194,7 @@
 
   private findSlot(attempt: number, exclude: string[], avoidsOthers: boolean): void {
     if (!this.sends.tryPay()) {
-      this.guarded.noteOver();
+      this.guarded.recordInconclusiveRun();
       this.advance({ kind: 'no-target', attempt, error: 'overloaded' });
       return;
     }
@@ -225,13 +225,13 @@
       return;
     }
     if (refusal !== undefined) {
-      this.guarded.noteOver();
+      this.guarded.recordInconclusiveRun();
       const overrides = reportRefusal(this.context, this.admitted, refusal);
       this.fail(this.sends.createError('overloaded', REFUSED_MESSAGE, overrides));
       return;
     }
     if (slot === undefined) {
-      this.guarded.noteOver();
+      this.guarded.recordInconclusiveRun();
       this.advance({ kind: 'no-target', attempt, error: 'no-target' });
       return;
     }
@@ -302,7 +302,7 @@
     const { clock, reading, observer } = this.context;
     const { isSending, startedAtMs } = live.hearing;
     live.firstPieceAfterMs = clock.now() - startedAtMs;
-    this.guarded.noteHarmless();
+    this.guarded.recordHarmlessRun();
     if (!isSending) {
       reading.note(this.admitted, live.firstPieceAfterMs);
     }
@@ -322,7 +322,7 @@
     }
     this.answer.noteTrailer(trailer);
     this.context.directory.observe(live.attempt.target.id, { kind: 'answered' });
-    this.guarded.noteHarmless();
+    this.guarded.recordHarmlessRun();
     this.tellSendEnd(live, true);
     this.live.release(attempt);
     this.advance({ kind: 'ended', attempt, length: this.state.delivered, reason: 'stop' });
@@ -378,9 +378,9 @@
   private noteEvidence({ attempt, hearing }: LiveAttempt, cause: LossCause): void {
     if (cause === 'broken') {
       const { startedAtMs } = hearing;
-      this.guarded.noteBroken(attempt.target.id, startedAtMs, this.context.clock.now());
+      this.guarded.recordBrokenRun(attempt.target.id, startedAtMs, this.context.clock.now());
     } else {
-      this.guarded.noteOver();
+      this.guarded.recordInconclusiveRun();
     }
   }
 
@@ -392,7 +392,7 @@
     const { directory } = this.context;
     const { target } = live.attempt;
     this.sends.noteTurnedAway(target.id, cause);
-    this.guarded.noteOver();
+    this.guarded.recordInconclusiveRun();
     directory.observe(target.id, observeTurnedAway(cause));
     this.report.turnedAway(attempt, target.id, cause, reason);
     this.live.release(attempt);
@@ -406,7 +406,7 @@
       return;
     }
     this.context.directory.observe(live.attempt.target.id, { kind: 'failed' });
-    this.guarded.noteHarmless();
+    this.guarded.recordHarmlessRun();
     this.tellSendEnd(live, false);
     this.live.release(attempt);
     const mayGoOn = this.admitted.route.repeatable && !this.sends.hasUsedItsTargets;
--- a/packages/forward-request/src/forwarding.fixture.ts
+++ b/packages/forward-request/src/forwarding.fixture.ts
@@ -3,7 +3,7 @@
 import type { LimeleadError } from '@limelead/errors';
 import { createLocality } from '@limelead/locality';
 import createMetrics from '@limelead/metrics';
-import { createLoneGuard } from '@limelead/quarantine-requests';
+import { createIsolatedGuard } from '@limelead/quarantine-requests';
 import compileRoutes from '@limelead/route-requests';
 import { RetrySpender } from '@limelead/spend-retries';
 import { TargetConnections } from '@limelead/target-connections';
@@ -231,7 +231,7 @@
       slots: this.createSlots(NO_LIMITS),
       gate: OPEN_GATE,
       permits: NO_LIMITS,
-      guard: createLoneGuard({ clock, timers: systemTimers, log, metrics: createMetrics() }),
+      guard: createIsolatedGuard({ clock, timers: systemTimers, log, metrics: createMetrics() }),
       askTarget: (request, receive) => this.askTarget(request, receive),
       silence: new SilenceWatch({ ...shared, connections: this.connections, dialect, log }),
       reading: new ReadingTime(),
--- a/packages/gateway/src/quarantine-part.ts
+++ b/packages/gateway/src/quarantine-part.ts
@@ -54,15 +54,15 @@
     const ends = new TargetEnds({ timers, directory, connections, dialect });
     this.guard = new RequestGuard({
       ...{ clock, timers, random, log, metrics, countVms },
-      hasEnded: (target, brokeAtMs) => ends.hasEnded(target, brokeAtMs),
-      wasHeardSince: (target, sinceMs) => ends.wasHeardSince(target, sinceMs),
-      tell: (news, from) => context.readExchange()?.tellGuardNews(news, from),
-      onProved: (request, quarantine) =>
+      hasCrashed: (target, brokeAtMs) => ends.hasEnded(target, brokeAtMs),
+      hasRespondedSince: (target, sinceMs) => ends.wasHeardSince(target, sinceMs),
+      publish: (news, from) => context.readExchange()?.tellGuardNews(news, from),
+      storeQuarantine: (request, quarantine) =>
         this.keep(request, quarantine, clock.now() + QUARANTINE_MS),
-      onRefuted: (request) => void this.forget(request),
+      onQuarantineRefuted: (request) => void this.forget(request),
     });
-    metrics.gauge('limelead_quarantined_requests', () => this.guard.quarantined);
-    metrics.gauge('limelead_requests_waiting_for_trials', () => this.guard.waiting);
+    metrics.gauge('limelead_quarantined_requests', () => this.guard.quarantinedCount);
+    metrics.gauge('limelead_requests_waiting_for_trials', () => this.guard.waitingCount);
   }
 
   start(): void {
--- a/packages/http-front-door/src/http-front-door.test.ts
+++ b/packages/http-front-door/src/http-front-door.test.ts
@@ -13,7 +13,7 @@
 } from '@limelead/forward-request';
 import { createLocality } from '@limelead/locality';
 import createMetrics from '@limelead/metrics';
-import { createLoneGuard } from '@limelead/quarantine-requests';
+import { createIsolatedGuard } from '@limelead/quarantine-requests';
 import compileRoutes, { type RouteTable } from '@limelead/route-requests';
 import { RetrySpender } from '@limelead/spend-retries';
 import { TargetConnections } from '@limelead/target-connections';
@@ -215,7 +215,7 @@
       }),
       gate: OPEN_GATE,
       permits: NO_LIMITS,
-      guard: createLoneGuard({ clock, timers: systemTimers, log, metrics }),
+      guard: createIsolatedGuard({ clock, timers: systemTimers, log, metrics }),
       silence: new SilenceWatch({ ...shared, connections, dialect: targets, log }),
       reading: new ReadingTime(),
       pace: new TargetPace(() => undefined),
--- a/packages/measure/src/experiments/front-door.ts
+++ b/packages/measure/src/experiments/front-door.ts
@@ -16,7 +16,7 @@
 import { HttpFrontDoor, type IngressDialect } from '@limelead/http-front-door';
 import { createLocality } from '@limelead/locality';
 import createMetrics from '@limelead/metrics';
-import { createLoneGuard } from '@limelead/quarantine-requests';
+import { createIsolatedGuard } from '@limelead/quarantine-requests';
 import compileRoutes from '@limelead/route-requests';
 import { RetrySpender } from '@limelead/spend-retries';
 import { TargetConnections } from '@limelead/target-connections';
@@ -178,7 +178,7 @@
     }),
     gate: OPEN_GATE,
     permits: NO_LIMITS,
-    guard: createLoneGuard({ clock, timers: systemTimers, log, metrics: createMetrics() }),
+    guard: createIsolatedGuard({ clock, timers: systemTimers, log, metrics: createMetrics() }),
     silence: new SilenceWatch({ ...shared, connections, dialect, log }),
     reading: new ReadingTime(),
     pace: new TargetPace(() => undefined),
--- /dev/null
+++ b/packages/quarantine-requests/src/crash-table.ts
@@ -0,0 +1,317 @@
+/**
+ * Crashes per request, and the quarantine decisions that follow from them. A crash record says that
+ * a target's incarnation ended during a run of the request that had not written any output. Records
+ * merge like a set: their order and repetitions make no difference.
+ */
+import { RecentTimes, type Millis } from '@limelead/types';
+import findConsecutiveCrashes from './find-consecutive-crashes.js';
+import type { CallerIdentity, RequestIdentity } from './identify-request.js';
+
+/** Number of consecutive crashes that quarantine a request. Fewer may be coincidence. */
+export const CRASHES_TO_QUARANTINE = 3;
+/**
+ * A caller with this many quarantined requests for a service is flagged: its other requests there
+ * need fewer crashes, so that a caller whose requests all crash targets ends fewer of them.
+ */
+const QUARANTINES_TO_FLAG_CALLER = 2;
+/** Number of consecutive crashes that quarantine a request of a flagged caller. */
+const CRASHES_TO_QUARANTINE_FLAGGED = 2;
+/** A request is suspected this many crashes before its quarantine. */
+const SUSPICION_MARGIN = 1;
+/** A request's crashes are forgotten after this time without another one, in milliseconds. */
+const CRASH_TTL_MS = 600_000;
+/** Duration of a quarantine, in milliseconds. */
+export const QUARANTINE_MS = 600_000;
+/**
+ * How long refuted crashes and cleared requests are remembered, in milliseconds. Longer than any
+ * update is in transit.
+ */
+const REFUTED_CRASH_TTL_MS = 30_000;
+/**
+ * Clearances of a request within this time of each other are taken for the same one, in
+ * milliseconds.
+ */
+const SAME_CLEARANCE_MS = 1_000;
+/** Maximum number of crashes kept per request. */
+const MAX_CRASHES_PER_REQUEST = 16;
+/** Maximum number of requests with crashes; an entry takes about 1 KB. */
+const MAX_REQUESTS = 2_000;
+
+/** Whether a request may be sent: freely, in a trial of its own, or not at all. */
+export type RequestStatus = 'clear' | 'suspected' | 'quarantined';
+
+/** The end of one incarnation of a target during a run of a request. */
+export interface CrashRecord {
+  request: RequestIdentity;
+  service: string;
+  caller: CallerIdentity;
+  /** Id of the target's incarnation. */
+  target: string;
+  /** When the run was sent and when it broke; steady time. */
+  startedAtMs: Millis;
+  endedAtMs: Millis;
+}
+
+/** A quarantined request as stored. */
+export interface Quarantine {
+  service: string;
+  caller: CallerIdentity;
+}
+
+interface RequestEntry extends Quarantine {
+  /** By target. */
+  crashes: Map<string, CrashRecord>;
+  quarantinedAtMs: Millis | undefined;
+  changedAtMs: Millis;
+}
+
+/** Crashes and quarantines known to one VM. */
+export default class CrashTable {
+  /** Least recently changed first. */
+  private readonly entries = new Map<RequestIdentity, RequestEntry>();
+  /** When each request last proved harmless. */
+  private readonly clearedAtMs = new Map<RequestIdentity, Millis>();
+  /** Crashes that do not count any more, so that repeated updates do not restore them. */
+  private readonly refutedCrashes = new RecentTimes(REFUTED_CRASH_TTL_MS);
+
+  /** @param onDropped called with a request whose crashes are evicted for lack of space */
+  constructor(private readonly onDropped: (request: RequestIdentity) => void = () => undefined) {}
+
+  get size(): number {
+    return this.entries.size;
+  }
+
+  /** Number of requests that are quarantined now. */
+  countQuarantined(now: Millis): number {
+    return [...this.entries.keys()].filter(
+      (request) => this.getStatus(request, now) === 'quarantined',
+    ).length;
+  }
+
+  /** Whether any request for that service has crashes or a quarantine. */
+  hasEntriesFor(service: string): boolean {
+    return (
+      this.entries.size > 0 && [...this.entries.values()].some((entry) => entry.service === service)
+    );
+  }
+
+  /** Whether a request has crashes or a quarantine. */
+  hasEntry(request: RequestIdentity): boolean {
+    return this.entries.has(request);
+  }
+
+  /** Adds a crash; returns false if it is known, refuted or without effect. */
+  recordCrash(crash: CrashRecord, now: Millis): boolean {
+    this.forgetExpired(now);
+    const { request, target, service, caller } = crash;
+    const isRefuted = this.refutedCrashes.ageMs(crashKey(request, target), now) !== undefined;
+    if (isRefuted || crash.endedAtMs <= (this.clearedAtMs.get(request) ?? -Infinity)) {
+      return false;
+    }
+    const known = this.entries.get(request);
+    if (known?.crashes.has(target) === true || known?.quarantinedAtMs !== undefined) {
+      return false;
+    }
+    const entry = this.openEntry(request, { service, caller }, now);
+    entry.crashes.set(target, crash);
+    const series = findConsecutiveCrashes(entry.crashes.values());
+    if (series.length >= this.countCrashesNeeded(entry)) {
+      entry.quarantinedAtMs = now;
+    } else if (entry.crashes.size > MAX_CRASHES_PER_REQUEST) {
+      return this.evictCrash(entry, series, now) !== crash;
+    }
+    return true;
+  }
+
+  /** Removes a crash because its target is still running; returns false if that has no effect. */
+  withdrawCrash(request: RequestIdentity, target: string, now: Millis): boolean {
+    const entry = this.entries.get(request);
+    this.refutedCrashes.note(crashKey(request, target), now);
+    if (
+      entry === undefined ||
+      entry.quarantinedAtMs !== undefined ||
+      !entry.crashes.delete(target)
+    ) {
+      return false;
+    }
+    if (entry.crashes.size === 0) {
+      this.entries.delete(request);
+    }
+    return true;
+  }
+
+  /** Clears a request that a target ran without a crash; returns false if that is known. */
+  clearRequest(request: RequestIdentity, atMs: Millis, now: Millis): boolean {
+    const before = this.clearedAtMs.get(request) ?? -Infinity;
+    const entry = this.entries.get(request);
+    if (entry === undefined && atMs <= before + SAME_CLEARANCE_MS) {
+      return false;
+    }
+    this.clearedAtMs.set(request, Math.max(before, atMs));
+    entry?.crashes.forEach(({ target }) =>
+      this.refutedCrashes.note(crashKey(request, target), now),
+    );
+    this.entries.delete(request);
+    return true;
+  }
+
+  /**
+   * Quarantines a request by decision of another VM or of an earlier process; returns false if it
+   * is quarantined already.
+   */
+  quarantine(request: RequestIdentity, quarantine: Quarantine, now: Millis): boolean {
+    if (this.getStatus(request, now) === 'quarantined') {
+      return false;
+    }
+    this.openEntry(request, quarantine, now).quarantinedAtMs = now;
+    return true;
+  }
+
+  /** Ends a quarantine; one more crash quarantines the request again. */
+  release(request: RequestIdentity, now: Millis): void {
+    const entry = this.entries.get(request);
+    if (entry?.quarantinedAtMs === undefined) {
+      return;
+    }
+    entry.quarantinedAtMs = undefined;
+    entry.crashes = new Map(createPlaceholderCrashes(request, entry, now));
+    this.moveToEnd(request, entry, now);
+  }
+
+  getStatus(request: RequestIdentity, now: Millis): RequestStatus {
+    const entry = this.entries.get(request);
+    if (entry === undefined) {
+      return 'clear';
+    }
+    if (entry.quarantinedAtMs !== undefined) {
+      if (now - entry.quarantinedAtMs < QUARANTINE_MS) {
+        return 'quarantined';
+      }
+      this.release(request, now);
+    }
+    return entry.crashes.size >= this.countCrashesNeeded(entry) - SUSPICION_MARGIN
+      ? 'suspected'
+      : 'clear';
+  }
+
+  /** Time until the quarantine of a request ends, in milliseconds; 0 if it is not quarantined. */
+  quarantineLeftMs(request: RequestIdentity, now: Millis): Millis {
+    const since = this.entries.get(request)?.quarantinedAtMs;
+    return since === undefined ? 0 : Math.max(0, since + QUARANTINE_MS - now);
+  }
+
+  /** Targets that crashed during a request, in the order of their crashes. */
+  listCrashedTargets(request: RequestIdentity): string[] {
+    return this.listCrashes(request).map(({ target }) => target);
+  }
+
+  listCrashes(request: RequestIdentity): CrashRecord[] {
+    const crashes = [...(this.entries.get(request)?.crashes.values() ?? [])];
+    return crashes.sort((a, b) => a.endedAtMs - b.endedAtMs);
+  }
+
+  /** All crashes, those of the most recently changed requests first. */
+  listAllCrashes(): CrashRecord[] {
+    return [...this.entries.values()].reverse().flatMap(({ crashes }) => [...crashes.values()]);
+  }
+
+  /** Number of consecutive crashes that quarantine a request of this caller. */
+  private countCrashesNeeded({ caller, service }: RequestEntry): number {
+    const quarantined = [...this.entries.values()].filter(
+      (entry) =>
+        entry.quarantinedAtMs !== undefined && entry.caller === caller && entry.service === service,
+    );
+    return quarantined.length < QUARANTINES_TO_FLAG_CALLER
+      ? CRASHES_TO_QUARANTINE
+      : CRASHES_TO_QUARANTINE_FLAGGED;
+  }
+
+  private openEntry(
+    request: RequestIdentity,
+    { service, caller }: Quarantine,
+    now: Millis,
+  ): RequestEntry {
+    const entry = this.entries.get(request) ?? {
+      service,
+      caller,
+      crashes: new Map<string, CrashRecord>(),
+      quarantinedAtMs: undefined,
+      changedAtMs: now,
+    };
+    this.moveToEnd(request, entry, now);
+    this.evictEntry();
+    return entry;
+  }
+
+  private moveToEnd(request: RequestIdentity, entry: RequestEntry, now: Millis): void {
+    entry.changedAtMs = now;
+    this.entries.delete(request);
+    this.entries.set(request, entry);
+  }
+
+  private forgetExpired(now: Millis): void {
+    for (const [request, { changedAtMs, quarantinedAtMs }] of this.entries) {
+      if (now - changedAtMs < CRASH_TTL_MS) {
+        break;
+      }
+      if (quarantinedAtMs === undefined) {
+        this.entries.delete(request);
+      } else {
+        this.release(request, now);
+      }
+    }
+    for (const [request, atMs] of this.clearedAtMs) {
+      if (now - atMs > REFUTED_CRASH_TTL_MS) {
+        this.clearedAtMs.delete(request);
+      }
+    }
+  }
+
+  /**
+   * Evicts the newest crash outside the series, and marks it as refuted so that a repeated update
+   * does not restore it.
+   */
+  private evictCrash(
+    { crashes }: RequestEntry,
+    series: CrashRecord[],
+    now: Millis,
+  ): CrashRecord | undefined {
+    const surplus = [...crashes.values()].filter((crash) => !series.includes(crash)).at(-1);
+    if (surplus !== undefined) {
+      const { request, target } = surplus;
+      crashes.delete(target);
+      this.refutedCrashes.note(crashKey(request, target), now);
+    }
+    return surplus;
+  }
+
+  /** Evicts requests that are not quarantined first, the least recently changed first. */
+  private evictEntry(): void {
+    if (this.entries.size <= MAX_REQUESTS) {
+      return;
+    }
+    const all = [...this.entries];
+    const [surplus] = all.find(([, entry]) => entry.quarantinedAtMs === undefined) ?? all[0] ?? [];
+    if (surplus !== undefined) {
+      this.entries.delete(surplus);
+      this.onDropped(surplus);
+    }
+  }
+}
+
+function crashKey(request: RequestIdentity, target: string): string {
+  return `${request} ${target}`;
+}
+
+/** Placeholders for the crashes before a quarantine that ended. */
+function createPlaceholderCrashes(
+  request: RequestIdentity,
+  { service, caller }: Quarantine,
+  now: Millis,
+): [string, CrashRecord][] {
+  return Array.from({ length: CRASHES_TO_QUARANTINE - 1 }, (_, index) => {
+    const atMs = now - (CRASHES_TO_QUARANTINE - 1 - index);
+    const target = `before-${index + 1}`;
+    return [target, { request, service, caller, target, startedAtMs: atMs, endedAtMs: atMs }];
+  });
+}
--- a/packages/quarantine-requests/src/fleet.fixture.ts
+++ b/packages/quarantine-requests/src/fleet.fixture.ts
@@ -1,43 +1,43 @@
-/** Guards of a whole fleet on a clock of its own, linked as gossip links them, for the tests of this package. */
+/** Simulates the guards of a fleet of VMs with gossip links on a virtual clock. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type GuardedRequest from './guarded-request.js';
-import { isEmptyNews } from './news.js';
+import { isEmptyQuarantineUpdate } from './quarantine-update.js';
 import RequestGuard from './request-guard.js';
 
 const PEERS = 8;
-/** Time of news on one link, at least and at most. */
-const LINK_MS = 1;
-const SLOW_LINK_MS = 5;
+/** Range of an update's delay on one link. */
+const MIN_LINK_DELAY_MS = 1;
+const MAX_LINK_DELAY_MS = 5;
 const SERVICE = 'llm';
-/** Time until a target refuses a connection. */
-const REFUSES_AFTER_MS = 3;
+/** Time until a check of a target finds whether it crashed. */
+const CRASH_CHECK_MS = 3;
 
-/** How a target answers a run. */
+/** How a target handles a run. */
 export interface Outcome {
-  kind: 'ends-target' | 'resets' | 'answers';
+  kind: 'crashes-target' | 'resets' | 'answers';
   afterMs: number;
 }
 
-/** One VM's guard with what it heard. */
+/** A VM's guard and its gossip peers. */
 interface Vm {
   guard: RequestGuard;
   peers: Set<number>;
 }
 
-/** A fleet with as many targets as are needed. */
+/** A fleet in which every run gets a target of its own. */
 export default class Fleet {
   now = 0;
-  /** When each run was sent, with its request. */
+  /** Time and path of each run. */
   readonly arrivals: { path: string; atMs: number }[] = [];
-  readonly ends: { path: string; atMs: number }[] = [];
-  messages = 0;
-  readonly proved: string[] = [];
-  private readonly due = new Map<number, (() => void)[]>();
+  readonly crashes: { path: string; atMs: number }[] = [];
+  messageCount = 0;
+  readonly quarantined: string[] = [];
+  private readonly scheduled = new Map<number, (() => void)[]>();
   private readonly generator;
   private readonly vms: Vm[];
-  private readonly ended = new Set<string>();
-  private targets = 0;
+  private readonly crashedTargets = new Set<string>();
+  private targetCount = 0;
 
   constructor(size: number, seed: number) {
     this.generator = xoroshiro128plus(seed);
@@ -60,16 +60,16 @@
     return Math.floor(uniformFloat64(this.generator) * below);
   }
 
-  at(atMs: number, run: () => void): void {
-    const due = this.due.get(Math.ceil(atMs)) ?? [];
+  schedule(atMs: number, run: () => void): void {
+    const due = this.scheduled.get(Math.ceil(atMs)) ?? [];
     due.push(run);
-    this.due.set(Math.ceil(atMs), due);
+    this.scheduled.set(Math.ceil(atMs), due);
   }
 
-  /** Sends a request at one VM, again after each break as a stream is, until it has an answer. */
-  send(vm: number, path: string, decide: () => Outcome, mostRuns = Infinity): Promise<string> {
+  /** Sends a request at one VM and retries after each break until it has an answer. */
+  send(vm: number, path: string, decide: () => Outcome, maxRuns = Infinity): Promise<string> {
     return new Promise((resolve) => {
-      const guarded = this.guardOf(vm).begin({
+      const guarded = this.guardOf(vm).guardRequest({
         request: { organisation: 'o', host: 'h', method: 'POST', path, body: Buffer.alloc(0) },
         ...{ route: 'r', requestId: 'id', service: SERVICE },
         onQuarantined: () => finish('quarantined'),
@@ -80,27 +80,31 @@
         resolve(outcome);
       };
       const next = (): void => {
-        guarded.ask((admission) => {
-          if (admission === 'refuse' || runs === mostRuns) {
+        guarded.requestAdmission((admission) => {
+          if (admission === 'refuse' || runs === maxRuns) {
             finish(admission === 'refuse' ? 'quarantined' : 'given-up');
             return;
           }
           runs += 1;
-          this.run(guarded, path, decide(), () => guarded.whenKnown(next), finish);
+          this.run(guarded, path, decide(), () => guarded.afterChecks(next), finish);
         });
       };
       next();
     });
   }
 
-  /** Plays millisecond by millisecond; what waits for promises goes on in between. */
-  async playUntil(untilMs: number): Promise<void> {
+  /** Advances millisecond by millisecond, and lets promises settle in between. */
+  async runUntil(untilMs: number): Promise<void> {
     for (; this.now <= untilMs; this.now += 1) {
-      for (let run = this.due.get(this.now)?.shift(); run; run = this.due.get(this.now)?.shift()) {
+      for (
+        let run = this.scheduled.get(this.now)?.shift();
+        run;
+        run = this.scheduled.get(this.now)?.shift()
+      ) {
         run();
         await Promise.resolve();
       }
-      this.due.delete(this.now);
+      this.scheduled.delete(this.now);
       await new Promise((resolve) => setImmediate(resolve));
     }
   }
@@ -113,19 +117,19 @@
     finish: (outcome: string) => void,
   ): void {
     const startedAtMs = this.now;
-    const target = `t${(this.targets += 1)}`;
+    const target = `t${(this.targetCount += 1)}`;
     this.arrivals.push({ path, atMs: startedAtMs });
-    this.at(this.now + afterMs, () => {
+    this.schedule(this.now + afterMs, () => {
       if (kind === 'answers') {
-        guarded.noteHarmless();
+        guarded.recordHarmlessRun();
         finish('answered');
         return;
       }
-      if (kind === 'ends-target') {
-        this.ended.add(target);
-        this.ends.push({ path, atMs: this.now });
+      if (kind === 'crashes-target') {
+        this.crashedTargets.add(target);
+        this.crashes.push({ path, atMs: this.now });
       }
-      guarded.noteBroken(target, startedAtMs, this.now);
+      guarded.recordBrokenRun(target, startedAtMs, this.now);
       onBroken();
     });
   }
@@ -151,7 +155,7 @@
       timers: {
         after: (milliseconds, run) => {
           let isCancelled = false;
-          this.at(this.now + milliseconds, () => isCancelled || run());
+          this.schedule(this.now + milliseconds, () => isCancelled || run());
           return () => (isCancelled = true);
         },
       },
@@ -159,28 +163,30 @@
       log: { write: () => undefined },
       metrics: { count: () => undefined },
       countVms: () => this.size,
-      hasEnded: (target) =>
+      hasCrashed: (target) =>
         new Promise((resolve) =>
-          this.at(this.now + REFUSES_AFTER_MS, () => resolve(this.ended.has(target))),
+          this.schedule(this.now + CRASH_CHECK_MS, () => resolve(this.crashedTargets.has(target))),
         ),
-      wasHeardSince: (target) => !this.ended.has(target),
-      tell: (news, from) => {
-        if (isEmptyNews(news)) {
+      hasRespondedSince: (target) => !this.crashedTargets.has(target),
+      publish: (update, from) => {
+        if (isEmptyQuarantineUpdate(update)) {
           return;
         }
         for (const peer of this.vms[id]?.peers ?? []) {
           if (String(peer) !== from) {
-            this.messages += 1;
-            const travelMs = LINK_MS + this.draw(SLOW_LINK_MS - LINK_MS);
-            this.at(this.now + travelMs, () => this.guardOf(peer).hear(news, String(id)));
+            this.messageCount += 1;
+            const delayMs = MIN_LINK_DELAY_MS + this.draw(MAX_LINK_DELAY_MS - MIN_LINK_DELAY_MS);
+            this.schedule(this.now + delayMs, () =>
+              this.guardOf(peer).onPeerUpdate(update, String(id)),
+            );
           }
         }
       },
-      onProved: (request) => {
-        this.proved.push(request);
+      storeQuarantine: (request) => {
+        this.quarantined.push(request);
         return Promise.resolve();
       },
-      onRefuted: () => undefined,
+      onQuarantineRefuted: () => undefined,
     });
   }
 }
--- a/packages/quarantine-requests/src/guarded-request.ts
+++ b/packages/quarantine-requests/src/guarded-request.ts
@@ -1,160 +1,179 @@
-/** One request of this VM, from its first send to its final answer. */
+/** Crash tracking of one request of this VM, from its first attempt to its final answer. */
 import type { CancelTimer, Millis } from '@limelead/types';
-import type { Strike, Verdict } from './case-book.js';
+import type { CrashRecord, RequestStatus } from './crash-table.js';
 import identifyRequest, {
   identifyCaller,
   type IdentifiedRequest,
   type RequestIdentity,
 } from './identify-request.js';
-import type { Admission } from './trials.js';
+import type { Admission } from './trial-queue.js';
 
-/** What is known of the request. */
-export interface GuardedFacts {
+/** A request and how it is identified. */
+export interface GuardedRequestDetails {
   request: IdentifiedRequest;
   /** Name of the route. */
   route: string;
-  /** Of this sending; for lines only. */
+  /** Caller's id of this request; used in log lines only. */
   requestId: string;
   service: string;
-  /** It was found to end its targets while it was under way. */
+  /** Called when the request is quarantined while it is open. */
   onQuarantined(): void;
 }
 
-/** What the guard of this VM does for it. */
-export interface GuardLink {
-  watches(service: string): boolean;
-  judge(request: RequestIdentity): Verdict;
+/** The parts of the VM's guard that a guarded request uses. */
+export interface GuardAccess {
+  hasEntriesFor(service: string): boolean;
+  getStatus(request: RequestIdentity): RequestStatus;
   quarantineLeftMs(request: RequestIdentity): Millis;
-  ask(request: RequestIdentity, receive: (admission: Admission) => void): CancelTimer;
+  requestAdmission(
+    request: RequestIdentity,
+    onAdmission: (admission: Admission) => void,
+  ): CancelTimer;
   endTrial(request: RequestIdentity): void;
-  noteBroken(strike: Strike, facts: GuardedFacts): Promise<void>;
-  absolve(request: RequestIdentity): void;
+  checkBrokenRun(crash: CrashRecord, details: GuardedRequestDetails): Promise<void>;
+  clearRequest(request: RequestIdentity): void;
   onClosed(): void;
 }
 
-/** Follows the sends of one request. */
+/** Tracks the attempts of one request. */
 export default class GuardedRequest {
   private identity: RequestIdentity | undefined;
-  /** A target ran it to its first piece or to its answer. */
+  /** Whether a target ran the request to its first piece or its answer. */
   private isHarmless = false;
   private isClosed = false;
-  /** Whether this request is the one that is tried. */
-  private isTried = false;
-  /** Breaks that are being looked into; no verdict before. */
-  private lookedInto: Promise<unknown> = Promise.resolve();
-  private looking = 0;
+  /** Whether this request holds the trial of its identity. */
+  private isOnTrial = false;
+  /** Checks of broken runs; the request is not admitted again before they are done. */
+  private openChecks: Promise<unknown> = Promise.resolve();
+  private openCheckCount = 0;
 
   constructor(
-    private readonly facts: GuardedFacts,
-    private readonly link: GuardLink,
+    private readonly details: GuardedRequestDetails,
+    private readonly guard: GuardAccess,
   ) {}
 
-  /** Whether it is under suspicion: no second send beside the first, and nobody else is blamed. */
+  /**
+   * Whether the request is suspected or quarantined. Such a request is not hedged, and its breaks
+   * are not held against targets.
+   */
   get isSuspected(): boolean {
-    return this.isWatched && this.link.judge(this.name) !== 'clear';
+    return this.mayBeSuspected && this.guard.getStatus(this.name) !== 'clear';
   }
 
-  /** Time until targets may run it again, in milliseconds. */
+  /** Time until targets may run the request again, in milliseconds. */
   get quarantineLeftMs(): Millis {
-    return this.link.quarantineLeftMs(this.name);
+    return this.guard.quarantineLeftMs(this.name);
   }
 
-  /** Asks before a send; answered at once for all requests but suspects. Gives what ends waiting. */
-  ask(receive: (admission: Admission) => void): CancelTimer {
-    if (this.looking > 0) {
-      return this.askLater(receive);
+  /**
+   * Requests admission before an attempt; answered at once unless the request is suspected. Returns
+   * a function that cancels waiting.
+   */
+  requestAdmission(onAdmission: (admission: Admission) => void): CancelTimer {
+    if (this.openCheckCount > 0) {
+      return this.requestAdmissionAfterChecks(onAdmission);
     }
-    if (this.isHarmless || !this.isWatched) {
-      receive('go');
+    if (this.isHarmless || !this.mayBeSuspected) {
+      onAdmission('go');
       return () => undefined;
     }
-    return this.link.ask(this.name, (admission) => {
-      this.isTried = admission === 'go-alone';
-      receive(admission);
+    return this.guard.requestAdmission(this.name, (admission) => {
+      this.isOnTrial = admission === 'go-alone';
+      onAdmission(admission);
     });
   }
 
   /**
-   * A send broke before the target had written anything.
-   * @param startedAtMs when it was sent; steady time, as is the end
+   * Records an attempt that broke before the target wrote any output.
+   * @param startedAtMs when it was sent; steady time, as is endedAtMs
    */
-  noteBroken(target: string, startedAtMs: Millis, endedAtMs: Millis): void {
+  recordBrokenRun(target: string, startedAtMs: Millis, endedAtMs: Millis): void {
     if (this.isHarmless) {
       return;
     }
-    const { service, route, request } = this.facts;
+    const { service, route, request } = this.details;
     const caller = identifyCaller(request.organisation, route);
-    const strike = { request: this.name, service, caller, target, startedAtMs, endedAtMs };
-    this.looking += 1;
-    const looked = this.link.noteBroken(strike, this.facts).then(() => {
-      this.looking -= 1;
+    const crash = { request: this.name, service, caller, target, startedAtMs, endedAtMs };
+    this.openCheckCount += 1;
+    const check = this.guard.checkBrokenRun(crash, this.details).then(() => {
+      this.openCheckCount -= 1;
       this.endTrial();
     });
-    this.lookedInto = Promise.all([this.lookedInto, looked]);
+    this.openChecks = Promise.all([this.openChecks, check]);
   }
 
   /**
-   * Runs what follows a broken send once it was looked into, and what it proves is kept: the caller
-   * may send the request again as soon as it has an answer. A first break needs no look.
+   * Runs the next step after a broken attempt once the checks are done and a resulting quarantine
+   * is stored, since the caller may retry as soon as it has an answer. Runs it at once if no check
+   * is open.
    */
-  whenKnown(follow: () => void): void {
-    if (this.looking > 0) {
-      void this.lookedInto.then(follow);
+  afterChecks(follow: () => void): void {
+    if (this.openCheckCount > 0) {
+      void this.openChecks.then(follow);
     } else {
       follow();
     }
   }
 
-  /** A send is over, and tells nothing of the request. */
-  noteOver(): void {
+  /** Records the end of an attempt that shows neither a crash nor that the request is harmless. */
+  recordInconclusiveRun(): void {
     this.endTrial();
   }
 
-  /** A target ran it to its first piece or to its answer, and is still there. */
-  noteHarmless(): void {
+  /**
+   * Records that a target ran the request to its first piece or its answer and is still running.
+   */
+  recordHarmlessRun(): void {
     if (this.isHarmless) {
       return;
     }
     this.isHarmless = true;
-    if (this.isWatched) {
-      this.link.absolve(this.name);
+    if (this.mayBeSuspected) {
+      this.guard.clearRequest(this.name);
     }
     this.endTrial();
   }
 
-  /** Some request was found to end its targets; it may be this one. What waits for a look asks again. */
-  noteQuarantined(request: RequestIdentity, service: string): void {
-    const isOpen = service === this.facts.service && !this.isHarmless && this.looking === 0;
+  /**
+   * Handles the quarantine of any request; ends this one if it has the same identity and no open
+   * check.
+   */
+  onQuarantined(request: RequestIdentity, service: string): void {
+    const isOpen =
+      service === this.details.service && !this.isHarmless && this.openCheckCount === 0;
     if (isOpen && request === this.name) {
-      this.facts.onQuarantined();
+      this.details.onQuarantined();
     }
   }
 
-  /** The request has its final answer. */
+  /** Ends the tracking after the final answer. */
   close(): void {
     this.isClosed = true;
-    if (this.looking === 0) {
+    if (this.openCheckCount === 0) {
       this.endTrial();
     }
-    this.link.onClosed();
+    this.guard.onClosed();
   }
 
-  /** Hashed only where it is asked for: without evidence against any request it never is. */
+  /**
+   * Identity of the request; hashed only on demand, since it is not needed while no request has
+   * crashes.
+   */
   private get name(): RequestIdentity {
-    this.identity ??= identifyRequest(this.facts.request);
+    this.identity ??= identifyRequest(this.details.request);
     return this.identity;
   }
 
-  private get isWatched(): boolean {
-    return this.link.watches(this.facts.service);
+  private get mayBeSuspected(): boolean {
+    return this.guard.hasEntriesFor(this.details.service);
   }
 
-  private askLater(receive: (admission: Admission) => void): CancelTimer {
+  private requestAdmissionAfterChecks(onAdmission: (admission: Admission) => void): CancelTimer {
     let isCancelled = false;
     let cancel = (): void => undefined;
-    void this.lookedInto.then(() => {
+    void this.openChecks.then(() => {
       if (!isCancelled && !this.isClosed) {
-        cancel = this.ask(receive);
+        cancel = this.requestAdmission(onAdmission);
       }
     });
     return () => {
@@ -164,9 +183,9 @@
   }
 
   private endTrial(): void {
-    if (this.isTried) {
-      this.isTried = false;
-      this.link.endTrial(this.name);
+    if (this.isOnTrial) {
+      this.isOnTrial = false;
+      this.guard.endTrial(this.name);
     }
   }
 }
--- a/packages/quarantine-requests/src/identify-request.test.ts
+++ b/packages/quarantine-requests/src/identify-request.test.ts
@@ -10,12 +10,12 @@
   body: Buffer.from('prompt'),
 };
 
-test('two sendings of one request have one identity', () => {
+test('repetitions of a request have the same identity', () => {
   assert.is(identifyRequest({ ...request }), identifyRequest({ ...request }));
   assert.match(identifyRequest(request), /^[0-9a-f]{32}$/);
 });
 
-test('another caller, host, method, path or body is another request', () => {
+test('a request with another caller, host, method, path or body has another identity', () => {
   const others = [
     { organisation: 'b' },
     { organisation: undefined },
@@ -27,7 +27,7 @@
   assert.is(new Set([identifyRequest(request), ...others]).size, others.length + 1);
 });
 
-test('no part passes for the end of another', () => {
+test('the same text divided differently between the parts has another identity', () => {
   const moved = { ...request, organisation: 'av', host: 'ans.example' };
   assert.is.not(identifyRequest(moved), identifyRequest(request));
 });
--- a/packages/quarantine-requests/src/request-guard.ts
+++ b/packages/quarantine-requests/src/request-guard.ts
@@ -1,21 +1,29 @@
 /**
- * Guards the targets of one VM against requests that end them: takes evidence from the runs of
- * this VM and from other VMs, and says before each send whether it may go on.
+ * Protects the targets of one VM from requests that crash them: collects crashes from the runs of
+ * this VM and from peers, and decides before each attempt whether a request may be sent.
  */
 import { createLineLimit, type DecisionLog } from '@limelead/decision-log';
 import { describeThrown } from '@limelead/errors';
 import type { Metrics } from '@limelead/metrics';
 import type { Clock, Millis, Random, Timers } from '@limelead/types';
-import CaseBook, { type Quarantine, type Strike, type Verdict } from './case-book.js';
-import GuardedRequest, { type GuardedFacts } from './guarded-request.js';
+import CrashTable, {
+  type Quarantine,
+  type CrashRecord,
+  type RequestStatus,
+} from './crash-table.js';
+import GuardedRequest, { type GuardedRequestDetails } from './guarded-request.js';
 import type { RequestIdentity } from './identify-request.js';
-import { composeNews, type GuardNews, type TrialNotice } from './news.js';
-import Trials from './trials.js';
+import {
+  createQuarantineUpdate,
+  type QuarantineUpdate,
+  type TrialNotice,
+} from './quarantine-update.js';
+import TrialQueue from './trial-queue.js';
 
-/** Strikes told at once to a VM that has just met this one; the newest cases. */
-const MOST_TOLD_STRIKES = 500;
+/** Maximum number of crashes in the snapshot for a newly linked VM. */
+const MAX_SNAPSHOT_CRASHES = 500;
 
-/** What a guard needs. */
+/** Dependencies of `RequestGuard`. */
 export interface RequestGuardOptions {
   clock: Clock;
   timers: Timers;
@@ -23,218 +31,234 @@
   log: Pick<DecisionLog, 'write'>;
   metrics: Pick<Metrics, 'count'>;
   countVms(): number;
-  /** Whether an incarnation on which a run broke at that time is over; asks it where that is open. */
-  hasEnded(target: string, brokeAtMs: Millis): Promise<boolean>;
-  /** Whether this VM heard from an incarnation since that time. */
-  wasHeardSince(target: string, sinceMs: Millis): boolean;
-  /** Tells other VMs, the one that told it aside. */
-  tell(news: GuardNews, from?: string): void;
-  /** This VM proved a request to end its targets; resolves when that is kept, or can't be now. */
-  onProved(request: RequestIdentity, quarantine: Quarantine): Promise<void>;
-  /** A target of this VM's ran a request that was kept from targets. */
-  onRefuted(request: RequestIdentity): void;
+  /**
+   * Whether an incarnation on which a run broke at that time has ended; probes it if that is
+   * unknown.
+   */
+  hasCrashed(target: string, brokeAtMs: Millis): Promise<boolean>;
+  /** Whether this VM received anything from an incarnation since that time. */
+  hasRespondedSince(target: string, sinceMs: Millis): boolean;
+  /** Sends an update to all peers except the one that it came from. */
+  publish(update: QuarantineUpdate, from?: string): void;
+  /** Stores a quarantine that this VM decided; resolves after the first attempt to write it. */
+  storeQuarantine(request: RequestIdentity, quarantine: Quarantine): Promise<void>;
+  /** A target of this VM ran a quarantined request without a crash. */
+  onQuarantineRefuted(request: RequestIdentity): void;
 }
 
-/** Knows which requests end targets. */
+/** Finds and quarantines requests that crash targets. */
 export default class RequestGuard {
-  private readonly book: CaseBook;
-  private readonly trials: Trials;
-  private readonly underWay = new Set<GuardedRequest>();
+  private readonly crashTable: CrashTable;
+  private readonly trials: TrialQueue;
+  private readonly openRequests = new Set<GuardedRequest>();
 
   constructor(private readonly options: RequestGuardOptions) {
     const { clock, timers, random, log, metrics, countVms } = options;
-    const noteDropped = createLineLimit(log, clock, 'evidence-dropped');
-    this.book = new CaseBook((identity) => {
+    const logDropped = createLineLimit(log, clock, 'evidence-dropped');
+    this.crashTable = new CrashTable((identity) => {
       metrics.count('limelead_evidence_dropped_total');
-      noteDropped({ identity });
+      logDropped({ identity });
     });
-    this.trials = new Trials({
+    this.trials = new TrialQueue({
       ...{ clock, timers, random, countVms },
-      judge: (request) => this.judge(request),
-      tell: (notice) => this.tellTrial(notice),
+      getStatus: (request) => this.getStatus(request),
+      publish: (notice) => this.publishTrial(notice),
     });
   }
 
-  /** Requests that are kept from targets now. */
-  get quarantined(): number {
-    return this.book.countQuarantined(this.now);
+  /** Number of requests that are quarantined now. */
+  get quarantinedCount(): number {
+    return this.crashTable.countQuarantined(this.now);
   }
 
-  /** Requests that wait until a suspect's trial is over. */
-  get waiting(): number {
-    return this.trials.waiting;
+  /** Number of requests that wait for another trial to end. */
+  get waitingCount(): number {
+    return this.trials.waitingCount;
   }
 
-  /** Begins to guard a request of this VM; to be closed when it has its final answer. */
-  begin(facts: GuardedFacts): GuardedRequest {
-    const guarded = new GuardedRequest(facts, {
-      watches: (service) => this.book.watches(service),
-      judge: (request) => this.judge(request),
-      quarantineLeftMs: (request) => this.book.quarantineLeftMs(request, this.now),
-      ask: (request, receive) => this.trials.ask(request, receive),
-      endTrial: (request) => this.trials.end(request),
-      noteBroken: (strike, facts) => this.lookInto(strike, facts),
-      absolve: (request) => this.absolve(request),
-      onClosed: () => this.underWay.delete(guarded),
+  /** Starts the tracking of a request of this VM; the caller closes it after its final answer. */
+  guardRequest(details: GuardedRequestDetails): GuardedRequest {
+    const guarded = new GuardedRequest(details, {
+      hasEntriesFor: (service) => this.crashTable.hasEntriesFor(service),
+      getStatus: (request) => this.getStatus(request),
+      quarantineLeftMs: (request) => this.crashTable.quarantineLeftMs(request, this.now),
+      requestAdmission: (request, receive) => this.trials.requestAdmission(request, receive),
+      endTrial: (request) => this.trials.endTrial(request),
+      checkBrokenRun: (crash, details) => this.tryCheckBrokenRun(crash, details),
+      clearRequest: (request) => this.clearRequest(request),
+      onClosed: () => this.openRequests.delete(guarded),
     });
-    this.underWay.add(guarded);
+    this.openRequests.add(guarded);
     return guarded;
   }
 
-  /** Takes what another VM told, and passes on what is news here. */
-  hear(news: GuardNews, from: string): void {
-    const strikes = news.strikes.filter((strike) => this.enter(strike, from));
-    const withdrawn = news.withdrawn.filter(({ request, target }) => this.drop(request, target));
-    const absolved = news.absolved.filter(({ request, atMs }) => this.clear(request, atMs, from));
-    const trials = news.trials.filter((notice) => this.trials.hear(notice));
-    this.options.tell({ strikes, withdrawn, absolved, trials }, from);
+  /** Applies a peer's update and forwards the changes that were new here. */
+  onPeerUpdate(update: QuarantineUpdate, from: string): void {
+    const strikes = update.strikes.filter((crash) => this.recordCrash(crash, from));
+    const withdrawn = update.withdrawn.filter(({ request, target }) =>
+      this.withdrawCrash(request, target),
+    );
+    const absolved = update.absolved.filter(({ request, atMs }) =>
+      this.applyClearance(request, atMs, from),
+    );
+    const trials = update.trials.filter((notice) => this.trials.onPeerNotice(notice));
+    this.options.publish({ strikes, withdrawn, absolved, trials }, from);
   }
 
-  /** What a VM is told that has just met this one. */
-  listNews(): GuardNews {
-    return composeNews({ strikes: this.book.listAll().slice(0, MOST_TOLD_STRIKES) });
+  /** The newest crashes, for a newly linked VM. */
+  createSnapshot(): QuarantineUpdate {
+    return createQuarantineUpdate({
+      strikes: this.crashTable.listAllCrashes().slice(0, MAX_SNAPSHOT_CRASHES),
+    });
   }
 
-  /** The store holds that a request ends its targets. */
+  /** Quarantines a request that the store lists as quarantined. */
   quarantine(request: RequestIdentity, quarantine: Quarantine): void {
-    if (this.book.quarantine(request, quarantine, this.now)) {
-      this.onQuarantined(request, quarantine.service, 'store');
+    if (this.crashTable.quarantine(request, quarantine, this.now)) {
+      this.recordQuarantine(request, quarantine.service, 'store');
     }
   }
 
-  /** The store holds it no longer. */
+  /** Ends the quarantine of a request that the store does not list any more. */
   release(request: RequestIdentity): void {
-    this.book.release(request, this.now);
+    this.crashTable.release(request, this.now);
     this.options.log.write('request-released', { identity: request });
-    this.trials.wake(request);
+    this.trials.reevaluate(request);
   }
 
   private get now(): Millis {
     return this.options.clock.now();
   }
 
-  private judge(request: RequestIdentity): Verdict {
-    return this.book.judge(request, this.now);
+  private getStatus(request: RequestIdentity): RequestStatus {
+    return this.crashTable.getStatus(request, this.now);
   }
 
-  private tellTrial(notice: TrialNotice): void {
+  private publishTrial(notice: TrialNotice): void {
     const { request } = notice;
     if (!notice.isOver) {
       this.options.log.write('request-tried-alone', {
         identity: request,
-        targets: this.book.listTargets(request),
+        targets: this.crashTable.listCrashedTargets(request),
       });
     }
-    this.options.tell(composeNews({ trials: [notice] }));
+    this.options.publish(createQuarantineUpdate({ trials: [notice] }));
   }
 
-  private async lookInto(strike: Strike, facts: GuardedFacts): Promise<void> {
+  private async tryCheckBrokenRun(
+    crash: CrashRecord,
+    details: GuardedRequestDetails,
+  ): Promise<void> {
     try {
-      await this.noteBroken(strike, facts);
+      await this.checkBrokenRun(crash, details);
     } catch (thrown) {
       this.options.log.write('strike-failed', { reason: describeThrown(thrown) });
     }
   }
 
   /**
-   * A run of this VM broke before it had written anything. One break may be anything; from the
-   * second on the target is asked, since a broken link or a target that resets is no end.
+   * Checks a run of this VM that broke before any output. From a request's second such run on, the
+   * target is probed, since a broken link or a reset connection is no crash.
    */
-  private async noteBroken(strike: Strike, facts: GuardedFacts): Promise<void> {
-    const { request, target, endedAtMs } = strike;
-    if (this.book.has(request)) {
-      this.dropRefuted(request);
-      if (!(await this.options.hasEnded(target, endedAtMs))) {
-        const { requestId } = facts;
+  private async checkBrokenRun(crash: CrashRecord, details: GuardedRequestDetails): Promise<void> {
+    const { request, target, endedAtMs } = crash;
+    if (this.crashTable.hasEntry(request)) {
+      this.withdrawRefutedCrashes(request);
+      if (!(await this.options.hasCrashed(target, endedAtMs))) {
+        const { requestId } = details;
         this.options.log.write('strike-refuted', { requestId, identity: request, target });
         return;
       }
     }
-    const before = this.judge(request);
-    if (!this.enter(strike, 'own', facts)) {
+    const before = this.getStatus(request);
+    if (!this.recordCrash(crash, 'own', details)) {
       return;
     }
-    this.options.metrics.count('limelead_strikes_total', 1, { service: strike.service });
-    this.options.tell(composeNews({ strikes: [strike] }));
-    if (before !== 'quarantined' && this.judge(request) === 'quarantined') {
-      const { service, caller } = strike;
-      await this.options.onProved(request, { service, caller });
+    this.options.metrics.count('limelead_strikes_total', 1, { service: crash.service });
+    this.options.publish(createQuarantineUpdate({ strikes: [crash] }));
+    if (before !== 'quarantined' && this.getStatus(request) === 'quarantined') {
+      const { service, caller } = crash;
+      await this.options.storeQuarantine(request, { service, caller });
     }
   }
 
-  /** Strikes whose targets answered later are taken back. */
-  private dropRefuted(request: RequestIdentity): void {
-    const refuted = this.book
-      .listStrikes(request)
-      .filter(({ target, endedAtMs }) => this.options.wasHeardSince(target, endedAtMs))
-      .filter(({ target }) => this.drop(request, target));
+  /** Withdraws crashes whose targets responded later. */
+  private withdrawRefutedCrashes(request: RequestIdentity): void {
+    const refuted = this.crashTable
+      .listCrashes(request)
+      .filter(({ target, endedAtMs }) => this.options.hasRespondedSince(target, endedAtMs))
+      .filter(({ target }) => this.withdrawCrash(request, target));
     if (refuted.length > 0) {
-      this.options.tell(composeNews({ withdrawn: refuted }));
+      this.options.publish(createQuarantineUpdate({ withdrawn: refuted }));
     }
   }
 
-  private drop(request: RequestIdentity, target: string): boolean {
-    const isNews = this.book.withdraw(request, target, this.now);
-    if (isNews) {
+  private withdrawCrash(request: RequestIdentity, target: string): boolean {
+    const isNew = this.crashTable.withdrawCrash(request, target, this.now);
+    if (isNew) {
       this.options.log.write('strike-withdrawn', { identity: request, target });
-      this.trials.wake(request);
+      this.trials.reevaluate(request);
     }
-    return isNews;
+    return isNew;
   }
 
-  private enter(strike: Strike, source: string, facts?: GuardedFacts): boolean {
-    const { request, service, target, startedAtMs, endedAtMs } = strike;
-    const before = this.judge(request);
-    if (!this.book.take(strike, this.now)) {
+  private recordCrash(
+    crash: CrashRecord,
+    source: string,
+    details?: GuardedRequestDetails,
+  ): boolean {
+    const { request, service, target, startedAtMs, endedAtMs } = crash;
+    const before = this.getStatus(request);
+    if (!this.crashTable.recordCrash(crash, this.now)) {
       return false;
     }
-    const verdict = this.judge(request);
-    // Of most requests there is one strike and no other: its line stands on the VM that saw it.
+    const verdict = this.getStatus(request);
+    // A first crash is logged only at the VM that saw it, since most requests have no second one.
     if (source === 'own' || verdict !== 'clear') {
       this.options.log.write('strike', {
-        requestId: facts?.requestId,
-        organisation: facts?.request.organisation,
-        path: facts?.request.path,
+        requestId: details?.requestId,
+        organisation: details?.request.organisation,
+        path: details?.request.path,
         ...{ identity: request, service, target, source, verdict },
         runMs: Math.round(endedAtMs - startedAtMs),
-        targets: this.book.listTargets(request),
+        targets: this.crashTable.listCrashedTargets(request),
       });
     }
     if (verdict === 'quarantined' && before !== 'quarantined') {
-      this.onQuarantined(request, service, source);
+      this.recordQuarantine(request, service, source);
     }
     return true;
   }
 
-  private onQuarantined(request: RequestIdentity, service: string, source: string): void {
-    const targets = this.book.listTargets(request);
+  private recordQuarantine(request: RequestIdentity, service: string, source: string): void {
+    const targets = this.crashTable.listCrashedTargets(request);
     this.options.metrics.count('limelead_quarantines_total', 1, { service });
     this.options.log.write('request-quarantined', { identity: request, service, source, targets });
-    this.trials.wake(request);
-    for (const guarded of [...this.underWay]) {
-      guarded.noteQuarantined(request, service);
+    this.trials.reevaluate(request);
+    for (const guarded of [...this.openRequests]) {
+      guarded.onQuarantined(request, service);
     }
   }
 
-  private absolve(request: RequestIdentity): void {
+  private clearRequest(request: RequestIdentity): void {
     const atMs = this.now;
-    const wasKept = this.judge(request) === 'quarantined';
-    if (this.book.has(request) && this.clear(request, atMs, 'own')) {
-      this.options.tell(composeNews({ absolved: [{ request, atMs }] }));
+    const wasQuarantined = this.getStatus(request) === 'quarantined';
+    if (this.crashTable.hasEntry(request) && this.applyClearance(request, atMs, 'own')) {
+      this.options.publish(createQuarantineUpdate({ absolved: [{ request, atMs }] }));
     }
-    if (wasKept) {
-      this.options.onRefuted(request);
+    if (wasQuarantined) {
+      this.options.onQuarantineRefuted(request);
     }
   }
 
-  private clear(request: RequestIdentity, atMs: Millis, source: string): boolean {
-    const targets = this.book.listTargets(request);
-    const before = this.judge(request);
-    const isNews = this.book.absolve(request, atMs, this.now);
+  private applyClearance(request: RequestIdentity, atMs: Millis, source: string): boolean {
+    const targets = this.crashTable.listCrashedTargets(request);
+    const before = this.getStatus(request);
+    const isNew = this.crashTable.clearRequest(request, atMs, this.now);
     if (before !== 'clear' || (source === 'own' && targets.length > 0)) {
       this.options.log.write('request-absolved', { identity: request, source, targets });
-      this.trials.wake(request);
+      this.trials.reevaluate(request);
     }
-    return isNews;
+    return isNew;
   }
 }
--- a/packages/share-evidence/src/evidence-exchange.test.ts
+++ b/packages/share-evidence/src/evidence-exchange.test.ts
@@ -1,6 +1,6 @@
 import createDecisionLog from '@limelead/decision-log';
 import type { StoreItem } from '@limelead/follow-store';
-import { composeNews } from '@limelead/quarantine-requests';
+import { createQuarantineUpdate } from '@limelead/quarantine-requests';
 import type { PacedLoad } from '@limelead/track-service-targets';
 import { backgroundTimers, systemRandom, type Advice } from '@limelead/types';
 import { createServer, type AddressInfo } from 'node:net';
@@ -77,7 +77,7 @@
       onLoad: (peer, { targets }) => vm.note(() => vm.loads.set(peer, targets)),
       adviseTarget: () => ({ target: `advised by ${port}` }),
       onLost: (target) => vm.note(() => vm.lost.push(target)),
-      readGuardNews: () => composeNews({}),
+      readGuardNews: () => createQuarantineUpdate({}),
       onGuardNews: () => undefined,
       readLimits: () => [],
       onLimits: () => undefined,
--- a/packages/share-evidence/src/evidence-exchange.ts
+++ b/packages/share-evidence/src/evidence-exchange.ts
@@ -6,7 +6,7 @@
 import { describeThrown } from '@limelead/errors';
 import { createPeerLinks, type PeerLinks } from '@limelead/peer-links';
 import type { PermitMessage } from '@limelead/permit-sends';
-import type { GuardNews } from '@limelead/quarantine-requests';
+import type { QuarantineUpdate } from '@limelead/quarantine-requests';
 import type { LeavingFact } from '@limelead/track-backpressure';
 import type { TargetLoss } from '@limelead/track-service-targets';
 import type { Advice, AdviceRequest, Millis } from '@limelead/types';
@@ -255,7 +255,7 @@
   }
 
   /** Tells peers of requests that may end targets, the one that told it aside. */
-  tellGuardNews(news: GuardNews, from?: PeerId): void {
+  tellGuardNews(news: QuarantineUpdate, from?: PeerId): void {
     this.targetNews.publishGuardNews(news, from);
   }
 
--- a/packages/share-evidence/src/guard-messages.ts
+++ b/packages/share-evidence/src/guard-messages.ts
@@ -1,5 +1,9 @@
 /** How news of requests that may end targets travel: ages in place of times, since each VM's clock is its own. */
-import { isEmptyNews, type GuardNews, type Strike } from '@limelead/quarantine-requests';
+import {
+  isEmptyQuarantineUpdate,
+  type QuarantineUpdate,
+  type CrashRecord,
+} from '@limelead/quarantine-requests';
 import type { Millis } from '@limelead/types';
 import * as t from 'io-ts';
 
@@ -24,11 +28,14 @@
 export type GuardNewsMessage = t.TypeOf<typeof guardNewsCodec>;
 
 /** Composes the message; undefined where there is nothing to tell. */
-export function composeGuardNews(news: GuardNews, now: Millis): GuardNewsMessage | undefined {
-  if (isEmptyNews(news)) {
+export function composeGuardNews(
+  news: QuarantineUpdate,
+  now: Millis,
+): GuardNewsMessage | undefined {
+  if (isEmptyQuarantineUpdate(news)) {
     return undefined;
   }
-  const toMessage = ({ startedAtMs, endedAtMs, ...strike }: Strike) => ({
+  const toMessage = ({ startedAtMs, endedAtMs, ...strike }: CrashRecord) => ({
     ...strike,
     startedAgoMs: Math.round(now - startedAtMs),
     endedAgoMs: Math.round(now - endedAtMs),
@@ -45,12 +52,12 @@
 }
 
 /** Reads the message. */
-export function readGuardNews(message: GuardNewsMessage, now: Millis): GuardNews {
+export function readGuardNews(message: GuardNewsMessage, now: Millis): QuarantineUpdate {
   const toStrike = ({
     startedAgoMs,
     endedAgoMs,
     ...strike
-  }: GuardNewsMessage['strikes'][number]): Strike => ({
+  }: GuardNewsMessage['strikes'][number]): CrashRecord => ({
     ...strike,
     startedAtMs: now - startedAgoMs,
     endedAtMs: now - endedAgoMs,
--- a/packages/share-evidence/src/target-news.ts
+++ b/packages/share-evidence/src/target-news.ts
@@ -2,7 +2,7 @@
  * Gossip that shares the message of lost targets: losses, leaving targets, and requests that may crash
  * targets. Older releases ignore the fields that they don't know.
  */
-import type { GuardNews } from '@limelead/quarantine-requests';
+import type { QuarantineUpdate } from '@limelead/quarantine-requests';
 import type { LeavingFact } from '@limelead/track-backpressure';
 import type { TargetLoss } from '@limelead/track-service-targets';
 import { composeGuardNews, readGuardNews } from './guard-messages.js';
@@ -51,7 +51,7 @@
   }
 
   /** Publishes evidence about requests to all peers except the one that it came from. */
-  publishGuardNews(news: GuardNews, from?: PeerId): void {
+  publishGuardNews(news: QuarantineUpdate, from?: PeerId): void {
     this.sendGuardNews(
       news,
       this.options.listPeers().filter((peer) => peer !== from),
@@ -81,7 +81,7 @@
       .forEach((target) => this.options.onLost(target, loss));
   }
 
-  private sendGuardNews(news: GuardNews, peers: PeerId[]): void {
+  private sendGuardNews(news: QuarantineUpdate, peers: PeerId[]): void {
     const requests = composeGuardNews(news, this.options.clock.now());
     if (requests !== undefined) {
       this.options.broadcast({ kind: 'lost', targets: [], replaced: [], requests }, peers);
--- a/packages/share-evidence/src/types.ts
+++ b/packages/share-evidence/src/types.ts
@@ -2,7 +2,7 @@
 import type { DecisionLog } from '@limelead/decision-log';
 import type { StoreItem } from '@limelead/follow-store';
 import type { LimitUpdate, PermitMessage } from '@limelead/permit-sends';
-import type { GuardNews } from '@limelead/quarantine-requests';
+import type { QuarantineUpdate } from '@limelead/quarantine-requests';
 import type { PacedLoad, TargetLoss, ToldLoad } from '@limelead/track-service-targets';
 import type { LeavingFact } from '@limelead/track-backpressure';
 import type { AdviceRequest, Clock, Millis, Random, Timers } from '@limelead/types';
@@ -112,9 +112,9 @@
   adviseTarget(peer: PeerId, question: TargetQuestion): TargetAnswer | undefined;
   onLost(target: string, loss: TargetLoss): void;
   /** What this VM knows of requests that may end targets, for a peer that has just met it. */
-  readGuardNews(): GuardNews;
+  readGuardNews(): QuarantineUpdate;
   /** A peer told of such requests. */
-  onGuardNews(news: GuardNews, peer: PeerId): void;
+  onGuardNews(news: QuarantineUpdate, peer: PeerId): void;
   /** Limits that targets named, for a peer that has just met this one. */
   readLimits(): LimitUpdate[];
   /** A peer told such limits. */
