--- a/packages/forward-request/src/target-availability.ts
+++ b/packages/forward-request/src/target-availability.ts
@@ -1,7 +1,7 @@
 /** Whether this VM may send to a target now, and if not, whether waiting can help. */
 import {
-  findFirstEnd,
-  refuseCooling,
+  findEarliestCooldownEnd,
+  refuseDuringCooldown,
   SLOW_START_MS,
   type TargetCooldown,
 } from '@limelead/track-backpressure';
@@ -48,7 +48,7 @@
   /** Logs a request that waits because all targets of its service are in a cooldown. */
   reportHeld({ requestId, service }: SlotRequest): void {
     const { backpressure, clock } = this.options;
-    const first = findFirstEnd(this.listCooldowns(service));
+    const first = findEarliestCooldownEnd(this.listCooldowns(service));
     if (first !== undefined) {
       const { target, untilMs } = first;
       backpressure.onHeld({ requestId, service, target, waitMs: untilMs - clock.now() });
@@ -64,11 +64,11 @@
     if (isExtra === true) {
       return undefined;
     }
-    return refuseCooling({
+    return refuseDuringCooldown({
       cooldowns: this.listCooldowns(service),
       untilMs: untilMs - serviceMs,
       now: clock.now(),
-      spreadMs: random.next() * SLOW_START_MS,
+      jitterMs: random.next() * SLOW_START_MS,
     });
   }
 
--- a/packages/share-evidence/src/evidence-exchange.ts
+++ b/packages/share-evidence/src/evidence-exchange.ts
@@ -7,7 +7,7 @@
 import { createPeerLinks, type PeerLinks } from '@limelead/peer-links';
 import type { PermitMessage } from '@limelead/permit-sends';
 import type { QuarantineUpdate } from '@limelead/quarantine-requests';
-import type { LeavingFact } from '@limelead/track-backpressure';
+import type { LeavingUpdate } from '@limelead/track-backpressure';
 import type { TargetLoss } from '@limelead/track-service-targets';
 import type { Advice, AdviceRequest, Millis } from '@limelead/types';
 import Gossip from './gossip.js';
@@ -260,7 +260,7 @@
   }
 
   /** Publishes leaving targets to all peers except the one that they came from. */
-  publishLeaving(facts: LeavingFact[], from?: PeerId): void {
+  publishLeaving(facts: LeavingUpdate[], from?: PeerId): void {
     this.targetNews.publishLeaving(facts, from);
   }
 
--- a/packages/share-evidence/src/leaving-exchange.ts
+++ b/packages/share-evidence/src/leaving-exchange.ts
@@ -1,5 +1,5 @@
 /** Gossip about targets that announced in their answers that they leave. */
-import type { LeavingFact } from '@limelead/track-backpressure';
+import type { LeavingUpdate } from '@limelead/track-backpressure';
 import type { Clock } from '@limelead/types';
 import { composeLeavingNews, readLeavingNews } from './leaving-messages.js';
 import type { EvidenceMessage, EvidenceMessageOf } from './messages.js';
@@ -23,7 +23,7 @@
   constructor(private readonly options: LeavingExchangeOptions) {}
 
   /** Publishes to the gossip peers, except the one that it came from. */
-  publish(facts: LeavingFact[], from?: PeerId): void {
+  publish(facts: LeavingUpdate[], from?: PeerId): void {
     this.send(
       facts,
       this.options.listPeers().filter((peer) => peer !== from),
@@ -45,7 +45,7 @@
     }
   }
 
-  private send(facts: LeavingFact[], peers: PeerId[]): void {
+  private send(facts: LeavingUpdate[], peers: PeerId[]): void {
     const leaving = composeLeavingNews(facts, this.options.clock.now());
     this.options.broadcast({ kind: 'lost', targets: [], replaced: [], leaving }, peers);
   }
--- a/packages/share-evidence/src/leaving-messages.ts
+++ b/packages/share-evidence/src/leaving-messages.ts
@@ -1,5 +1,5 @@
 /** Wire format of leaving announcements; ages replace times, since VMs share no clock. */
-import type { LeavingFact } from '@limelead/track-backpressure';
+import type { LeavingUpdate } from '@limelead/track-backpressure';
 import type { Millis } from '@limelead/types';
 import * as t from 'io-ts';
 
@@ -9,7 +9,7 @@
 type LeavingNews = t.TypeOf<typeof leavingNewsCodec>;
 
 /** Encodes announcements. */
-export function composeLeavingNews(facts: LeavingFact[], now: Millis): LeavingNews {
+export function composeLeavingNews(facts: LeavingUpdate[], now: Millis): LeavingNews {
   return facts.map(({ target, heardAtMs }) => ({
     target,
     heardAgoMs: Math.round(now - heardAtMs),
@@ -17,6 +17,6 @@
 }
 
 /** Decodes announcements. */
-export function readLeavingNews(news: LeavingNews, now: Millis): LeavingFact[] {
+export function readLeavingNews(news: LeavingNews, now: Millis): LeavingUpdate[] {
   return news.map(({ target, heardAgoMs }) => ({ target, heardAtMs: now - heardAgoMs }));
 }
--- a/packages/share-evidence/src/target-news.ts
+++ b/packages/share-evidence/src/target-news.ts
@@ -3,7 +3,7 @@
  * targets. Older releases ignore the fields that they don't know.
  */
 import type { QuarantineUpdate } from '@limelead/quarantine-requests';
-import type { LeavingFact } from '@limelead/track-backpressure';
+import type { LeavingUpdate } from '@limelead/track-backpressure';
 import type { TargetLoss } from '@limelead/track-service-targets';
 import { composeGuardNews, readGuardNews } from './guard-messages.js';
 import LeavingExchange from './leaving-exchange.js';
@@ -46,7 +46,7 @@
   }
 
   /** Publishes leaving targets to all peers except the one that they came from. */
-  publishLeaving(facts: LeavingFact[], from?: PeerId): void {
+  publishLeaving(facts: LeavingUpdate[], from?: PeerId): void {
     this.leaving.publish(facts, from);
   }
 
--- a/packages/share-evidence/src/types.ts
+++ b/packages/share-evidence/src/types.ts
@@ -4,7 +4,7 @@
 import type { LimitUpdate, PermitMessage } from '@limelead/permit-sends';
 import type { QuarantineUpdate } from '@limelead/quarantine-requests';
 import type { PacedLoad, TargetLoss, ToldLoad } from '@limelead/track-service-targets';
-import type { LeavingFact } from '@limelead/track-backpressure';
+import type { LeavingUpdate } from '@limelead/track-backpressure';
 import type { AdviceRequest, Clock, Millis, Random, Timers } from '@limelead/types';
 import type { IncomingMessage } from 'node:http';
 import type { PeerReport } from './report-messages.js';
@@ -120,9 +120,9 @@
   /** A peer told such limits. */
   onLimits(facts: LimitUpdate[], peer: PeerId): void;
   /** All targets that announced that they leave, for a newly linked peer. */
-  readLeaving(): LeavingFact[];
+  readLeaving(): LeavingUpdate[];
   /** A peer published leaving targets. */
-  onLeaving(facts: LeavingFact[], peer: PeerId): void;
+  onLeaving(facts: LeavingUpdate[], peer: PeerId): void;
   /** A peer asks, gives or returns permits to send. */
   onPermits(message: PermitMessage, peer: PeerId): void;
   /** The link to a peer that may have asked or given some is lost. */
--- a/packages/track-backpressure/src/backpressure.ts
+++ b/packages/track-backpressure/src/backpressure.ts
@@ -1,17 +1,22 @@
-/** Backpressure that targets signal in their answers, and what it means for sends of this VM. */
+/**
+ * Back pressure that targets signal in their responses, and its effect on the requests of this VM.
+ */
 import { createLineLimit, type LimitedLines } from '@limelead/decision-log';
 import type { DirectiveResponse, Millis } from '@limelead/types';
-import type { LeavingFact } from './leaving-book.js';
+import type { LeavingUpdate } from './leaving-table.js';
 import LeavingTargets, { type LeavingTargetsOptions } from './leaving-targets.js';
 import TargetCooldowns, { type TargetCooldownsOptions } from './target-cooldowns.js';
 
-/** Requests already in flight when the directive arrives are not counted as unwanted. */
-const CROSSING_MS: Millis = 50;
+/**
+ * A request sent this shortly after a directive arrived was already in flight and is not reported
+ * as unwanted.
+ */
+const IN_FLIGHT_TOLERANCE_MS: Millis = 50;
 
-/** Dependencies of the backpressure. */
+/** Dependencies of `Backpressure`. */
 export type BackpressureOptions = TargetCooldownsOptions & LeavingTargetsOptions;
 
-/** A directive that a send ignored. */
+/** A directive that a request violated. */
 type Directive = 'cooldown' | 'leaving';
 
 /** A request that waits for the end of a cooldown. */
@@ -23,49 +28,49 @@
   waitMs: Millis;
 }
 
-/** Tracks the directives of all targets, as one VM knows them. */
+/** Tracks the directives of all targets that this VM knows of. */
 export default class Backpressure {
   private readonly cooldowns: TargetCooldowns;
   private readonly leaving: LeavingTargets;
-  private readonly noteUnwanted: LimitedLines;
-  private readonly noteHeld: LimitedLines;
+  private readonly logUnwanted: LimitedLines;
+  private readonly logHeld: LimitedLines;
 
   constructor(private readonly options: BackpressureOptions) {
     const { clock, log } = options;
     this.cooldowns = new TargetCooldowns(options);
     this.leaving = new LeavingTargets(options);
-    this.noteUnwanted = createLineLimit(log, clock, 'unwanted-send');
-    this.noteHeld = createLineLimit(log, clock, 'held-for-cooldown');
+    this.logUnwanted = createLineLimit(log, clock, 'unwanted-send');
+    this.logHeld = createLineLimit(log, clock, 'held-for-cooldown');
   }
 
-  /** An answer arrived. */
+  /** Applies the directives of a response, and reports it if its request violated one. */
   onResponse(response: DirectiveResponse): void {
     this.checkSend(response);
     this.cooldowns.onResponse(response);
     this.leaving.onResponse(response);
   }
 
-  /** A peer published leaving targets. */
-  onPeerUpdate(vm: string, facts: LeavingFact[]): void {
-    this.leaving.onPeerUpdate(vm, facts);
+  /** Applies leaving announcements of a peer. */
+  onPeerUpdate(vm: string, updates: LeavingUpdate[]): void {
+    this.leaving.onPeerUpdate(vm, updates);
   }
 
   /** All leaving targets, for a newly linked peer. */
-  listLeaving(): LeavingFact[] {
+  listLeaving(): LeavingUpdate[] {
     return this.leaving.list();
   }
 
-  /** Whether an incarnation announced that it leaves, regardless of its registry entry. */
+  /** Whether an incarnation announced that it leaves; independent of its registry entry. */
   isLeaving(target: string): boolean {
     return this.leaving.knownSinceMs(target) !== undefined;
   }
 
-  /** Whether any target is in a cooldown, or left one in the last minute. */
+  /** Whether any target is in a cooldown or left one in the last minute. */
   get isCoolingAny(): boolean {
     return this.cooldowns.size > 0;
   }
 
-  /** End of a target's cooldown for this VM, in steady time; undefined where there is none. */
+  /** End of a target's cooldown for this VM, in steady time; undefined without one. */
   coolingUntilMs(target: string): Millis | undefined {
     return this.cooldowns.activeUntilMs(target);
   }
@@ -75,16 +80,16 @@
     return this.cooldowns.limitSlots(target, slots);
   }
 
-  /** A request waits because all targets of its service are in a cooldown. */
+  /** Reports a request that waits because all targets of its service are in a cooldown. */
   onHeld({ waitMs, ...request }: HeldRequest): void {
     this.options.metrics.count('limelead_held_for_cooldown_total');
-    this.noteHeld({ ...request, waitMs: Math.round(waitMs) });
+    this.logHeld({ ...request, waitMs: Math.round(waitMs) });
   }
 
-  /** Reports sends that violated a directive which was in force when they began. */
+  /** Reports a request that violated a directive in force when it was sent. */
   private checkSend(response: DirectiveResponse): void {
     const { target, sentAtMs } = response;
-    this.reportUnwanted('cooldown', response, this.cooldowns.findBeginAt(target, sentAtMs));
+    this.reportUnwanted('cooldown', response, this.cooldowns.findStartOfActiveAt(target, sentAtMs));
     this.reportUnwanted('leaving', response, this.leaving.knownSinceMs(target));
   }
 
@@ -93,11 +98,11 @@
     { target, requestId, sentAtMs }: DirectiveResponse,
     sinceMs: Millis | undefined,
   ): void {
-    if (sinceMs === undefined || sentAtMs <= sinceMs + CROSSING_MS) {
+    if (sinceMs === undefined || sentAtMs <= sinceMs + IN_FLIGHT_TOLERANCE_MS) {
       return;
     }
     this.options.metrics.count('limelead_unwanted_sends_total', 1, { directive });
-    this.noteUnwanted({
+    this.logUnwanted({
       requestId,
       target,
       directive,
--- a/packages/track-backpressure/src/cooldown-book.ts
+++ b/packages/track-backpressure/src/cooldown-table.ts
@@ -1,29 +1,29 @@
-/** The cooldown of each target. */
+/** Cooldown of each target. */
 import type { Millis } from '@limelead/types';
 
-/** A span in which this VM sends nothing to a target. */
+/** A time span in which this VM sends no requests to a target. */
 export interface Cooldown {
   sinceMs: Millis;
   untilMs: Millis;
 }
 
-/** Effect of a requested cooldown; one that ends before the present one has none. */
-export type CooldownOutcome = 'begun' | 'prolonged' | 'covered';
+/** Effect of a requested cooldown; `covered` if the present one lasts at least as long. */
+export type CooldownChange = 'begun' | 'prolonged' | 'covered';
 
-/** Keeps the latest cooldown of each target, expired ones included. */
-export default class CooldownBook {
+/** Keeps the latest cooldown of each target, including expired ones. */
+export default class CooldownTable {
   private readonly cooldowns = new Map<string, Cooldown>();
 
   get size(): number {
     return this.cooldowns.size;
   }
 
-  /** The latest cooldown of a target, which may have expired. */
+  /** The latest cooldown of a target, expired or not. */
   find(target: string): Cooldown | undefined {
     return this.cooldowns.get(target);
   }
 
-  /** The cooldown of a target, unless it has expired. */
+  /** The cooldown of a target, unless it expired. */
   findActive(target: string, now: Millis): Cooldown | undefined {
     const cooldown = this.cooldowns.get(target);
     return cooldown !== undefined && cooldown.untilMs > now ? cooldown : undefined;
@@ -34,8 +34,8 @@
     return [...this.cooldowns.values()].filter(({ untilMs }) => untilMs > now).length;
   }
 
-  /** Begins or prolongs a cooldown; never shortens it. */
-  extend(target: string, untilMs: Millis, now: Millis): CooldownOutcome {
+  /** Starts or prolongs a cooldown; never shortens one. */
+  extend(target: string, untilMs: Millis, now: Millis): CooldownChange {
     const active = this.findActive(target, now);
     if (active === undefined) {
       this.cooldowns.set(target, { sinceMs: now, untilMs });
@@ -48,7 +48,7 @@
     return 'prolonged';
   }
 
-  /** Removes cooldowns that expired by the given time. */
+  /** Removes the cooldowns that expired by that time. */
   prune(endedByMs: Millis): void {
     for (const [target, { untilMs }] of this.cooldowns) {
       if (untilMs <= endedByMs) {
--- a/packages/track-backpressure/src/index.ts
+++ b/packages/track-backpressure/src/index.ts
@@ -1,11 +1,11 @@
-/** Backpressure that targets signal in the headers of their answers. */
+/** Back pressure that targets signal in the headers of their responses. */
 export { default as Backpressure, type HeldRequest } from './backpressure.js';
-export type { LeavingFact } from './leaving-book.js';
+export type { LeavingUpdate } from './leaving-table.js';
 export { default as readDirectives } from './read-directives.js';
 export {
-  default as refuseCooling,
-  findFirstEnd,
-  type CoolingRefusal,
+  default as refuseDuringCooldown,
+  findEarliestCooldownEnd,
+  type CooldownRefusal,
   type TargetCooldown,
-} from './refuse-cooling.js';
+} from './refuse-during-cooldown.js';
 export { SLOW_START_MS } from './slow-start.js';
--- a/packages/track-backpressure/src/leaving-targets.ts
+++ b/packages/track-backpressure/src/leaving-targets.ts
@@ -1,79 +1,82 @@
 /**
- * Leaving announcements from answers and from peers. They are gossiped, since the registry may
- * list a leaving target as ready until it is gone.
+ * Leaving announcements from responses and peers. They are gossiped, since the registry may list a
+ * leaving target as ready until it has ended.
  */
 import { createLineLimit, type DecisionLog, type LimitedLines } from '@limelead/decision-log';
 import type { Metrics } from '@limelead/metrics';
 import type { Clock, DirectiveResponse, Millis } from '@limelead/types';
-import LeavingBook, { type LeavingFact } from './leaving-book.js';
+import LeavingTable, { type LeavingUpdate } from './leaving-table.js';
 
-/** A lapsed registry entry may come back within this time. */
-const KEEP_UNLISTED_MS: Millis = 600_000;
+/**
+ * How long announcements of unlisted targets are kept, since an expired registry entry may
+ * reappear.
+ */
+const UNLISTED_TARGET_TTL_MS: Millis = 600_000;
 
-/** Dependencies. */
+/** Dependencies of `LeavingTargets`. */
 export interface LeavingTargetsOptions {
   clock: Clock;
   log: Pick<DecisionLog, 'write'>;
   metrics: Pick<Metrics, 'count'>;
   /** Whether the registry lists the incarnation. */
   isListed(target: string): boolean;
-  /** An announcement is new to this VM. */
+  /** Called for each announcement that is new to this VM. */
   onLeaving(target: string): void;
-  /** Publishes to all peers except the one that it came from. */
-  publish(facts: LeavingFact[], from?: string): void;
+  /** Sends announcements to all peers except the one that they came from. */
+  publish(updates: LeavingUpdate[], from?: string): void;
 }
 
-/** Collects announcements. */
+/** Collects and gossips announcements. */
 export default class LeavingTargets {
-  private readonly book = new LeavingBook();
-  private readonly noteAnnounced: LimitedLines;
+  private readonly table = new LeavingTable();
+  private readonly logAnnounced: LimitedLines;
 
   constructor(private readonly options: LeavingTargetsOptions) {
     const { clock, log } = options;
-    this.noteAnnounced = createLineLimit(log, clock, 'target-leaving-announced');
+    this.logAnnounced = createLineLimit(log, clock, 'target-leaving-announced');
   }
 
   /** Steady time at which this VM learned of the announcement; undefined without one. */
   knownSinceMs(target: string): Millis | undefined {
-    return this.book.knownSinceMs(target);
+    return this.table.knownSinceMs(target);
   }
 
   /** All announcements, for a newly linked peer. */
-  list(): LeavingFact[] {
-    return this.book.list();
+  list(): LeavingUpdate[] {
+    return this.table.list();
   }
 
-  /** An answer arrived. */
+  /** Applies the announcement in a response, if there is one. */
   onResponse({ target, directives }: DirectiveResponse): void {
     if (directives.isLeaving) {
-      this.take([{ target, heardAtMs: this.options.clock.now() }]);
+      this.applyUpdates([{ target, heardAtMs: this.options.clock.now() }]);
     }
   }
 
-  /** A peer published announcements. */
-  onPeerUpdate(vm: string, facts: LeavingFact[]): void {
-    this.take(facts, vm);
+  /** Applies announcements of a peer. */
+  onPeerUpdate(vm: string, updates: LeavingUpdate[]): void {
+    this.applyUpdates(updates, vm);
   }
 
-  private take(facts: LeavingFact[], vm?: string): void {
+  private applyUpdates(updates: LeavingUpdate[], vm?: string): void {
     const { clock, isListed, onLeaving, publish } = this.options;
     const now = clock.now();
-    const keptSinceMs = now - KEEP_UNLISTED_MS;
-    this.book.prune(keptSinceMs, isListed);
-    const news = facts
+    const keptSinceMs = now - UNLISTED_TARGET_TTL_MS;
+    this.table.prune(keptSinceMs, isListed);
+    const newUpdates = updates
       .filter(({ target, heardAtMs }) => heardAtMs >= keptSinceMs || isListed(target))
-      .filter((fact) => this.book.add(fact, now));
-    if (news.length > 0) {
-      news.forEach((fact) => this.report(fact, vm));
-      news.forEach(({ target }) => onLeaving(target));
-      publish(news, vm);
+      .filter((update) => this.table.add(update, now));
+    if (newUpdates.length > 0) {
+      newUpdates.forEach((update) => this.report(update, vm));
+      newUpdates.forEach(({ target }) => onLeaving(target));
+      publish(newUpdates, vm);
     }
   }
 
-  private report({ target, heardAtMs }: LeavingFact, vm: string | undefined): void {
+  private report({ target, heardAtMs }: LeavingUpdate, vm: string | undefined): void {
     const { clock, metrics } = this.options;
     const heardAgoMs = Math.round(clock.now() - heardAtMs);
     metrics.count('limelead_leaving_announcements_total');
-    this.noteAnnounced({ target, source: vm ?? 'answer', heardAgoMs });
+    this.logAnnounced({ target, source: vm ?? 'answer', heardAgoMs });
   }
 }
--- a/packages/track-backpressure/src/parse-decimal.ts
+++ b/packages/track-backpressure/src/parse-decimal.ts
@@ -1,7 +1,7 @@
 /** Parses a plain decimal number from a header. */
 const DECIMAL = /^(\d+\.?\d*|\.\d+)$/;
 
-/** Undefined for signs, exponents, words, empty text, and numbers that are not finite. */
+/** Returns undefined for signs, exponents, words, empty text, and numbers that are not finite. */
 export default function parseDecimal(text: string): number | undefined {
   const value = DECIMAL.test(text) ? Number(text) : Infinity;
   return Number.isFinite(value) ? value : undefined;
--- a/packages/track-backpressure/src/parse-rate-limit.ts
+++ b/packages/track-backpressure/src/parse-rate-limit.ts
@@ -5,7 +5,7 @@
 
 const NO_LIMIT: AdvertisedLimit = { kind: 'none' };
 
-/** @param text a decimal number; undefined where the answer has no such header */
+/** @param text a decimal number; undefined if the response has no such header */
 export default function parseRateLimit(text: string | undefined): AdvertisedLimit {
   if (text === undefined) {
     return NO_LIMIT;
--- a/packages/track-backpressure/src/parse-retry-after.ts
+++ b/packages/track-backpressure/src/parse-retry-after.ts
@@ -7,7 +7,7 @@
 const SECOND_MS: Millis = 1_000;
 
 const TIME = String.raw`\d{2}:\d{2}:\d{2}`;
-/** The three forms of an HTTP date: that of RFC 9110, of RFC 850 and of asctime. */
+/** The three forms of an HTTP date: RFC 9110, RFC 850 and asctime. */
 const HTTP_DATES = [
   new RegExp(String.raw`^[A-Z][a-z]{2}, \d{2} [A-Z][a-z]{2} \d{4} ${TIME} GMT$`),
   new RegExp(String.raw`^[A-Z][a-z]+day, \d{2}-[A-Z][a-z]{2}-\d{2} ${TIME} GMT$`),
@@ -15,7 +15,7 @@
 ];
 
 /**
- * @param text seconds or an HTTP date; undefined where the answer has no such header
+ * @param text seconds or an HTTP date; undefined if the response has no such header
  * @param timeOfDayMs present time of day, in Unix milliseconds
  */
 export default function parseRetryAfter(
--- a/packages/track-backpressure/src/read-directives.ts
+++ b/packages/track-backpressure/src/read-directives.ts
@@ -1,34 +1,34 @@
-/** Decodes all backpressure headers of an answer. */
+/** Decodes all back pressure headers of a response. */
 import type { Millis, TargetDirectives } from '@limelead/types';
 import parseRateLimit from './parse-rate-limit.js';
 import parseRetryAfter from './parse-retry-after.js';
 
 const UNAVAILABLE = 503;
-const SAYS_LEAVING = '1';
+const LEAVING_VALUE = '1';
 
-/** Names of the headers, in lower case. */
-export interface DirectiveHeaders {
+/** Header names, in lower case. */
+export interface DirectiveHeaderNames {
   limit: string;
   retryAfter: string;
   leaving: string;
 }
 
-/** Status and headers of an answer; names in lower case. */
-export interface DirectiveHead {
+/** Status and headers of a response; header names in lower case. */
+export interface ResponseHead {
   status: number;
   headers: ReadonlyMap<string, string>;
 }
 
 /** @param timeOfDayMs present time of day, in Unix milliseconds */
 export default function readDirectives(
-  { status, headers }: DirectiveHead,
-  names: DirectiveHeaders,
+  { status, headers }: ResponseHead,
+  names: DirectiveHeaderNames,
   timeOfDayMs: Millis,
 ): TargetDirectives {
   const retryAfter = status === UNAVAILABLE ? headers.get(names.retryAfter) : undefined;
   return {
     limit: parseRateLimit(headers.get(names.limit)),
     cooldown: parseRetryAfter(retryAfter, timeOfDayMs),
-    isLeaving: headers.get(names.leaving)?.trim() === SAYS_LEAVING,
+    isLeaving: headers.get(names.leaving)?.trim() === LEAVING_VALUE,
   };
 }
--- a/packages/track-backpressure/src/slow-start.ts
+++ b/packages/track-backpressure/src/slow-start.ts
@@ -1,7 +1,7 @@
-/** Slow start: concurrency at a target ramps up after a cooldown. */
+/** Slow start: ramps up the concurrency at a target after a cooldown. */
 import type { Millis } from '@limelead/types';
 
-/** Length of the ramp from one request to all slots. */
+/** Duration of the ramp from one request to all slots. */
 export const SLOW_START_MS: Millis = 1_000;
 
 /** @param sinceEndMs time since the end of the cooldown, in milliseconds */
--- a/packages/track-backpressure/src/target-cooldowns.ts
+++ b/packages/track-backpressure/src/target-cooldowns.ts
@@ -2,55 +2,57 @@
 import { createLineLimit, type DecisionLog, type LimitedLines } from '@limelead/decision-log';
 import type { Metrics } from '@limelead/metrics';
 import type { Clock, DirectiveResponse, Millis, Random, Timers } from '@limelead/types';
-import CooldownBook from './cooldown-book.js';
+import CooldownTable from './cooldown-table.js';
 import drawCooldownEnd from './cooldown-end.js';
 import rampSlots from './slow-start.js';
 
-/** Expired cooldowns are kept this long, for the slow start and the alarm. */
-const KEEP_ENDED_MS: Millis = 60_000;
-/** Longest single timer; the runtime fires longer ones immediately. */
+/**
+ * How long expired cooldowns are kept, for the slow start and the detection of unwanted requests.
+ */
+const EXPIRED_COOLDOWN_TTL_MS: Millis = 60_000;
+/** Longest timer; the runtime fires timers beyond its limit at once. */
 const MAX_TIMER_MS: Millis = 3_600_000;
 
-/** Dependencies. */
+/** Dependencies of `TargetCooldowns`. */
 export interface TargetCooldownsOptions {
   clock: Clock;
-  /** Must not keep the process alive: a cooldown may last for hours. */
+  /** Must not keep the process alive, since a cooldown may last for hours. */
   timers: Timers;
   random: Random;
   log: Pick<DecisionLog, 'write'>;
   metrics: Pick<Metrics, 'count' | 'gauge'>;
 }
 
-/** Applies requested cooldowns and logs their begin and end. */
+/** Applies requested cooldowns, and logs their start and end. */
 export default class TargetCooldowns {
-  private readonly cooldowns = new CooldownBook();
-  private readonly noteCooldown: LimitedLines;
-  private readonly noteCooldownOver: LimitedLines;
-  private readonly noteUnreadable: LimitedLines;
+  private readonly cooldowns = new CooldownTable();
+  private readonly logCooldown: LimitedLines;
+  private readonly logCooldownOver: LimitedLines;
+  private readonly logUnreadable: LimitedLines;
 
   constructor(private readonly options: TargetCooldownsOptions) {
     const { clock, log, metrics } = options;
-    this.noteCooldown = createLineLimit(log, clock, 'target-cooldown');
-    this.noteCooldownOver = createLineLimit(log, clock, 'target-cooldown-over');
-    this.noteUnreadable = createLineLimit(log, clock, 'target-cooldown-unreadable');
+    this.logCooldown = createLineLimit(log, clock, 'target-cooldown');
+    this.logCooldownOver = createLineLimit(log, clock, 'target-cooldown-over');
+    this.logUnreadable = createLineLimit(log, clock, 'target-cooldown-unreadable');
     metrics.gauge('limelead_cooling_targets', () => this.cooldowns.countActive(this.now));
   }
 
-  /** An answer arrived. */
+  /** Applies the cooldown in a response, if there is one. */
   onResponse({ target, requestId, directives: { cooldown } }: DirectiveResponse): void {
     if (cooldown.kind === 'unreadable') {
-      this.noteUnreadable({ target, requestId, text: cooldown.text });
+      this.logUnreadable({ target, requestId, text: cooldown.text });
     } else if (cooldown.kind === 'delay' && cooldown.delayMs > 0) {
       this.extend(target, requestId, cooldown.delayMs);
     }
   }
 
-  /** Number of cooldowns, recently expired ones included. */
+  /** Number of cooldowns, including recently expired ones. */
   get size(): number {
     return this.cooldowns.size;
   }
 
-  /** End of a target's cooldown, in steady time; undefined where there is none. */
+  /** End of a target's cooldown, in steady time; undefined without one. */
   activeUntilMs(target: string): Millis | undefined {
     return this.cooldowns.findActive(target, this.now)?.untilMs;
   }
@@ -61,8 +63,8 @@
     return cooldown === undefined ? slots : rampSlots(slots, this.now - cooldown.untilMs);
   }
 
-  /** Begin of the cooldown that was in force at the given time; undefined if there was none. */
-  findBeginAt(target: string, sentAtMs: Millis): Millis | undefined {
+  /** Start of the cooldown that was in force at the given time; undefined if there was none. */
+  findStartOfActiveAt(target: string, sentAtMs: Millis): Millis | undefined {
     const cooldown = this.cooldowns.find(target);
     return cooldown !== undefined && cooldown.untilMs > sentAtMs ? cooldown.sinceMs : undefined;
   }
@@ -77,14 +79,14 @@
     const outcome = this.cooldowns.extend(target, untilMs, now);
     this.options.metrics.count('limelead_cooldowns_total', 1, { outcome });
     if (outcome !== 'covered') {
-      this.noteCooldown({ target, requestId, outcome, requestedMs: Math.round(delayMs) });
+      this.logCooldown({ target, requestId, outcome, requestedMs: Math.round(delayMs) });
     }
     if (outcome === 'begun') {
       this.watchEnd(target);
     }
   }
 
-  /** Logs the end of a cooldown, which later answers may postpone. */
+  /** Logs the end of a cooldown, which later responses may postpone. */
   private watchEnd(target: string): void {
     const { now } = this;
     const cooldown = this.cooldowns.find(target);
@@ -93,14 +95,14 @@
     }
     const { sinceMs, untilMs } = cooldown;
     if (untilMs <= now) {
-      this.noteCooldownOver({ target, lastedMs: Math.round(untilMs - sinceMs) });
-      this.options.timers.after(KEEP_ENDED_MS, () => this.prune());
+      this.logCooldownOver({ target, lastedMs: Math.round(untilMs - sinceMs) });
+      this.options.timers.after(EXPIRED_COOLDOWN_TTL_MS, () => this.prune());
       return;
     }
     this.options.timers.after(Math.min(untilMs - now, MAX_TIMER_MS), () => this.watchEnd(target));
   }
 
   private prune(): void {
-    this.cooldowns.prune(this.now - KEEP_ENDED_MS);
+    this.cooldowns.prune(this.now - EXPIRED_COOLDOWN_TTL_MS);
   }
 }
