--- a/packages/forward-request/src/forward-call.ts
+++ b/packages/forward-request/src/forward-call.ts
@@ -81,7 +81,7 @@
   ) {
     this.budget = new AttemptBudget(context, admitted);
     this.report = new CallReport(context, admitted);
-    this.guarded = context.guard.begin({
+    this.guarded = context.guard.guardRequest({
       request: selectIdentityFields(admitted),
       route: admitted.route.name,
       requestId: admitted.request.requestId,
@@ -113,7 +113,7 @@
     this.isWaiting = true;
     this.isHedge = isHedge;
     let isAnswered = false;
-    const stopAsking = this.guarded.ask((admission) => {
+    const stopAsking = this.guarded.requestAdmission((admission) => {
       isAnswered = true;
       if (admission === 'refuse') {
         this.onQuarantined();
@@ -153,7 +153,7 @@
     }
     if (slot === undefined) {
       this.refusal = refusal;
-      this.guarded.noteOver();
+      this.guarded.recordInconclusiveRun();
       this.giveUp();
       return;
     }
@@ -200,7 +200,7 @@
   /** Streams an answer that is too long to buffer and cancels the other attempts. */
   private beginStreaming(attempt: CallAttempt, head: AnswerHead): void {
     this.streaming = attempt;
-    this.guarded.noteHarmless();
+    this.guarded.recordHarmlessRun();
     this.reportUnanswered('answered', attempt);
     this.cancelOthers(attempt);
     const length = head.headers.get('content-length');
@@ -217,7 +217,7 @@
     const isGood = status < MIN_SERVER_ERROR_STATUS;
     const kind = isGood ? 'answered' : 'failed';
     this.context.directory.observe(attempt.target.id, { kind });
-    this.guarded.noteHarmless();
+    this.guarded.recordHarmlessRun();
     this.context.observer.onRunStarted?.(this.admitted, attempt.target);
     this.reportAttemptEnded(attempt, isGood);
     if (this.streaming === attempt) {
@@ -244,9 +244,9 @@
       if (!this.guarded.isSuspected) {
         this.reportAttemptEnded(attempt, false);
       }
-      this.guarded.noteBroken(attempt.target.id, attempt.sentAtMs, this.context.clock.now());
+      this.guarded.recordBrokenRun(attempt.target.id, attempt.sentAtMs, this.context.clock.now());
     } else {
-      this.guarded.noteOver();
+      this.guarded.recordInconclusiveRun();
     }
     if (this.streaming === attempt) {
       this.sink.abort(new LimeleadError('outcome-unknown', 'the target broke off its answer'));
@@ -258,7 +258,7 @@
       this.possibleRuns -= 1;
       this.retryRejected();
     } else {
-      this.guarded.whenKnown(() => this.retryFailed());
+      this.guarded.afterChecks(() => this.retryFailed());
     }
   }
 
@@ -277,7 +277,7 @@
       isOtherTarget ? { kind: 'replaced' } : { kind: 'full', pauseMs: FULL_TARGET_PAUSE_MS },
     );
     this.report.rejected(attempt, isOtherTarget);
-    this.guarded.noteOver();
+    this.guarded.recordInconclusiveRun();
     if (!isOtherTarget) {
       this.triedTargets.delete(id);
     }
--- a/packages/forward-request/src/forward-stream.ts
+++ b/packages/forward-request/src/forward-stream.ts
@@ -84,7 +84,7 @@
     this.report = new StreamReport(context, admitted);
     this.replicas = new RunReplicas(context, admitted);
     this.attempts = new StreamAttemptTracker(context, admitted);
-    this.guarded = context.guard.begin({
+    this.guarded = context.guard.guardRequest({
       request: selectIdentityFields(admitted),
       route: admitted.route.name,
       requestId: admitted.request.requestId,
@@ -179,7 +179,7 @@
       this.fail(end);
       return;
     }
-    const stopAsking = this.guarded.ask((admission) => {
+    const stopAsking = this.guarded.requestAdmission((admission) => {
       if (admission === 'refuse') {
         this.fail(this.createQuarantined());
       } else {
@@ -191,7 +191,7 @@
 
   private findSlot(attempt: number, exclude: string[], onlyLeastLoaded: boolean): void {
     if (!this.attempts.trySpendRetry()) {
-      this.guarded.noteOver();
+      this.guarded.recordInconclusiveRun();
       this.advance({ kind: 'no-target', attempt, error: 'overloaded' });
       return;
     }
@@ -222,13 +222,13 @@
       return;
     }
     if (refusal !== undefined) {
-      this.guarded.noteOver();
+      this.guarded.recordInconclusiveRun();
       const overrides = reportRefusal(this.context, this.admitted, refusal);
       this.fail(this.attempts.createError('overloaded', REFUSAL_MESSAGE, overrides));
       return;
     }
     if (slot === undefined) {
-      this.guarded.noteOver();
+      this.guarded.recordInconclusiveRun();
       this.advance({ kind: 'no-target', attempt, error: 'no-target' });
       return;
     }
@@ -298,7 +298,7 @@
     const { clock, prefill, observer } = this.context;
     const { isWriting, startedAtMs } = live.activity;
     live.firstPieceAfterMs = clock.now() - startedAtMs;
-    this.guarded.noteHarmless();
+    this.guarded.recordHarmlessRun();
     if (!isWriting) {
       prefill.record(this.admitted, live.firstPieceAfterMs);
     }
@@ -321,7 +321,7 @@
     }
     this.answer.setTrailer(trailer);
     this.context.directory.observe(live.attempt.target.id, { kind: 'answered' });
-    this.guarded.noteHarmless();
+    this.guarded.recordHarmlessRun();
     this.reportAttemptEnded(live, true);
     this.live.release(attempt);
     this.advance({ kind: 'ended', attempt, length: this.state.delivered, reason: 'stop' });
@@ -377,9 +377,9 @@
   private recordCrashEvidence({ attempt, activity }: LiveAttempt, cause: LossCause): void {
     if (cause === 'broken') {
       const { startedAtMs } = activity;
-      this.guarded.noteBroken(attempt.target.id, startedAtMs, this.context.clock.now());
+      this.guarded.recordBrokenRun(attempt.target.id, startedAtMs, this.context.clock.now());
     } else {
-      this.guarded.noteOver();
+      this.guarded.recordInconclusiveRun();
     }
   }
 
@@ -391,7 +391,7 @@
     const { directory } = this.context;
     const { target } = live.attempt;
     this.attempts.recordRejection(target.id, cause);
-    this.guarded.noteOver();
+    this.guarded.recordInconclusiveRun();
     directory.observe(target.id, toObservation(cause));
     this.report.rejected(attempt, target.id, cause, reason);
     this.live.release(attempt);
@@ -405,7 +405,7 @@
       return;
     }
     this.context.directory.observe(live.attempt.target.id, { kind: 'failed' });
-    this.guarded.noteHarmless();
+    this.guarded.recordHarmlessRun();
     this.reportAttemptEnded(live, false);
     this.live.release(attempt);
     const canRetry = this.admitted.route.repeatable && !this.attempts.hasReachedMaxTargets;
--- a/packages/forward-request/src/slot-refusal.ts
+++ b/packages/forward-request/src/slot-refusal.ts
@@ -1,5 +1,5 @@
 /** Reason why a request is refused at once because it cannot get a slot before its deadline. */
-import type { CoolingRefusal } from '@limelead/track-backpressure';
+import type { CooldownRefusal } from '@limelead/track-backpressure';
 import type { PermitRefusal } from '@limelead/types';
 
-export type SlotRefusal = CoolingRefusal | ({ kind: 'no-permit' } & PermitRefusal);
+export type SlotRefusal = CooldownRefusal | ({ kind: 'no-permit' } & PermitRefusal);
--- a/packages/http-front-door/src/http-front-door.test.ts
+++ b/packages/http-front-door/src/http-front-door.test.ts
@@ -13,7 +13,7 @@
 } from '@limelead/forward-request';
 import { createLocality } from '@limelead/locality';
 import createMetrics from '@limelead/metrics';
-import { createLoneGuard } from '@limelead/quarantine-requests';
+import { createIsolatedGuard } from '@limelead/quarantine-requests';
 import compileRoutes, { type RouteTable } from '@limelead/route-requests';
 import { RetrySpender } from '@limelead/spend-retries';
 import { TargetConnections } from '@limelead/target-connections';
@@ -220,7 +220,7 @@
       }),
       gate: OPEN_GATE,
       permits: NO_RATE_LIMITS,
-      guard: createLoneGuard({ clock, timers: systemTimers, log, metrics }),
+      guard: createIsolatedGuard({ clock, timers: systemTimers, log, metrics }),
       silence: new SilenceMonitor({ ...shared, connections, dialect: targets, log }),
       prefill: new PrefillEstimator(),
       slowness: new SlownessTracker(() => undefined),
--- a/packages/share-evidence/src/evidence-exchange.ts
+++ b/packages/share-evidence/src/evidence-exchange.ts
@@ -6,8 +6,8 @@
 import { describeThrown } from '@limelead/errors';
 import { createPeerLinks, type PeerLinks } from '@limelead/peer-links';
 import type { PermitMessage } from '@limelead/permit-sends';
-import type { GuardNews } from '@limelead/quarantine-requests';
-import type { LeavingFact } from '@limelead/track-backpressure';
+import type { QuarantineUpdate } from '@limelead/quarantine-requests';
+import type { LeavingUpdate } from '@limelead/track-backpressure';
 import type { TargetLoss } from '@limelead/track-service-targets';
 import type { Advice, AdviceRequest, Millis } from '@limelead/types';
 import Gossip from './gossip.js';
@@ -255,12 +255,12 @@
   }
 
   /** Tells peers of requests that may end targets, the one that told it aside. */
-  tellGuardNews(news: GuardNews, from?: PeerId): void {
+  tellGuardNews(news: QuarantineUpdate, from?: PeerId): void {
     this.targetNews.publishGuardNews(news, from);
   }
 
   /** Publishes leaving targets to all peers except the one that they came from. */
-  publishLeaving(facts: LeavingFact[], from?: PeerId): void {
+  publishLeaving(facts: LeavingUpdate[], from?: PeerId): void {
     this.targetNews.publishLeaving(facts, from);
   }
 
--- a/packages/share-evidence/src/types.ts
+++ b/packages/share-evidence/src/types.ts
@@ -1,10 +1,10 @@
 /** Shapes that the parts of the exchange share. */
 import type { DecisionLog } from '@limelead/decision-log';
 import type { StoreItem } from '@limelead/follow-store';
-import type { LimitFact, PermitMessage } from '@limelead/permit-sends';
-import type { GuardNews } from '@limelead/quarantine-requests';
+import type { LimitUpdate, PermitMessage } from '@limelead/permit-sends';
+import type { QuarantineUpdate } from '@limelead/quarantine-requests';
 import type { PacedLoad, TargetLoss, ToldLoad } from '@limelead/track-service-targets';
-import type { LeavingFact } from '@limelead/track-backpressure';
+import type { LeavingUpdate } from '@limelead/track-backpressure';
 import type { AdviceRequest, Clock, Millis, Random, Timers } from '@limelead/types';
 import type { IncomingMessage } from 'node:http';
 import type { PeerReport } from './report-messages.js';
@@ -112,17 +112,17 @@
   adviseTarget(peer: PeerId, question: TargetQuestion): TargetAnswer | undefined;
   onLost(target: string, loss: TargetLoss): void;
   /** What this VM knows of requests that may end targets, for a peer that has just met it. */
-  readGuardNews(): GuardNews;
+  readGuardNews(): QuarantineUpdate;
   /** A peer told of such requests. */
-  onGuardNews(news: GuardNews, peer: PeerId): void;
+  onGuardNews(news: QuarantineUpdate, peer: PeerId): void;
   /** Limits that targets named, for a peer that has just met this one. */
-  readLimits(): LimitFact[];
+  readLimits(): LimitUpdate[];
   /** A peer told such limits. */
-  onLimits(facts: LimitFact[], peer: PeerId): void;
+  onLimits(facts: LimitUpdate[], peer: PeerId): void;
   /** All targets that announced that they leave, for a newly linked peer. */
-  readLeaving(): LeavingFact[];
+  readLeaving(): LeavingUpdate[];
   /** A peer published leaving targets. */
-  onLeaving(facts: LeavingFact[], peer: PeerId): void;
+  onLeaving(facts: LeavingUpdate[], peer: PeerId): void;
   /** A peer asks, gives or returns permits to send. */
   onPermits(message: PermitMessage, peer: PeerId): void;
   /** The link to a peer that may have asked or given some is lost. */
