--- a/packages/gateway/src/roll-outs.ts
+++ b/packages/gateway/src/roll-outs.ts
@@ -3,7 +3,7 @@
 import type { Duty } from '@limelead/hold-duty';
 import {
   HEARD_PART,
-  RollOuts,
+  RollOutController,
   StepWriter,
   type GatheredEvidence,
   type VmEvidence,
@@ -45,7 +45,7 @@
 class RollOutParts implements RollOutPart {
   readonly observer: TrafficObserver;
   readonly gate: TargetGate;
-  private readonly rollOuts: RollOuts;
+  private readonly rollOuts: RollOutController;
   private readonly incarnation = randomUUID();
   /** The right to write of this part alone, where the platform names no duties. */
   private ownDuty: DutyPart | undefined;
@@ -81,7 +81,7 @@
       return;
     }
     this.knownRevision = knowledge.revision;
-    this.rollOuts.take({
+    this.rollOuts.onSnapshot({
       orders: knowledge.listRollOuts(),
       steps: knowledge.readRollOutSteps(),
       targets: directory.all().map(({ target }) => target),
@@ -94,9 +94,9 @@
       this.heardAtMs = this.context.clock.now();
     }
     if (report.kind === 'version-evidence') {
-      this.rollOuts.hear(report.incarnation, report);
+      this.rollOuts.onEvidence(report.incarnation, report);
     } else if (report.kind === 'version-total') {
-      this.rollOuts.hearGathered(report);
+      this.rollOuts.onAggregatedEvidence(report);
     }
   }
 
@@ -117,7 +117,7 @@
       });
       this.ownDuty.start();
     }
-    this.rollOuts.round();
+    this.rollOuts.runRound();
     this.context.timers.after(ROUND_MS, () => {
       this.isRunning = false;
       if (this.rollOuts.isActive) {
@@ -139,13 +139,13 @@
     isGood: boolean,
     afterMs: Millis,
   ): void {
-    this.rollOuts.noteEnded({ route: route.name, target, isGood, afterMs });
+    this.rollOuts.recordOutcome({ route: route.name, target, isGood, afterMs });
   }
 
-  private createRollOuts(): RollOuts {
+  private createRollOuts(): RollOutController {
     const { context } = this;
     const { settings, platform, clock, random, log, metrics, directory, knowledge } = context;
-    return new RollOuts({
+    return new RollOutController({
       clock,
       random,
       log,
@@ -164,11 +164,11 @@
       listTargets: () => directory.all(),
       isSuspected: (id) => directory.isSuspected(id),
       countVms: () => Math.max(LEAST_VMS, this.vmCount),
-      countTellers: () => this.vmCount,
-      isInTouch: () => this.isInTouch,
-      gathers: () => this.gathers(),
-      tellGatherers: (evidence) => this.tellGatherers(evidence),
-      tellAll: (gathered) => this.tellAll(gathered),
+      countReportingVms: () => this.vmCount,
+      isUpToDate: () => this.isInTouch,
+      isAggregator: () => this.gathers(),
+      sendToAggregators: (evidence) => this.tellGatherers(evidence),
+      broadcast: (gathered) => this.tellAll(gathered),
     });
   }
 
@@ -209,16 +209,16 @@
   private createGate(): TargetGate {
     const { rollOuts } = this;
     // A request may come between the store's news and the word of them.
-    const current = (): RollOuts => {
+    const current = (): RollOutController => {
       this.onKnowledge();
       return rollOuts;
     };
     return {
-      arrange: (service, targets, isRepeat) => current().arrange(service, targets, isRepeat),
-      mayTake: (target) => current().mayTake(target),
-      decidesAlone: (service) => current().wantsTrial(service),
+      arrange: (service, targets, isRepeat) => current().selectTargets(service, targets, isRepeat),
+      mayTake: (target) => current().canSendTo(target),
+      decidesAlone: (service) => current().shouldSendTrial(service),
       listAdvisable: (service, targets) => current().listAdvisable(service, targets),
-      noteSent: (target) => rollOuts.noteSent(target),
+      noteSent: (target) => rollOuts.recordAttempt(target),
     };
   }
 }
--- a/packages/judge-version/src/evidence-book.ts
+++ b/packages/judge-version/src/evidence-table.ts
@@ -1,12 +1,12 @@
 /** Sums of many VMs, each incarnation counted once. */
-import { countAnswers, SendSums, type RouteSums } from './sums.js';
+import { countAnswers, OutcomeCounter, type RouteOutcomeCounts } from './outcome-counts.js';
 
 /** Holds the latest sums of every incarnation. */
-export default class EvidenceBook {
-  private readonly byIncarnation = new Map<string, RouteSums[]>();
+export default class EvidenceTable {
+  private readonly byIncarnation = new Map<string, RouteOutcomeCounts[]>();
 
   /** Takes the sums of one incarnation; late and repeated ones change nothing. */
-  take(incarnation: string, routes: RouteSums[]): void {
+  record(incarnation: string, routes: RouteOutcomeCounts[]): void {
     const known = this.byIncarnation.get(incarnation);
     if (known === undefined || countAnswers(routes) > countAnswers(known)) {
       this.byIncarnation.set(incarnation, routes);
@@ -14,9 +14,9 @@
   }
 
   /** The sums of all together. */
-  total(): RouteSums[] {
-    const total = new SendSums();
+  total(): RouteOutcomeCounts[] {
+    const total = new OutcomeCounter();
     this.byIncarnation.forEach((routes) => total.add(routes));
-    return total.read();
+    return total.snapshot();
   }
 }
--- a/packages/judge-version/src/sums.ts
+++ b/packages/judge-version/src/outcome-counts.ts
@@ -7,10 +7,10 @@
 /** Each bucket of times ends this much later than the one before: fine enough to see a doubling. */
 const BUCKET_RATIO = 1.25;
 /** The last bucket begins at about a minute, longer than any answer may take. */
-const BUCKETS = 51;
+const BUCKET_COUNT = 51;
 
 /** Sums of one version on one route. */
-export interface RouteSums {
+export interface RouteOutcomeCounts {
   route: string;
   /** True for the version under trial, false for those in force beside it. */
   isTrial: boolean;
@@ -21,7 +21,7 @@
 }
 
 /** How one send ended. */
-export interface SendOutcome {
+export interface AttemptOutcome {
   route: string;
   isTrial: boolean;
   isGood: boolean;
@@ -30,30 +30,30 @@
 }
 
 /** The same with a place for each bucket, to count with. */
-export interface Sums {
+export interface OutcomeCounts {
   good: number;
   bad: number;
   times: number[];
 }
 
 /** Sums without any answer. */
-export function createSums(): Sums {
-  return { good: 0, bad: 0, times: new Array<number>(BUCKETS).fill(0) };
+export function createCounts(): OutcomeCounts {
+  return { good: 0, bad: 0, times: new Array<number>(BUCKET_COUNT).fill(0) };
 }
 
 /** The bucket of a time. */
-export function bucketOf(afterMs: Millis): number {
+export function bucketForTime(afterMs: Millis): number {
   const bucket = Math.floor(Math.log(Math.max(1, afterMs)) / Math.log(BUCKET_RATIO));
-  return Math.min(BUCKETS - 1, bucket);
+  return Math.min(BUCKET_COUNT - 1, bucket);
 }
 
 /** Buckets by which a time lies higher that is so many times as long. */
-export function bucketsOf(factor: number): number {
+export function bucketsForFactor(factor: number): number {
   return Math.round(Math.log(factor) / Math.log(BUCKET_RATIO));
 }
 
 /** The bucket below which this part (0 to 1) of the times lies; undefined without any. */
-export function readQuantile({ times }: Sums, part: number): number | undefined {
+export function findQuantileBucket({ times }: OutcomeCounts, part: number): number | undefined {
   const all = countTimes(times);
   let below = 0;
   for (const [bucket, answers] of times.entries()) {
@@ -71,9 +71,9 @@
 }
 
 /** Adds sums of one route to others. */
-export function addTo(
-  sums: Sums,
-  { good, bad, times }: Omit<RouteSums, 'route' | 'isTrial'>,
+export function addCounts(
+  sums: OutcomeCounts,
+  { good, bad, times }: Omit<RouteOutcomeCounts, 'route' | 'isTrial'>,
 ): void {
   sums.good += good;
   sums.bad += bad;
@@ -83,11 +83,14 @@
 }
 
 /** Counts the sends of one VM. */
-export class SendSums {
-  private readonly byKey = new Map<string, { route: string; isTrial: boolean; sums: Sums }>();
+export class OutcomeCounter {
+  private readonly byKey = new Map<
+    string,
+    { route: string; isTrial: boolean; sums: OutcomeCounts }
+  >();
 
   /** A send ended. */
-  note({ route, isTrial, isGood, afterMs }: SendOutcome): void {
+  record({ route, isTrial, isGood, afterMs }: AttemptOutcome): void {
     const { sums } = this.at(route, isTrial);
     if (!isGood) {
       sums.bad += 1;
@@ -95,18 +98,18 @@
     }
     sums.good += 1;
     if (afterMs !== undefined) {
-      const bucket = bucketOf(afterMs);
+      const bucket = bucketForTime(afterMs);
       sums.times[bucket] = (sums.times[bucket] ?? 0) + 1;
     }
   }
 
   /** Adds what another counter read. */
-  add(routes: readonly RouteSums[]): void {
-    routes.forEach((sums) => addTo(this.at(sums.route, sums.isTrial).sums, sums));
+  add(routes: readonly RouteOutcomeCounts[]): void {
+    routes.forEach((sums) => addCounts(this.at(sums.route, sums.isTrial).sums, sums));
   }
 
   /** All sums, as they are sent to peers. */
-  read(): RouteSums[] {
+  snapshot(): RouteOutcomeCounts[] {
     return [...this.byKey.values()].map(({ route, isTrial, sums }) => ({
       route,
       isTrial,
@@ -120,14 +123,14 @@
 
   private at(route: string, isTrial: boolean) {
     const key = `${isTrial} ${route}`;
-    const known = this.byKey.get(key) ?? { route, isTrial, sums: createSums() };
+    const known = this.byKey.get(key) ?? { route, isTrial, sums: createCounts() };
     this.byKey.set(key, known);
     return known;
   }
 }
 
 /** Answers that sums count. */
-export function countAnswers(routes: readonly RouteSums[], isTrial?: boolean): number {
+export function countAnswers(routes: readonly RouteOutcomeCounts[], isTrial?: boolean): number {
   return routes
     .filter((sums) => isTrial === undefined || sums.isTrial === isTrial)
     .reduce((count, { good, bad }) => count + good + bad, 0);
--- a/packages/judge-version/src/proportion-test.ts
+++ b/packages/judge-version/src/proportion-test.ts
@@ -1,48 +1,49 @@
 /** Compares the parts of bad answers of late, once there are enough of them. */
 import {
   findSlowBucket,
-  readFailures,
-  readSlow,
-  type BadCause,
+  failureProportion,
+  slowProportion,
+  type BadVersionCause,
   type Proportion,
-  type RouteLook,
+  type RouteSample,
   type RouteTest,
 } from './route-test.js';
-import { createSums, type Sums } from './sums.js';
+import { createCounts, type OutcomeCounts } from './outcome-counts.js';
 
 /** Answers of the version under trial below which nothing is said. */
-const LEAST_ANSWERS = 20;
+const MIN_ANSWERS = 20;
 /** Standard errors between the two parts from which on the version is bad. */
-const BAD_AT = 4;
+const MIN_STANDARD_ERRORS = 4;
 /** Least rise of the part of bad answers that counts. */
-const LEAST_RISE = 0.1;
+const MIN_INCREASE = 0.1;
 
 /** Judges one route. */
 export default class ProportionTest implements RouteTest {
-  private readonly late: Sums = createSums();
+  private readonly late: OutcomeCounts = createCounts();
 
-  take({ fresh, baseline, kept }: RouteLook): BadCause | undefined {
-    this.late.good = this.late.good * kept + fresh.good;
-    this.late.bad = this.late.bad * kept + fresh.bad;
+  evaluate({ fresh, baseline, decayFactor }: RouteSample): BadVersionCause | undefined {
+    this.late.good = this.late.good * decayFactor + fresh.good;
+    this.late.bad = this.late.bad * decayFactor + fresh.bad;
     fresh.times.forEach((answers, bucket) => {
-      this.late.times[bucket] = (this.late.times[bucket] ?? 0) * kept + answers;
+      this.late.times[bucket] = (this.late.times[bucket] ?? 0) * decayFactor + answers;
     });
-    if (isHigher(readFailures(this.late), readFailures(baseline))) {
+    if (isHigher(failureProportion(this.late), failureProportion(baseline))) {
       return 'failures';
     }
     const slow = findSlowBucket(baseline);
-    return slow !== undefined && isHigher(readSlow(this.late, slow), readSlow(baseline, slow))
+    return slow !== undefined &&
+      isHigher(slowProportion(this.late, slow), slowProportion(baseline, slow))
       ? 'times'
       : undefined;
   }
 }
 
 function isHigher(trial: Proportion, inForce: Proportion): boolean {
-  if (trial.trials < LEAST_ANSWERS || inForce.trials < LEAST_ANSWERS) {
+  if (trial.trials < MIN_ANSWERS || inForce.trials < MIN_ANSWERS) {
     return false;
   }
   const rise = trial.events / trial.trials - inForce.events / inForce.trials;
   const pooled = (trial.events + inForce.events) / (trial.trials + inForce.trials);
   const error = Math.sqrt(pooled * (1 - pooled) * (1 / trial.trials + 1 / inForce.trials));
-  return rise > LEAST_RISE && rise > BAD_AT * error;
+  return rise > MIN_INCREASE && rise > MIN_STANDARD_ERRORS * error;
 }
--- a/packages/judge-version/src/route-test.ts
+++ b/packages/judge-version/src/route-test.ts
@@ -1,23 +1,23 @@
 /** What the ways to judge a version on one route have in common. */
-import { countTimes, readQuantile, bucketsOf, type Sums } from './sums.js';
+import { countTimes, findQuantileBucket, bucketsForFactor, type OutcomeCounts } from './outcome-counts.js';
 
 /** Why a version is bad. */
-export type BadCause = 'failures' | 'times';
+export type BadVersionCause = 'failures' | 'times';
 
 /** What one look at a route has to go by. */
-export interface RouteLook {
+export interface RouteSample {
   /** What the version under trial brought since the last look. */
-  fresh: Sums;
+  fresh: OutcomeCounts;
   /** What the versions in force brought lately. */
-  baseline: Sums;
+  baseline: OutcomeCounts;
   /** Part of what was known at the last look that still counts, 0 to 1. */
-  kept: number;
+  decayFactor: number;
 }
 
 /** Judges one route, look by look. */
 export interface RouteTest {
   /** Gives the cause where the version is bad. */
-  take(look: RouteLook): BadCause | undefined;
+  evaluate(look: RouteSample): BadVersionCause | undefined;
 }
 
 /** Part of the answers in force that are quicker than the bound of slow ones is derived from. */
@@ -29,9 +29,9 @@
 const SLOW_FACTOR = 2.2;
 
 /** First bucket of slow answers; undefined where nothing in force answered lately. */
-export function findSlowBucket(baseline: Sums): number | undefined {
-  const quantile = readQuantile(baseline, BASE_QUANTILE);
-  return quantile === undefined ? undefined : quantile + bucketsOf(SLOW_FACTOR);
+export function findSlowBucket(baseline: OutcomeCounts): number | undefined {
+  const quantile = findQuantileBucket(baseline, BASE_QUANTILE);
+  return quantile === undefined ? undefined : quantile + bucketsForFactor(SLOW_FACTOR);
 }
 
 /** Events out of trials, such as failures out of answers. */
@@ -41,11 +41,11 @@
 }
 
 /** Failures among the answers. */
-export function readFailures({ good, bad }: Sums): Proportion {
+export function failureProportion({ good, bad }: OutcomeCounts): Proportion {
   return { events: bad, trials: good + bad };
 }
 
 /** Slow answers among the good ones. */
-export function readSlow({ times }: Sums, slowBucket: number): Proportion {
+export function slowProportion({ times }: OutcomeCounts, slowBucket: number): Proportion {
   return { events: countTimes(times, slowBucket), trials: countTimes(times) };
 }
--- a/packages/judge-version/src/version-judge.ts
+++ b/packages/judge-version/src/version-judge.ts
@@ -3,18 +3,18 @@
  * service may fail a part of its calls on a plain day, so nothing absolute is asked.
  */
 import type { Millis } from '@limelead/types';
-import type { BadCause, RouteTest } from './route-test.js';
+import type { BadVersionCause, RouteTest } from './route-test.js';
 import SequentialTest from './sequential-test.js';
-import { addTo, createSums, type RouteSums, type Sums } from './sums.js';
+import { addCounts, createCounts, type RouteOutcomeCounts, type OutcomeCounts } from './outcome-counts.js';
 
 /** Time after which an answer counts half: long enough for samples, short beside an incident. */
 const HALF_LIFE_MS = 10_000;
 /** Answers in force that a comparison needs; without them nothing is judged yet. */
-const LEAST_BASELINE = 20;
+const MIN_BASELINE_ANSWERS = 20;
 
 /** Why a version is bad, with what the verdict rests on. */
-export interface BadVerdict {
-  cause: BadCause;
+export interface BadVersionVerdict {
+  cause: BadVersionCause;
   route: string;
   /** Answers of the version under trial on that route so far. */
   good: number;
@@ -24,11 +24,11 @@
 interface RouteState {
   test: RouteTest;
   /** Sums at the last look. */
-  seen: Record<'trial' | 'force', Sums>;
+  seen: Record<'trial' | 'force', OutcomeCounts>;
   /** What was in force lately; older answers count less. */
-  baseline: Sums;
+  baseline: OutcomeCounts;
   /** What the version under trial brought and nothing was there to compare with. */
-  fresh: Sums;
+  fresh: OutcomeCounts;
 }
 
 /** Judges one version. */
@@ -39,10 +39,10 @@
   constructor(private readonly createTest: () => RouteTest = () => new SequentialTest()) {}
 
   /** Looks at sums that have grown since the last look; gives the verdict where it is bad. */
-  look(now: Millis, sums: readonly RouteSums[]): BadVerdict | undefined {
+  evaluate(now: Millis, sums: readonly RouteOutcomeCounts[]): BadVersionVerdict | undefined {
     const kept = 0.5 ** ((now - (this.lookedAtMs ?? now)) / HALF_LIFE_MS);
     this.lookedAtMs = now;
-    const byRoute = new Map<string, RouteSums[]>();
+    const byRoute = new Map<string, RouteOutcomeCounts[]>();
     for (const entry of sums) {
       byRoute.set(entry.route, [...(byRoute.get(entry.route) ?? []), entry]);
     }
@@ -51,7 +51,11 @@
       .find((verdict) => verdict !== undefined);
   }
 
-  private lookAt(route: string, entries: RouteSums[], kept: number): BadVerdict | undefined {
+  private lookAt(
+    route: string,
+    entries: RouteOutcomeCounts[],
+    kept: number,
+  ): BadVersionVerdict | undefined {
     const state = this.stateOf(route);
     const force = toSums(entries.filter(({ isTrial }) => !isTrial));
     const trial = toSums(entries.filter(({ isTrial }) => isTrial));
@@ -60,12 +64,12 @@
     const decay = forceGrowth.good + forceGrowth.bad > 0 ? kept : 1;
     state.baseline = combine(state.baseline, forceGrowth, decay);
     state.fresh = combine(state.fresh, takeGrowth(state.seen.trial, trial), 1);
-    if (state.baseline.good + state.baseline.bad < LEAST_BASELINE) {
+    if (state.baseline.good + state.baseline.bad < MIN_BASELINE_ANSWERS) {
       return undefined;
     }
     const { fresh, baseline } = state;
-    state.fresh = createSums();
-    const cause = state.test.take({ fresh, baseline, kept });
+    state.fresh = createCounts();
+    const cause = state.test.evaluate({ fresh, baseline, decayFactor: kept });
     return cause && { cause, route, good: trial.good, bad: trial.bad };
   }
 
@@ -76,23 +80,23 @@
     }
     const state: RouteState = {
       test: this.createTest(),
-      seen: { trial: createSums(), force: createSums() },
-      baseline: createSums(),
-      fresh: createSums(),
+      seen: { trial: createCounts(), force: createCounts() },
+      baseline: createCounts(),
+      fresh: createCounts(),
     };
     this.routes.set(route, state);
     return state;
   }
 }
 
-function toSums(entries: RouteSums[]): Sums {
-  const sums = createSums();
-  entries.forEach((entry) => addTo(sums, entry));
+function toSums(entries: RouteOutcomeCounts[]): OutcomeCounts {
+  const sums = createCounts();
+  entries.forEach((entry) => addCounts(sums, entry));
   return sums;
 }
 
 /** What came since the last look; sums of another source that knows less give nothing. */
-function takeGrowth(seen: Sums, now: Sums): Sums {
+function takeGrowth(seen: OutcomeCounts, now: OutcomeCounts): OutcomeCounts {
   const growth = {
     good: Math.max(0, now.good - seen.good),
     bad: Math.max(0, now.bad - seen.bad),
@@ -104,7 +108,7 @@
   return growth;
 }
 
-function combine(older: Sums, fresh: Sums, kept: number): Sums {
+function combine(older: OutcomeCounts, fresh: OutcomeCounts, kept: number): OutcomeCounts {
   return {
     good: older.good * kept + fresh.good,
     bad: older.bad * kept + fresh.bad,
--- a/packages/run-roll-outs/src/fleet.fixture.ts
+++ b/packages/run-roll-outs/src/fleet.fixture.ts
@@ -7,15 +7,15 @@
 import type { ConditionalStore, PortCall, StoreEntry } from '@limelead/ports';
 import type { Millis, Random, ServiceTarget } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
-import RollOuts from './roll-outs.js';
-import { readStep, stepKeyOf } from './step-item.js';
+import RollOutController from './roll-out-controller.js';
+import { decodeStep, stepKey } from './step-item.js';
 import StepWriter from './step-writer.js';
-import type { RollOutState, StandingOrder } from './types.js';
+import type { RollOutState, StoredOrder } from './types.js';
 
 const TICK_MS = 100;
 const ROUND_TICKS = 5;
-const REQUESTS_A_SECOND = 80;
-const TARGETS_A_VERSION = 6;
+const REQUESTS_PER_SECOND = 80;
+const TARGETS_PER_VERSION = 6;
 const SERVICE = 'answers';
 /** Bad answers after which a version has to be left within a bound. */
 const MANY_BAD = 50;
@@ -31,7 +31,7 @@
 export type VersionKind = 'good' | (typeof BAD_KINDS)[number];
 
 /** What one run is made of. */
-export interface RunPlan {
+export interface SimulationPlan {
   seed: number;
   vms: number;
   kind: VersionKind;
@@ -41,7 +41,7 @@
 }
 
 /** What one run showed. */
-export interface RunResult {
+export interface SimulationResult {
   /** States in the order in which the store took them. */
   states: RollOutState[];
   /** Sends to the version, and to the service, of VMs in touch up to the deadline. */
@@ -70,7 +70,7 @@
 }
 
 interface Vm {
-  rollOuts: RollOuts;
+  rollOuts: RollOutController;
   incarnation: string;
   /** A VM takes no requests before it knows its targets. */
   isReady: boolean;
@@ -97,7 +97,7 @@
   private badAtMs: Millis[] = [];
   /** When the version's badness first showed; plain failures left out. */
   private firstBadAtMs: Millis | undefined;
-  private readonly result: RunResult = {
+  private readonly result: SimulationResult = {
     states: [],
     exposed: 0,
     requests: 0,
@@ -106,15 +106,15 @@
     cutByCompletion: 0,
     isAgreed: true,
   };
-  private readonly standing: StandingOrder;
+  private readonly standing: StoredOrder;
   private readonly targets: ServiceTarget[];
 
-  constructor(private readonly plan: RunPlan) {
+  constructor(private readonly plan: SimulationPlan) {
     this.random = createRandom(plan.seed);
     const order = { service: SERVICE, version: 'v2', durationMs: plan.durationMs };
     this.standing = { order, revision: 5 };
     this.targets = ['v1', 'v2'].flatMap((version) =>
-      Array.from({ length: TARGETS_A_VERSION }, (_, index) => createTarget(version, index)),
+      Array.from({ length: TARGETS_PER_VERSION }, (_, index) => createTarget(version, index)),
     );
     for (let index = 0; index < plan.vms; index += 1) {
       this.vms.push(this.createVm(index));
@@ -124,11 +124,11 @@
     }
   }
 
-  async play(): Promise<RunResult> {
+  async play(): Promise<SimulationResult> {
     const before = this.targets.filter(({ version }) => version === 'v1');
     for (const vm of this.vms) {
       vm.isReady = true;
-      vm.rollOuts.take({ orders: [], steps: new Map(), targets: before });
+      vm.rollOuts.onSnapshot({ orders: [], steps: new Map(), targets: before });
     }
     for (let tick = 0; this.now <= this.plan.durationMs; tick += 1) {
       this.runEvents();
@@ -136,7 +136,7 @@
       this.vms.forEach((vm, index) => {
         if ((tick + index) % ROUND_TICKS === 0) {
           this.tellKnowledge(vm);
-          vm.rollOuts.round();
+          vm.rollOuts.runRound();
         }
       });
       // Writes are promises; they end within the tick.
@@ -157,7 +157,7 @@
     const log = { write: () => undefined, dropped: 0, flush: async () => undefined };
     const isCut = (): boolean => this.now < vm.cutUntilMs;
     const gatherers = Math.min(this.plan.vms, 2);
-    const deliver = (to: Vm, run: (receiver: RollOuts) => void): void => {
+    const deliver = (to: Vm, run: (receiver: RollOutController) => void): void => {
       const isLost = isCut() || this.now < to.cutUntilMs || this.random.next() < 0.02;
       if (!isLost) {
         this.at(TICK_MS, () => run(to.rollOuts));
@@ -168,7 +168,7 @@
       isReady: false,
       cutUntilMs: 0,
       inFlight: new Map(),
-      rollOuts: new RollOuts({
+      rollOuts: new RollOutController({
         clock,
         random: this.random,
         log,
@@ -189,18 +189,18 @@
           this.targets.map((target) => ({ target, inFlight: vm.inFlight.get(target.id) ?? 0 })),
         isSuspected: () => false,
         countVms: () => this.plan.vms,
-        countTellers: () => this.plan.vms,
-        isInTouch: () => !isCut() && !this.isDark,
-        gathers: () => index < gatherers,
-        tellGatherers: (evidence) =>
+        countReportingVms: () => this.plan.vms,
+        isUpToDate: () => !isCut() && !this.isDark,
+        isAggregator: () => index < gatherers,
+        sendToAggregators: (evidence) =>
           this.vms
             .slice(0, gatherers)
             .filter((peer) => peer !== vm)
-            .forEach((peer) => deliver(peer, (to) => to.hear(incarnation, evidence))),
-        tellAll: (gathered) =>
+            .forEach((peer) => deliver(peer, (to) => to.onEvidence(incarnation, evidence))),
+        broadcast: (gathered) =>
           this.vms
             .filter((peer) => peer !== vm)
-            .forEach((peer) => deliver(peer, (to) => to.hearGathered(gathered))),
+            .forEach((peer) => deliver(peer, (to) => to.onAggregatedEvidence(gathered))),
         createTest: this.plan.createTest,
       }),
     };
@@ -284,9 +284,9 @@
       return;
     }
     vm.isReady = true;
-    const item = this.items.get(stepKeyOf(SERVICE));
-    const agreed = item && readStep(item.value);
-    rollOuts.take({
+    const item = this.items.get(stepKey(SERVICE));
+    const agreed = item && decodeStep(item.value);
+    rollOuts.onSnapshot({
       orders: [this.standing],
       steps: new Map(agreed ? [[SERVICE, agreed]] : []),
       targets: this.targets,
@@ -294,7 +294,7 @@
   }
 
   private sendRequests(): void {
-    const expected = (REQUESTS_A_SECOND * TICK_MS) / 1_000;
+    const expected = (REQUESTS_PER_SECOND * TICK_MS) / 1_000;
     const requests = Math.floor(expected * 2 * this.random.next() + 0.5);
     for (let count = 0; count < requests; count += 1) {
       const vm = this.vms[Math.floor(this.random.next() * this.vms.length)];
@@ -306,13 +306,14 @@
 
   private send(vm: Vm, route: Route): void {
     const known = this.targets.map((target) => ({ target }));
-    const group = vm.rollOuts.arrange(SERVICE, known, false).find(({ length }) => length > 0) ?? [];
+    const group =
+      vm.rollOuts.selectTargets(SERVICE, known, false).find(({ length }) => length > 0) ?? [];
     const chosen = group[Math.floor(this.random.next() * group.length)];
     if (chosen === undefined) {
       return;
     }
     const { target } = chosen;
-    vm.rollOuts.noteSent(target);
+    vm.rollOuts.recordAttempt(target);
     vm.inFlight.set(target.id, (vm.inFlight.get(target.id) ?? 0) + 1);
     const isTrial = target.version === 'v2';
     const isInTouch = this.now >= vm.cutUntilMs && !this.isDark;
@@ -328,7 +329,7 @@
     const { rollOuts } = vm;
     this.at(afterMs, () => {
       vm.inFlight.set(target.id, (vm.inFlight.get(target.id) ?? 0) - 1);
-      rollOuts.noteEnded({ route: route.route, target, isGood, afterMs });
+      rollOuts.recordOutcome({ route: route.route, target, isGood, afterMs });
       if (isBad || factor > 1) {
         this.firstBadAtMs ??= this.now;
       }
@@ -346,7 +347,7 @@
     const fails =
       (kind === 'at-once' && draws(0.35)) ||
       (kind === 'later' && this.now > durationMs * 0.4 && draws(0.35)) ||
-      (kind === 'under-load' && lately > REQUESTS_A_SECOND * 0.25 && draws(0.5)) ||
+      (kind === 'under-load' && lately > REQUESTS_PER_SECOND * 0.25 && draws(0.5)) ||
       (kind === 'one-route' && route === 'seldom' && draws(0.5));
     return { isBad: fails, factor: kind === 'slow' && draws(0.4) ? 4 : 1 };
   }
@@ -372,7 +373,7 @@
     due.forEach(({ run }) => run());
   }
 
-  private conclude(): RunResult {
+  private conclude(): SimulationResult {
     const last = this.sentToNew.at(-1) ?? 0;
     const after = (atMs = Infinity): Millis => Math.max(0, last - atMs);
     this.result.leftAfterFirstMs = after(this.firstBadAtMs);
@@ -384,12 +385,12 @@
 }
 
 /** Plays one order. */
-export function playRollOut(plan: RunPlan): Promise<RunResult> {
+export function simulateRollOut(plan: SimulationPlan): Promise<SimulationResult> {
   return new Fleet(plan).play();
 }
 
 /** The rules that a run broke. */
-export function findBreaches({ kind }: RunPlan, result: RunResult): string[] {
+export function findViolations({ kind }: SimulationPlan, result: SimulationResult): string[] {
   const { exposed, requests, states, leftAfterManyMs, cutByCompletion, isAgreed } = result;
   const isBad = kind !== 'good';
   const wanted = isBad ? 'rolled_back' : 'completed';
--- a/packages/run-roll-outs/src/roll-outs.ts
+++ b/packages/run-roll-outs/src/roll-out-controller.ts
@@ -6,35 +6,35 @@
 import type { RouteTest } from '@limelead/judge-version';
 import type { Metrics } from '@limelead/metrics';
 import type { Clock, Millis, Random, ServiceTarget } from '@limelead/types';
-import checkOrder from './check-order.js';
-import planStep, { type StepFacts } from './plan-step.js';
+import validateOrder from './validate-order.js';
+import planStep, { type StepInputs } from './plan-step.js';
 import type StepWriter from './step-writer.js';
-import VersionBook, { versionOf } from './version-book.js';
+import VersionTable, { versionOf } from './version-table.js';
 import VersionTrial from './version-trial.js';
 import type {
   AgreedStep,
-  GatheredEvidence,
+  AggregatedEvidence,
   RollOutBounds,
-  StandingOrder,
+  StoredOrder,
   StoredStep,
   VmEvidence,
 } from './types.js';
 
 /** A target with the requests of this VM that are under way there. */
-export interface TargetInUse {
+export interface TargetUsage {
   target: ServiceTarget;
   inFlight: number;
 }
 
 /** What is known of the store. */
-export interface RollOutKnowledge {
-  orders: readonly StandingOrder[];
+export interface RollOutSnapshot {
+  orders: readonly StoredOrder[];
   steps: ReadonlyMap<string, AgreedStep>;
   targets: readonly ServiceTarget[];
 }
 
 /** How a send ended. */
-export interface EndedSend {
+export interface EndedAttempt {
   route: string;
   target: ServiceTarget;
   isGood: boolean;
@@ -42,7 +42,7 @@
 }
 
 /** What roll-outs need. */
-export interface RollOutsOptions {
+export interface RollOutControllerOptions {
   clock: Clock;
   random: Random;
   log: DecisionLog;
@@ -52,20 +52,20 @@
   incarnation: string;
   writer: Pick<StepWriter, 'write'>;
   isService(name: string): boolean;
-  listTargets(): readonly TargetInUse[];
+  listTargets(): readonly TargetUsage[];
   /** Whether a target seems to be down. */
   isSuspected(id: string): boolean;
   /** VMs that share the slack, this one included. */
   countVms(): number;
   /** VMs that tell evidence, this one included. */
-  countTellers(): number;
+  countReportingVms(): number;
   /** Whether the store's news are young enough here to send to a version under trial. */
-  isInTouch(): boolean;
+  isUpToDate(): boolean;
   /** Whether this VM gathers evidence for all. */
-  gathers(): boolean;
+  isAggregator(): boolean;
   /** Tells those that gather; this VM itself is told directly. */
-  tellGatherers(evidence: VmEvidence): void;
-  tellAll(gathered: GatheredEvidence): void;
+  sendToAggregators(evidence: VmEvidence): void;
+  broadcast(gathered: AggregatedEvidence): void;
   createTest?: () => RouteTest;
 }
 
@@ -73,15 +73,15 @@
 export type TargetGroups<Item> = readonly (readonly Item[])[];
 
 /** Follows all roll-outs. */
-export default class RollOuts {
-  private readonly versions: VersionBook;
+export default class RollOutController {
+  private readonly versions: VersionTable;
   /** By service. */
   private readonly trials = new Map<string, VersionTrial>();
   private readonly warmAtMs = new Map<string, Millis>();
   private hasKnowledge = false;
 
-  constructor(private readonly options: RollOutsOptions) {
-    this.versions = new VersionBook(options.clock);
+  constructor(private readonly options: RollOutControllerOptions) {
+    this.versions = new VersionTable(options.clock);
   }
 
   /** Whether there is anything to do round by round. */
@@ -90,8 +90,8 @@
   }
 
   /** Takes what the store holds now. */
-  take({ orders, steps, targets }: RollOutKnowledge): void {
-    this.versions.take(targets, orders, steps);
+  onSnapshot({ orders, steps, targets }: RollOutSnapshot): void {
+    this.versions.update(targets, orders, steps);
     this.noteWarming(targets);
     orders.forEach((standing) => this.takeOrder(standing));
     steps.forEach((agreed, service) => this.takeUnordered(service, agreed));
@@ -102,22 +102,22 @@
   }
 
   /** Orders the targets that a request may go to; the very array where all may be taken. */
-  arrange<Item extends { target: ServiceTarget }>(
+  selectTargets<Item extends { target: ServiceTarget }>(
     service: string,
     items: readonly Item[],
     isRepeat: boolean,
   ): TargetGroups<Item> {
-    if (this.versions.get(service)?.isPlain ?? true) {
+    if (this.versions.get(service)?.hasSingleVersion ?? true) {
       return [items];
     }
     const of = (use: string): Item[] =>
-      items.filter(({ target }) => this.versions.useOf(service, versionOf(target)) === use);
+      items.filter(({ target }) => this.versions.eligibilityOf(service, versionOf(target)) === use);
     const trial = this.trials.get(service);
     const inForce = of('in-force');
     if (trial !== undefined && this.mustLeaveForce(trial, inForce)) {
       return [of('under-trial')];
     }
-    if (!isRepeat && trial?.wantsTrial(this.options.isInTouch()) === true) {
+    if (!isRepeat && trial?.shouldSendTrial(this.options.isUpToDate()) === true) {
       return [of('under-trial'), inForce];
     }
     if (inForce.some(({ target }) => !this.options.isSuspected(target.id))) {
@@ -128,43 +128,45 @@
   }
 
   /** Whether a request may go to just this target now. */
-  mayTake(target: ServiceTarget): boolean {
+  canSendTo(target: ServiceTarget): boolean {
     const { service } = target;
-    if (this.versions.get(service)?.isPlain ?? true) {
+    if (this.versions.get(service)?.hasSingleVersion ?? true) {
       return true;
     }
-    const use = this.versions.useOf(service, versionOf(target));
+    const use = this.versions.eligibilityOf(service, versionOf(target));
     const trial = this.trials.get(service);
     if (use === 'under-trial') {
-      return trial?.wantsTrial(this.options.isInTouch()) === true;
+      return trial?.shouldSendTrial(this.options.isUpToDate()) === true;
     }
     return use === 'in-force' && !(trial !== undefined && this.mustLeaveForce(trial, [{ target }]));
   }
 
   /** Whether the next request should go to a version under trial, whatever is advised. */
-  wantsTrial(service: string): boolean {
-    return this.trials.get(service)?.wantsTrial(this.options.isInTouch()) ?? false;
+  shouldSendTrial(service: string): boolean {
+    return this.trials.get(service)?.shouldSendTrial(this.options.isUpToDate()) ?? false;
   }
 
   /** The targets that may be advised to other VMs. */
   listAdvisable<Item extends { target: ServiceTarget }>(service: string, items: Item[]): Item[] {
-    if (this.versions.get(service)?.isPlain ?? true) {
+    if (this.versions.get(service)?.hasSingleVersion ?? true) {
       return items;
     }
     const trial = this.trials.get(service);
     const mustLeave = trial !== undefined && this.mustLeaveForce(trial, items);
     const use = mustLeave ? 'under-trial' : 'in-force';
-    return items.filter(({ target }) => this.versions.useOf(service, versionOf(target)) === use);
+    return items.filter(
+      ({ target }) => this.versions.eligibilityOf(service, versionOf(target)) === use,
+    );
   }
 
   /** A request was sent. */
-  noteSent(target: ServiceTarget): void {
+  recordAttempt(target: ServiceTarget): void {
     const trial = this.trials.get(target.service);
     if (trial === undefined || isFinal(trial.step)) {
       return;
     }
     const isTrial = this.isTrialVersion(trial, target);
-    trial.noteSent(isTrial);
+    trial.recordAttempt(isTrial);
     this.options.metrics.count('limelead_roll_out_sends_total', 1, {
       service: target.service,
       version: versionOf(target),
@@ -172,14 +174,14 @@
   }
 
   /** A send ended. */
-  noteEnded({ route, target, isGood, afterMs }: EndedSend): void {
+  recordOutcome({ route, target, isGood, afterMs }: EndedAttempt): void {
     const trial = this.trials.get(target.service);
     if (trial === undefined || isFinal(trial.step)) {
       return;
     }
     const isWarm = (this.warmAtMs.get(target.id) ?? 0) <= this.options.clock.now();
     const isTrial = this.isTrialVersion(trial, target);
-    trial.noteEnded({ route, isTrial, isGood, afterMs: isWarm ? afterMs : undefined });
+    trial.recordOutcome({ route, isTrial, isGood, afterMs: isWarm ? afterMs : undefined });
     if (!isGood) {
       this.options.metrics.count('limelead_roll_out_bad_answers_total', 1, {
         service: target.service,
@@ -189,7 +191,7 @@
   }
 
   /** One round: what this VM knows is told, and the next steps are written. */
-  round(): void {
+  runRound(): void {
     for (const trial of this.trials.values()) {
       if (!isFinal(trial.step)) {
         this.tell(trial);
@@ -201,15 +203,15 @@
   }
 
   /** A VM told what its sends brought. */
-  hear(incarnation: string, evidence: VmEvidence): void {
-    this.trialOf(evidence)?.hear(incarnation, evidence);
+  onEvidence(incarnation: string, evidence: VmEvidence): void {
+    this.trialOf(evidence)?.onEvidence(incarnation, evidence);
   }
 
   /** A VM that gathers told what all sends brought. */
-  hearGathered(gathered: GatheredEvidence): void {
+  onAggregatedEvidence(gathered: AggregatedEvidence): void {
     const trial = this.trialOf(gathered);
-    if (trial?.hearGathered(gathered) === true) {
-      const { order, revision } = trial.standing;
+    if (trial?.onAggregatedEvidence(gathered) === true) {
+      const { order, revision } = trial.storedOrder;
       this.options.log.write('roll-out-version-bad', {
         service: order.service,
         version: order.version,
@@ -226,19 +228,20 @@
     const replaced = this.listAtReplaced(trial);
     const underWay = replaced.reduce((sum, { inFlight }) => sum + inFlight, 0);
     // Without touch a word that was given still holds, and none is given anew.
-    const moves = this.options.isInTouch() && trial.isHeard && this.mustLeaveForce(trial, replaced);
-    const evidence = trial.tell(underWay, moves);
-    this.options.tellGatherers(evidence);
-    if (this.options.gathers()) {
-      trial.hear(this.options.incarnation, evidence);
-      const gathered = trial.gather();
-      this.options.tellAll(gathered);
-      this.hearGathered(gathered);
+    const moves =
+      this.options.isUpToDate() && trial.hasFreshEvidence && this.mustLeaveForce(trial, replaced);
+    const evidence = trial.createEvidence(underWay, moves);
+    this.options.sendToAggregators(evidence);
+    if (this.options.isAggregator()) {
+      trial.onEvidence(this.options.incarnation, evidence);
+      const gathered = trial.aggregate();
+      this.options.broadcast(gathered);
+      this.onAggregatedEvidence(gathered);
     }
   }
 
   private async advance(trial: VersionTrial): Promise<void> {
-    const { order, revision } = trial.standing;
+    const { order, revision } = trial.storedOrder;
     const next = isFinal(trial.step) ? undefined : planStep(this.readFacts(trial));
     if (next === undefined) {
       return;
@@ -264,11 +267,11 @@
 
   /** What was just written or read counts at once, also before the store's news bring it. */
   private takeStored(trial: VersionTrial, { agreed }: StoredStep): void {
-    this.takeStep(trial.standing.order.service, trial, agreed);
+    this.takeStep(trial.storedOrder.order.service, trial, agreed);
   }
 
-  private readFacts(trial: VersionTrial): StepFacts {
-    const { order, revision } = trial.standing;
+  private readFacts(trial: VersionTrial): StepInputs {
+    const { order, revision } = trial.storedOrder;
     const known = this.versions.get(order.service);
     const targets = this.options
       .listTargets()
@@ -276,23 +279,23 @@
     const ordered = targets.filter(({ target }) => versionOf(target) === order.version);
     return {
       step: trial.step,
-      fault: checkOrder(trial.standing, (name) => this.options.isService(name)),
+      fault: validateOrder(trial.storedOrder, (name) => this.options.isService(name)),
       durationMs: order.durationMs,
       ageMs: trial.ageMs,
-      movedForMs: trial.movedForMs,
+      movingForMs: trial.movingForMs,
       isOrdered: known?.order?.revision === revision,
       isBad: trial.isBad,
-      isInForce: targets.length > 0 && ordered.length === targets.length,
-      targets: ordered.length,
+      isAlreadyActive: targets.length > 0 && ordered.length === targets.length,
+      targetCount: ordered.length,
       answers: trial.answers,
-      isMoved: trial.isMoved(this.options.countTellers()),
+      isDrained: trial.isDrained(this.options.countReportingVms()),
     };
   }
 
-  private takeOrder(standing: StandingOrder): void {
+  private takeOrder(standing: StoredOrder): void {
     const { service, version, durationMs } = standing.order;
     const known = this.trials.get(service);
-    if (known !== undefined && known.standing.revision >= standing.revision) {
+    if (known !== undefined && known.storedOrder.revision >= standing.revision) {
       return;
     }
     const { clock, random, bounds, incarnation, createTest } = this.options;
@@ -300,12 +303,12 @@
     this.trials.set(
       service,
       new VersionTrial({
-        standing,
+        storedOrder: standing,
         bounds,
         clock,
         random,
         incarnation,
-        isLate,
+        startedAfterOrder: isLate,
         countVms: () => this.options.countVms(),
         createTest,
       }),
@@ -316,8 +319,8 @@
       order: standing.revision,
       durationMs,
       isLate,
-      fault: checkOrder(standing, (name) => this.options.isService(name)),
-      replacesOrder: known?.standing.revision,
+      fault: validateOrder(standing, (name) => this.options.isService(name)),
+      replacesOrder: known?.storedOrder.revision,
     });
   }
 
@@ -330,10 +333,10 @@
 
   private takeStep(service: string, trial: VersionTrial, agreed: AgreedStep | undefined): void {
     const before = trial.step;
-    if (agreed === undefined || agreed.order !== trial.standing.revision) {
+    if (agreed === undefined || agreed.order !== trial.storedOrder.revision) {
       return;
     }
-    trial.noteStep(agreed.step);
+    trial.onStep(agreed.step);
     if (trial.step !== before) {
       const { step, answers, ageMs } = trial;
       const { version, order } = agreed;
@@ -360,26 +363,26 @@
     if (trial.step !== 'move' || trial.isBad) {
       return false;
     }
-    const { isInTouch, isSuspected } = this.options;
-    return isInTouch() && trial.isHeard
-      ? trial.isRamped
-      : trial.isBound || inForce.every(({ target }) => isSuspected(target.id));
+    const { isUpToDate, isSuspected } = this.options;
+    return isUpToDate() && trial.hasFreshEvidence
+      ? trial.isRampComplete
+      : trial.hasAnnouncedMove || inForce.every(({ target }) => isSuspected(target.id));
   }
 
-  private listAtReplaced(trial: VersionTrial): TargetInUse[] {
-    const { service, version } = trial.standing.order;
+  private listAtReplaced(trial: VersionTrial): TargetUsage[] {
+    const { service, version } = trial.storedOrder.order;
     return this.options
       .listTargets()
       .filter(({ target }) => target.service === service && versionOf(target) !== version);
   }
 
   private listReplaced(trial: VersionTrial): string[] {
-    const { service } = trial.standing.order;
+    const { service } = trial.storedOrder.order;
     const present = this.listAtReplaced(trial).filter(
-      ({ target }) => this.versions.useOf(service, versionOf(target)) === 'in-force',
+      ({ target }) => this.versions.eligibilityOf(service, versionOf(target)) === 'in-force',
     );
     const agreed = this.versions.get(service)?.agreed;
-    const earlier = agreed?.order === trial.standing.revision ? agreed.replaces : [];
+    const earlier = agreed?.order === trial.storedOrder.revision ? agreed.replaces : [];
     return [...new Set([...earlier, ...present.map(({ target }) => versionOf(target))])];
   }
 
@@ -391,11 +394,11 @@
     order: number;
   }): VersionTrial | undefined {
     const trial = this.trials.get(service);
-    return trial?.standing.revision === order && !isFinal(trial.step) ? trial : undefined;
+    return trial?.storedOrder.revision === order && !isFinal(trial.step) ? trial : undefined;
   }
 
-  private isTrialVersion({ standing }: VersionTrial, target: ServiceTarget): boolean {
-    return versionOf(target) === standing.order.version;
+  private isTrialVersion({ storedOrder }: VersionTrial, target: ServiceTarget): boolean {
+    return versionOf(target) === storedOrder.order.version;
   }
 
   private noteWarming(targets: readonly ServiceTarget[]): void {
--- a/packages/run-roll-outs/src/run-roll-outs.test.ts
+++ b/packages/run-roll-outs/src/run-roll-outs.test.ts
@@ -9,36 +9,36 @@
   BAD_KINDS,
   BOUNDS,
   createRandom,
-  findBreaches,
-  playRollOut,
-  type RunPlan,
+  findViolations,
+  simulateRollOut,
+  type SimulationPlan,
 } from './fleet.fixture.js';
-import RollOuts, { type RollOutKnowledge } from './roll-outs.js';
-import planStep, { type StepFacts } from './plan-step.js';
-import { readStep, stepKeyOf } from './step-item.js';
-import StepWriter, { mayFollow } from './step-writer.js';
+import RollOutController, { type RollOutSnapshot } from './roll-out-controller.js';
+import planStep, { type StepInputs } from './plan-step.js';
+import { decodeStep, stepKey } from './step-item.js';
+import StepWriter, { canFollow } from './step-writer.js';
 import type { AgreedStep, RollOutStep } from './types.js';
 
-const RUN: Omit<RunPlan, 'kind' | 'seed'> = { vms: 3, durationMs: 60_000, hasFaults: true };
+const RUN: Omit<SimulationPlan, 'kind' | 'seed'> = { vms: 3, durationMs: 60_000, hasFaults: true };
 const SEEDS = [1, 2, 3, 4];
 
 for (const kind of ['good', ...BAD_KINDS] as const) {
   test(`a version that is ${kind}: bounds and duty hold under faults`, async () => {
     for (const seed of SEEDS) {
       const plan = { ...RUN, seed, kind };
-      assert.equal(findBreaches(plan, await playRollOut(plan)), [], `seed ${seed}`);
+      assert.equal(findViolations(plan, await simulateRollOut(plan)), [], `seed ${seed}`);
     }
   });
 }
 
 test('a version whose verdict is ignored fails the check', async () => {
-  const plan: RunPlan = {
+  const plan: SimulationPlan = {
     ...RUN,
     seed: 1,
     kind: 'at-once',
-    createTest: () => ({ take: () => undefined }),
+    createTest: () => ({ evaluate: () => undefined }),
   };
-  const breaches = findBreaches(plan, await playRollOut(plan));
+  const breaches = findViolations(plan, await simulateRollOut(plan));
   assert.ok(breaches.includes('exposure') && breaches.includes('duty'), breaches.join());
 });
 
@@ -50,10 +50,10 @@
 
 test('no step follows a final one of the same order, and a later order follows any', () => {
   for (const step of STEPS) {
-    assert.not.ok(mayFollow(agree('completed'), agree(step)));
-    assert.not.ok(mayFollow(agree('rolled_back'), agree(step)));
-    assert.ok(mayFollow(agree('completed'), agree(step, 6)));
-    assert.not.ok(mayFollow(agree('trial', 6), agree(step)));
+    assert.not.ok(canFollow(agree('completed'), agree(step)));
+    assert.not.ok(canFollow(agree('rolled_back'), agree(step)));
+    assert.ok(canFollow(agree('completed'), agree(step, 6)));
+    assert.not.ok(canFollow(agree('trial', 6), agree(step)));
   }
 });
 
@@ -64,7 +64,7 @@
   let now = 0;
   let revision = 10;
   let fault: PortFault | undefined;
-  let known: RollOutKnowledge = { orders: [], steps: new Map(), targets: [] };
+  let known: RollOutSnapshot = { orders: [], steps: new Map(), targets: [] };
   const store: ConditionalStore = {
     read: (key) => async () => E.right(items.get(key)),
     write: (conditions, writes) => async () => {
@@ -88,7 +88,7 @@
     flush: async () => undefined,
     dropped: 0,
   };
-  const rollOuts = new RollOuts({
+  const rollOuts = new RollOutController({
     clock: { now: () => now },
     random: createRandom(1),
     log,
@@ -108,17 +108,17 @@
     listTargets: () => known.targets.map((target) => ({ target, inFlight: 0 })),
     isSuspected: () => false,
     countVms: () => 1,
-    countTellers: () => 1,
-    isInTouch: () => true,
-    gathers: () => true,
-    tellGatherers: () => undefined,
-    tellAll: () => undefined,
+    countReportingVms: () => 1,
+    isUpToDate: () => true,
+    isAggregator: () => true,
+    sendToAggregators: () => undefined,
+    broadcast: () => undefined,
   });
-  const take = (change: Partial<RollOutKnowledge>): void => {
-    const item = items.get(stepKeyOf('s'));
-    const agreed = item && readStep(item.value);
+  const take = (change: Partial<RollOutSnapshot>): void => {
+    const item = items.get(stepKey('s'));
+    const agreed = item && decodeStep(item.value);
     known = { ...known, steps: new Map(agreed ? [['s', agreed]] : []), ...change };
-    rollOuts.take(known);
+    rollOuts.onSnapshot(known);
   };
   return {
     rollOuts,
@@ -129,7 +129,7 @@
     status: (service = 's') => items.get(`status/${service}`)?.value.toString(),
     async runFor(ms: number): Promise<void> {
       for (const untilMs = now + ms; now < untilMs; now += 500) {
-        rollOuts.round();
+        rollOuts.runRound();
         await new Promise((resolve) => setImmediate(resolve));
         take({});
       }
@@ -206,7 +206,7 @@
   await vm.runFor(20_000);
   assert.is(vm.status(), 'rolled_back v2');
   const usable = targets.map((known) => ({ target: known }));
-  assert.equal(vm.rollOuts.arrange('s', usable, false), [usable.slice(0, 1)]);
+  assert.equal(vm.rollOuts.selectTargets('s', usable, false), [usable.slice(0, 1)]);
 });
 
 test('a second order takes the place of the first, whose version gets nothing more', async () => {
@@ -218,7 +218,7 @@
   vm.take({ orders: [order('v3', 60_000, 's', 12)], targets });
   await vm.runFor(10_000);
   assert.is(vm.status(), 'running v3');
-  const [first, second] = vm.rollOuts.arrange(
+  const [first, second] = vm.rollOuts.selectTargets(
     's',
     targets.map((known) => ({ target: known })),
     false,
@@ -234,10 +234,10 @@
   vm.take({ targets: [target('v1')] });
   vm.take({ targets });
   const usable = targets.map((known) => ({ target: known }));
-  assert.equal(vm.rollOuts.arrange('s', usable, false), [usable.slice(0, 1)]);
-  assert.not.ok(vm.rollOuts.mayTake(target('v2')));
+  assert.equal(vm.rollOuts.selectTargets('s', usable, false), [usable.slice(0, 1)]);
+  assert.not.ok(vm.rollOuts.canSendTo(target('v2')));
   await vm.runFor(5_500);
-  assert.equal(vm.rollOuts.arrange('s', usable, false), [usable]);
+  assert.equal(vm.rollOuts.selectTargets('s', usable, false), [usable]);
 });
 
 test('a replacement of the same version is taken at once, and costs no group', () => {
@@ -245,7 +245,7 @@
   vm.take({ targets: [target('v1')] });
   vm.take({ targets: [target('v1'), target('v1', 1)] });
   const usable = [target('v1'), target('v1', 1)].map((known) => ({ target: known }));
-  assert.is(vm.rollOuts.arrange('s', usable, false)[0], usable);
+  assert.is(vm.rollOuts.selectTargets('s', usable, false)[0], usable);
 });
 
 test('a request that a target failed does not go to the version under trial', async () => {
@@ -255,8 +255,8 @@
   vm.take({ orders: [order()], targets });
   await vm.runFor(2_000);
   const usable = targets.map((known) => ({ target: known }));
-  assert.is(vm.rollOuts.arrange('s', usable, false).length, 2);
-  assert.equal(vm.rollOuts.arrange('s', usable, true), [usable.slice(0, 1)]);
+  assert.is(vm.rollOuts.selectTargets('s', usable, false).length, 2);
+  assert.equal(vm.rollOuts.selectTargets('s', usable, true), [usable.slice(0, 1)]);
 });
 
 test('a VM that started while the order stood gets no part of the slack', async () => {
@@ -264,7 +264,7 @@
   vm.take({ orders: [order()], targets: [target('v1'), target('v2')] });
   await vm.runFor(2_000);
   assert.is(vm.status(), 'running v2');
-  assert.not.ok(vm.rollOuts.wantsTrial('s'));
+  assert.not.ok(vm.rollOuts.shouldSendTrial('s'));
 });
 
 test('a write whose answer is lost is found done, and none is written twice', async () => {
@@ -287,7 +287,7 @@
   await vm.runFor(1_000);
   vm.take({ orders: [], targets: [target('v2'), target('v1')] });
   await vm.runFor(40_000);
-  assert.ok(vm.rollOuts.mayTake(target('v1')));
+  assert.ok(vm.rollOuts.canSendTo(target('v1')));
 });
 
 test('a version that was taken back may come as a replacement once its order is gone', async () => {
@@ -295,16 +295,16 @@
   vm.take({ targets: [target('v1')] });
   vm.take({ orders: [order('v2', 0)], targets: [target('v1'), target('v2')] });
   await vm.runFor(60_000);
-  assert.not.ok(vm.rollOuts.mayTake(target('v2')));
+  assert.not.ok(vm.rollOuts.canSendTo(target('v2')));
   vm.take({ orders: [] });
   await vm.runFor(40_000);
-  assert.ok(vm.rollOuts.mayTake(target('v2')));
+  assert.ok(vm.rollOuts.canSendTo(target('v2')));
 });
 
 test('a step whose order was deleted is ended by a VM that never saw the order', async () => {
   const vm = createAlone();
-  vm.items.set(stepKeyOf('s'), {
-    key: stepKeyOf('s'),
+  vm.items.set(stepKey('s'), {
+    key: stepKey('s'),
     value: Buffer.from(JSON.stringify(agree('trial'))),
     revision: 7,
   });
@@ -313,24 +313,24 @@
   assert.is(vm.status(), 'rolled_back v2');
 });
 
-const MOVING: StepFacts = {
+const MOVING: StepInputs = {
   step: 'move',
   durationMs: 20_000,
   ageMs: 19_000,
-  movedForMs: 500,
+  movingForMs: 500,
   isOrdered: true,
   isBad: false,
-  isInForce: false,
-  targets: 1,
+  isAlreadyActive: false,
+  targetCount: 1,
   answers: 100,
-  isMoved: false,
+  isDrained: false,
 };
 
 test('no move begins too late to be watched, and none is completed unwatched', () => {
   assert.is(planStep({ ...MOVING, step: 'trial', ageMs: 17_500 }), undefined);
   assert.is(planStep({ ...MOVING, step: 'trial', ageMs: 14_000 })?.step, 'move');
   assert.is(planStep(MOVING), undefined);
-  assert.is(planStep({ ...MOVING, movedForMs: 3_000 })?.reason, 'time-is-over');
+  assert.is(planStep({ ...MOVING, movingForMs: 3_000 })?.reason, 'time-is-over');
 });
 
 test.run();
--- a/packages/run-roll-outs/src/step-item.ts
+++ b/packages/run-roll-outs/src/step-item.ts
@@ -4,7 +4,7 @@
 import type { AgreedStep } from './types.js';
 
 /** Keys of the items begin so; the service's name follows. */
-export const STEP_KEYS = 'limelead/roll-out/';
+export const STEP_KEY_PREFIX = 'limelead/roll-out/';
 
 const stepCodec = t.type({
   order: t.number,
@@ -19,17 +19,17 @@
 });
 
 /** Key of the item of a service. */
-export function stepKeyOf(service: string): string {
-  return `${STEP_KEYS}${service}`;
+export function stepKey(service: string): string {
+  return `${STEP_KEY_PREFIX}${service}`;
 }
 
 /** The item's value. */
-export function writeStep(agreed: AgreedStep): Buffer {
+export function encodeStep(agreed: AgreedStep): Buffer {
   return Buffer.from(JSON.stringify(agreed));
 }
 
 /** The step; undefined where the value holds none. */
-export function readStep(value: Buffer): AgreedStep | undefined {
+export function decodeStep(value: Buffer): AgreedStep | undefined {
   try {
     const decoded = stepCodec.decode(JSON.parse(value.toString('utf8')));
     return E.isRight(decoded) ? decoded.right : undefined;
--- a/packages/run-roll-outs/src/step-writer.ts
+++ b/packages/run-roll-outs/src/step-writer.ts
@@ -8,11 +8,11 @@
 import type { ConditionalStore, StoreWrite } from '@limelead/ports';
 import type { Millis } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
-import { readStep, stepKeyOf, writeStep } from './step-item.js';
+import { decodeStep, stepKey, encodeStep } from './step-item.js';
 import type { AgreedStep, RollOutState, RollOutStep, StoredStep } from './types.js';
 
 /** Time for a write to arrive or be lost; the store answers in milliseconds or is away. */
-const ARRIVAL_MS = 1_000;
+const MAX_WRITE_MS = 1_000;
 
 /** Where the operator reads the state of a service's roll-out. */
 export interface StateItem {
@@ -30,7 +30,7 @@
 }
 
 /** A step to write. */
-export interface StepOrder {
+export interface StepWrite {
   service: string;
   agreed: AgreedStep;
   reason: string;
@@ -44,9 +44,9 @@
   constructor(private readonly options: StepWriterOptions) {}
 
   /** Writes a step; gives what stands then, undefined where that is not known. */
-  async write(stepOrder: StepOrder): Promise<StoredStep | undefined> {
+  async write(stepOrder: StepWrite): Promise<StoredStep | undefined> {
     const { service } = stepOrder;
-    if (this.busy.has(service) || this.options.duty.permit(ARRIVAL_MS) === undefined) {
+    if (this.busy.has(service) || this.options.duty.permit(MAX_WRITE_MS) === undefined) {
       return undefined;
     }
     this.busy.add(service);
@@ -57,22 +57,22 @@
     }
   }
 
-  private async writeAlone(stepOrder: StepOrder): Promise<StoredStep | undefined> {
+  private async writeAlone(stepOrder: StepWrite): Promise<StoredStep | undefined> {
     const { service, agreed } = stepOrder;
-    const key = stepKeyOf(service);
+    const key = stepKey(service);
     const read = await this.options.store.read(key)();
     if (E.isLeft(read)) {
       this.noteFault(stepOrder, read.left.message);
       return undefined;
     }
     const entry = read.right;
-    const standing = entry && readStep(entry.value);
-    if (entry !== undefined && standing !== undefined && !mayFollow(standing, agreed)) {
+    const standing = entry && decodeStep(entry.value);
+    if (entry !== undefined && standing !== undefined && !canFollow(standing, agreed)) {
       return { agreed: standing, revision: entry.revision };
     }
-    const state = this.options.composeState(service, toState(agreed.step), agreed.version);
+    const state = this.options.composeState(service, toOperatorState(agreed.step), agreed.version);
     const writes: StoreWrite[] = [
-      { kind: 'put', key, value: writeStep(agreed) },
+      { kind: 'put', key, value: encodeStep(agreed) },
       { kind: 'put', ...state },
     ];
     const written = await this.options.store.write(
@@ -93,7 +93,7 @@
       version: agreed.version,
       order: agreed.order,
       step: agreed.step,
-      state: toState(agreed.step),
+      state: toOperatorState(agreed.step),
       reason: stepOrder.reason,
       ageMs: Math.round(stepOrder.ageMs),
       revision,
@@ -101,7 +101,7 @@
     return { agreed, revision };
   }
 
-  private noteFault({ service, agreed }: StepOrder, reason: string): void {
+  private noteFault({ service, agreed }: StepWrite, reason: string): void {
     this.options.log.write('roll-out-write-failed', { service, step: agreed.step, reason });
   }
 }
@@ -114,13 +114,13 @@
 };
 
 /** A later order follows any step; within one order only a later step does, and none a final one. */
-export function mayFollow(standing: AgreedStep, next: AgreedStep): boolean {
+export function canFollow(standing: AgreedStep, next: AgreedStep): boolean {
   if (next.order !== standing.order) {
     return next.order > standing.order;
   }
   return RANKS[next.step] > RANKS[standing.step];
 }
 
-function toState(step: RollOutStep): RollOutState {
+function toOperatorState(step: RollOutStep): RollOutState {
   return step === 'trial' || step === 'move' ? 'running' : step;
 }
--- a/packages/run-roll-outs/src/types.ts
+++ b/packages/run-roll-outs/src/types.ts
@@ -35,7 +35,7 @@
 }
 
 /** An order that stands in the store. */
-export interface StandingOrder {
+export interface StoredOrder {
   order: RollOutOrder;
   revision: number;
 }
@@ -54,7 +54,7 @@
 }
 
 /** What a VM that gathers evidence tells all others. */
-export interface GatheredEvidence {
+export interface AggregatedEvidence {
   service: string;
   order: number;
   ageMs: Millis;
--- a/packages/run-roll-outs/src/version-book.ts
+++ b/packages/run-roll-outs/src/version-table.ts
@@ -4,35 +4,35 @@
  * keeps the version.
  */
 import type { Clock, Millis, ServiceTarget } from '@limelead/types';
-import type { AgreedStep, StandingOrder } from './types.js';
+import type { AgreedStep, StoredOrder } from './types.js';
 
 /**
  * Time after which a version that nobody ordered counts as a plain replacement. News of
  * an order reach every VM that is in touch within a few seconds.
  */
-const UNORDERED_MS = 5_000;
+const UNORDERED_ACTIVATION_DELAY_MS = 5_000;
 
 /**
  * Time for which a version stays blocked behind the end of its roll-out: replaced targets
  * stop at once, those of a version that was taken back drain within it.
  */
-const BLOCKED_MS = 30_000;
+const BLOCK_AFTER_END_MS = 30_000;
 
 /** What a version of a service may be given. */
-export type VersionUse = 'in-force' | 'under-trial' | 'blocked' | 'unordered';
+export type VersionEligibility = 'in-force' | 'under-trial' | 'blocked' | 'unordered';
 
 /** What is known of one service. */
 export interface ServiceVersions {
-  order?: StandingOrder;
+  order?: StoredOrder;
   agreed?: AgreedStep;
   /** Versions, and when each counts as in force without an order. */
-  admittedAtMs: Map<string, Millis>;
+  activeFromMs: Map<string, Millis>;
   /** Versions that stood on an order. */
-  ordered: Set<string>;
+  everOrdered: Set<string>;
   /** Since when the agreed step is final and says no more than that targets end. */
   endedAtMs?: Millis;
   /** True where every target may be sent to, and nothing has to be counted. */
-  isPlain: boolean;
+  hasSingleVersion: boolean;
 }
 
 /** The version of a target; empty where it tells none. */
@@ -41,7 +41,7 @@
 }
 
 /** Holds the versions of all services. */
-export default class VersionBook {
+export default class VersionTable {
   private readonly services = new Map<string, ServiceVersions>();
 
   constructor(private readonly clock: Clock) {}
@@ -52,9 +52,9 @@
   }
 
   /** Takes what the store holds now. */
-  take(
+  update(
     targets: readonly ServiceTarget[],
-    orders: readonly StandingOrder[],
+    orders: readonly StoredOrder[],
     steps: ReadonlyMap<string, AgreedStep>,
   ): void {
     const now = this.clock.now();
@@ -73,7 +73,7 @@
   }
 
   /** What a version may be given now. */
-  useOf(service: string, version: string): VersionUse {
+  eligibilityOf(service: string, version: string): VersionEligibility {
     const known = this.services.get(service);
     if (known === undefined) {
       return 'in-force';
@@ -84,9 +84,11 @@
       return 'under-trial';
     }
     const isOver =
-      known.endedAtMs !== undefined && this.clock.now() - known.endedAtMs >= BLOCKED_MS;
+      known.endedAtMs !== undefined && this.clock.now() - known.endedAtMs >= BLOCK_AFTER_END_MS;
     const byStep =
-      agreed === undefined || isOver ? undefined : useByStep(agreed, version, order !== undefined);
+      agreed === undefined || isOver
+        ? undefined
+        : eligibilityByStep(agreed, version, order !== undefined);
     return byStep ?? this.useWithoutOrder(known, version);
   }
 
@@ -96,28 +98,35 @@
     { order, agreed, now }: Pick<ServiceVersions, 'order' | 'agreed'> & { now: Millis },
   ): void {
     const known = this.services.get(service);
-    const admittedAtMs = admit(known?.admittedAtMs ?? new Map(), present, order, now);
+    const admittedAtMs = admit(known?.activeFromMs ?? new Map(), present, order, now);
     const isPlain = order === undefined && agreed === undefined && present.size <= 1;
-    const ordered = new Set(known?.ordered);
+    const ordered = new Set(known?.everOrdered);
     if (order !== undefined) {
       ordered.add(order.order.version);
     }
     const endedAtMs = hasEnded(order, agreed) ? (known?.endedAtMs ?? now) : undefined;
-    this.services.set(service, { order, agreed, admittedAtMs, ordered, endedAtMs, isPlain });
+    this.services.set(service, {
+      order,
+      agreed,
+      activeFromMs: admittedAtMs,
+      everOrdered: ordered,
+      endedAtMs,
+      hasSingleVersion: isPlain,
+    });
   }
 
   private useWithoutOrder(
-    { order, agreed, ordered, admittedAtMs }: ServiceVersions,
+    { order, agreed, everOrdered, activeFromMs }: ServiceVersions,
     version: string,
-  ): VersionUse {
+  ): VersionEligibility {
     if (agreed?.step === 'completed' && agreed.version === version) {
       return 'in-force';
     }
     // A version whose order another one replaced was never found good.
-    if (order !== undefined && ordered.has(version)) {
+    if (order !== undefined && everOrdered.has(version)) {
       return 'blocked';
     }
-    const admittedMs = admittedAtMs.get(version);
+    const admittedMs = activeFromMs.get(version);
     return admittedMs !== undefined && admittedMs <= this.clock.now() ? 'in-force' : 'unordered';
   }
 }
@@ -126,10 +135,10 @@
 function admit(
   admittedAtMs: ReadonlyMap<string, Millis>,
   present: ReadonlySet<string>,
-  order: StandingOrder | undefined,
+  order: StoredOrder | undefined,
   now: Millis,
 ): Map<string, Millis> {
-  const admitAtMs = admittedAtMs.size === 0 ? now : now + UNORDERED_MS;
+  const admitAtMs = admittedAtMs.size === 0 ? now : now + UNORDERED_ACTIVATION_DELAY_MS;
   const kept = [...admittedAtMs].filter(([version]) => present.has(version));
   const fresh = [...present]
     .filter((version) => !admittedAtMs.has(version) && order?.order.version !== version)
@@ -140,16 +149,16 @@
 }
 
 /** A version that was taken back stays so while its order stands. */
-function hasEnded(order: StandingOrder | undefined, agreed: AgreedStep | undefined): boolean {
+function hasEnded(order: StoredOrder | undefined, agreed: AgreedStep | undefined): boolean {
   return agreed?.step === 'completed' || (agreed?.step === 'rolled_back' && order === undefined);
 }
 
 /** Undefined where the step says nothing of the version. */
-function useByStep(
+function eligibilityByStep(
   { step, version: ordered, replaces }: AgreedStep,
   version: string,
   isOrdered: boolean,
-): VersionUse | undefined {
+): VersionEligibility | undefined {
   if (version === ordered) {
     if (step === 'completed') {
       return 'in-force';
--- a/packages/run-roll-outs/src/version-trial.ts
+++ b/packages/run-roll-outs/src/version-trial.ts
@@ -1,7 +1,7 @@
 /** One order as one VM sees it: its own part of the exposure, its evidence, its verdict. */
 import {
   countAnswers,
-  EvidenceBook,
+  EvidenceTable,
   SendSums,
   VersionJudge,
   type BadVerdict,
@@ -11,12 +11,12 @@
 } from '@limelead/judge-version';
 import { RetrySpender } from '@limelead/spend-retries';
 import type { Clock, Millis, Random } from '@limelead/types';
-import { shareOfMove } from './plan-step.js';
+import { trafficShare } from './plan-step.js';
 import type {
-  GatheredEvidence,
+  AggregatedEvidence,
   RollOutBounds,
   RollOutStep,
-  StandingOrder,
+  StoredOrder,
   VmEvidence,
 } from './types.js';
 
@@ -31,7 +31,7 @@
  * Part of the time to leave a bad version for which gathered evidence is good: the rest is
  * for the verdict's way, and some of its rounds may be lost.
  */
-export const HEARD_PART = 0.4;
+export const EVIDENCE_TTL_SHARE = 0.4;
 /** Time between two looks at the evidence; several VMs tell the same in each round. */
 const LOOK_MS = 400;
 /** What a VM told of its moved traffic is believed this long. */
@@ -41,14 +41,14 @@
 
 /** What a trial needs. */
 export interface VersionTrialOptions {
-  standing: StandingOrder;
+  storedOrder: StoredOrder;
   bounds: RollOutBounds;
   clock: Clock;
   random: Random;
   /** Names this VM's process among all that ever told evidence. */
   incarnation: string;
   /** True where the order stood before this VM knew anything: its part of the slack may be spent. */
-  isLate: boolean;
+  startedAfterOrder: boolean;
   /** VMs that share the slack, this one included. */
   countVms(): number;
   createTest?: () => RouteTest;
@@ -56,13 +56,13 @@
 
 interface Told {
   atMs: Millis;
-  isMoved: boolean;
+  isDrained: boolean;
 }
 
 /** Follows one order on one VM. */
 export default class VersionTrial {
   private readonly own = new SendSums();
-  private readonly book = new EvidenceBook();
+  private readonly book = new EvidenceTable();
   private readonly told = new Map<string, Told>();
   private readonly judge: VersionJudge;
   private readonly spender: RetrySpender;
@@ -79,20 +79,20 @@
   private knownStep: RollOutStep | undefined;
 
   constructor(private readonly options: VersionTrialOptions) {
-    const { bounds, clock, random, isLate, standing, createTest } = options;
+    const { bounds, clock, random, startedAfterOrder, storedOrder, createTest } = options;
     this.beganAtMs = clock.now();
     this.judge = new VersionJudge(createTest);
     this.spender = new RetrySpender({
       ratio: bounds.exposureShare * TRIAL_PART,
-      slack: isLate ? 0 : bounds.exposureSlack * TRIAL_PART,
-      windowMs: Math.max(1, standing.order.durationMs) * WINDOW_FACTOR,
+      slack: startedAfterOrder ? 0 : bounds.exposureSlack * TRIAL_PART,
+      windowMs: Math.max(1, storedOrder.order.durationMs) * WINDOW_FACTOR,
     });
     // In a fleet of hundreds a VM's part is less than a request: by lot, some send one early.
     this.spender.borrow(clock.now(), random.next());
   }
 
-  get standing(): StandingOrder {
-    return this.options.standing;
+  get storedOrder(): StoredOrder {
+    return this.options.storedOrder;
   }
 
   /** The agreed step as far as this VM knows. */
@@ -101,7 +101,7 @@
   }
 
   /** The store tells of a step; a final one stays. */
-  noteStep(step: RollOutStep): void {
+  onStep(step: RollOutStep): void {
     const isFinal = this.knownStep === 'completed' || this.knownStep === 'rolled_back';
     if (!isFinal && step !== this.knownStep) {
       this.knownStep = step;
@@ -113,18 +113,18 @@
     return this.now - this.beganAtMs;
   }
 
-  get movedForMs(): Millis {
+  get movingForMs(): Millis {
     return this.movesSinceMs === undefined ? 0 : this.now - this.movesSinceMs;
   }
 
   /** Whether this VM told lately that it sends nothing new to replaced targets. */
-  get isBound(): boolean {
+  get hasAnnouncedMove(): boolean {
     return this.now - this.toldMovedAtMs < BOUND_MS;
   }
 
   /** Whether all traffic goes to the version by now. */
-  get isRamped(): boolean {
-    return shareOfMove(this.movedForMs, this.standing.order.durationMs, 0) >= 1;
+  get isRampComplete(): boolean {
+    return trafficShare(this.movingForMs, this.storedOrder.order.durationMs, 0) >= 1;
   }
 
   /** The verdict that this VM acts on. */
@@ -142,13 +142,13 @@
   }
 
   /** Whether others gathered evidence for this VM just now. */
-  get isHeard(): boolean {
+  get hasFreshEvidence(): boolean {
     return this.gatheredAtMs !== undefined && this.now - this.gatheredAtMs < this.heardMs;
   }
 
   /** Whether the next request should go to the version under trial. */
-  wantsTrial(isInTouch: boolean): boolean {
-    if (this.isBad || !isInTouch || !this.isHeard) {
+  shouldSendTrial(isInTouch: boolean): boolean {
+    if (this.isBad || !isInTouch || !this.hasFreshEvidence) {
       return false;
     }
     if (this.knownStep === 'trial') {
@@ -158,12 +158,12 @@
     return (
       this.knownStep === 'move' &&
       random.next() <
-        shareOfMove(this.movedForMs, this.standing.order.durationMs, bounds.exposureShare)
+        trafficShare(this.movingForMs, this.storedOrder.order.durationMs, bounds.exposureShare)
     );
   }
 
   /** A request was sent to the service. */
-  noteSent(isTrial: boolean): void {
+  recordAttempt(isTrial: boolean): void {
     this.spender.noteFirstSend(this.now);
     if (isTrial) {
       this.spender.trySpend(this.now, this.options.countVms());
@@ -171,13 +171,13 @@
   }
 
   /** A send ended. */
-  noteEnded(outcome: SendOutcome): void {
-    this.own.note(outcome);
+  recordOutcome(outcome: SendOutcome): void {
+    this.own.record(outcome);
   }
 
   /** What this VM tells those that gather. */
-  tell(underWay: number, moves: boolean): VmEvidence {
-    const { order, revision } = this.standing;
+  createEvidence(underWay: number, moves: boolean): VmEvidence {
+    const { order, revision } = this.storedOrder;
     if (moves) {
       this.toldMovedAtMs = this.now;
     }
@@ -187,20 +187,20 @@
       ageMs: this.ageMs,
       moves,
       underWay,
-      sums: this.own.read(),
+      sums: this.own.snapshot(),
     };
   }
 
   /** Another VM told, or this one tells itself. */
-  hear(incarnation: string, { ageMs, moves, underWay, sums }: VmEvidence): void {
+  onEvidence(incarnation: string, { ageMs, moves, underWay, sums }: VmEvidence): void {
     this.noteAge(ageMs);
-    this.book.take(incarnation, sums);
-    this.told.set(incarnation, { atMs: this.now, isMoved: moves && underWay === 0 });
+    this.book.record(incarnation, sums);
+    this.told.set(incarnation, { atMs: this.now, isDrained: moves && underWay === 0 });
   }
 
   /** What this VM gathered, for all others. */
-  gather(): GatheredEvidence {
-    const { order, revision } = this.standing;
+  aggregate(): AggregatedEvidence {
+    const { order, revision } = this.storedOrder;
     return {
       service: order.service,
       order: revision,
@@ -211,7 +211,7 @@
   }
 
   /** Takes what was gathered, and judges anew; true where the version turned out bad just now. */
-  hearGathered({ ageMs, isBad, sums }: GatheredEvidence): boolean {
+  onAggregatedEvidence({ ageMs, isBad, sums }: AggregatedEvidence): boolean {
     const wasBad = this.isBad;
     this.noteAge(ageMs);
     this.gatheredAtMs = this.now;
@@ -221,20 +221,20 @@
     }
     if (!this.isBad && this.now - this.lookedAtMs >= LOOK_MS) {
       this.lookedAtMs = this.now;
-      this.ownVerdict = this.judge.look(this.now, this.known);
+      this.ownVerdict = this.judge.evaluate(this.now, this.known);
     }
     return this.isBad && !wasBad;
   }
 
   /** Whether so many VMs told that nothing of theirs is left at replaced targets. */
-  isMoved(vms: number): boolean {
+  isDrained(vms: number): boolean {
     const fresh = [...this.told.values()].filter(({ atMs }) => this.now - atMs < TOLD_MS);
-    return fresh.length >= vms && fresh.every(({ isMoved }) => isMoved);
+    return fresh.length >= vms && fresh.every(({ isDrained }) => isDrained);
   }
 
   /** What was gathered; this VM's own before anything was. */
   private get known(): RouteSums[] {
-    return this.gathered.length > 0 ? this.gathered : this.own.read();
+    return this.gathered.length > 0 ? this.gathered : this.own.snapshot();
   }
 
   private noteAge(ageMs: Millis): void {
@@ -242,7 +242,7 @@
   }
 
   private get heardMs(): Millis {
-    return this.options.bounds.rollBackMs * HEARD_PART;
+    return this.options.bounds.rollBackMs * EVIDENCE_TTL_SHARE;
   }
 
   private get now(): Millis {
