--- a/packages/gateway/src/knowledge.ts
+++ b/packages/gateway/src/knowledge.ts
@@ -8,12 +8,12 @@
 import type { Quarantine } from '@limelead/quarantine-requests';
 import type { StoreUpdate } from '@limelead/share-evidence';
 import {
-  readStep,
-  STEP_KEYS,
+  decodeStep,
+  STEP_KEY_PREFIX,
   type AgreedStep,
   type RollOutState,
   type StateItem,
-  type StandingOrder,
+  type StoredOrder,
 } from '@limelead/run-roll-outs';
 import compileRoutes, { type RouteTable } from '@limelead/route-requests';
 import type { TargetChange, TargetDirectory } from '@limelead/track-service-targets';
@@ -181,7 +181,7 @@
   }
 
   /** Orders of roll-outs that stand now, with the revision that wrote each. */
-  listRollOuts(): StandingOrder[] {
+  listRollOuts(): StoredOrder[] {
     return [...this.known.values()].flatMap(({ item, fact }) =>
       fact.kind === 'roll-out' ? [{ order: fact.order, revision: item.revision }] : [],
     );
@@ -459,11 +459,11 @@
       ? { kind: 'unreadable', reason: 'names no service' }
       : { kind: 'quarantine', identity: key.slice(QUARANTINE_KEYS.length), quarantine };
   }
-  if (!key.startsWith(STEP_KEYS)) {
+  if (!key.startsWith(STEP_KEY_PREFIX)) {
     return undefined;
   }
-  const agreed = readStep(value);
+  const agreed = decodeStep(value);
   return agreed === undefined
     ? { kind: 'unreadable', reason: 'holds no step of a roll-out' }
-    : { kind: 'roll-out-step', service: key.slice(STEP_KEYS.length), agreed };
+    : { kind: 'roll-out-step', service: key.slice(STEP_KEY_PREFIX.length), agreed };
 }
--- a/packages/gateway/src/roll-outs.ts
+++ b/packages/gateway/src/roll-outs.ts
@@ -2,10 +2,10 @@
 import type { AdmittedRequest, TargetGate, TrafficObserver } from '@limelead/forward-request';
 import type { Duty } from '@limelead/hold-duty';
 import {
-  HEARD_PART,
+  EVIDENCE_TTL_SHARE,
   RollOutController,
   StepWriter,
-  type GatheredEvidence,
+  type AggregatedEvidence,
   type VmEvidence,
 } from '@limelead/run-roll-outs';
 import type { PeerReport } from '@limelead/share-evidence';
@@ -181,7 +181,7 @@
   /** Fresh news of the store, and of another VM where there are any. */
   private get isInTouch(): boolean {
     const { settings, clock, readKnowledgeAgeMs } = this.context;
-    const hears = clock.now() - this.heardAtMs < settings.rollOut.rollBackMs * HEARD_PART;
+    const hears = clock.now() - this.heardAtMs < settings.rollOut.rollBackMs * EVIDENCE_TTL_SHARE;
     return readKnowledgeAgeMs() <= settings.configurationWithinMs && (hears || this.vmCount === 1);
   }
 
@@ -202,7 +202,7 @@
       ?.reportToCandidates({ kind: 'version-evidence', incarnation, ...evidence });
   }
 
-  private tellAll(gathered: GatheredEvidence): void {
+  private tellAll(gathered: AggregatedEvidence): void {
     this.context.readExchange()?.reportToLinked({ kind: 'version-total', ...gathered });
   }
 
--- a/packages/judge-version/src/evidence-table.ts
+++ b/packages/judge-version/src/evidence-table.ts
@@ -1,11 +1,11 @@
-/** Sums of many VMs, each incarnation counted once. */
+/** Merges outcome counts of many VMs, counting each incarnation once. */
 import { countAnswers, OutcomeCounter, type RouteOutcomeCounts } from './outcome-counts.js';
 
-/** Holds the latest sums of every incarnation. */
+/** Holds the latest counts of every incarnation. */
 export default class EvidenceTable {
   private readonly byIncarnation = new Map<string, RouteOutcomeCounts[]>();
 
-  /** Takes the sums of one incarnation; late and repeated ones change nothing. */
+  /** Records the counts of one incarnation; late and repeated ones are ignored. */
   record(incarnation: string, routes: RouteOutcomeCounts[]): void {
     const known = this.byIncarnation.get(incarnation);
     if (known === undefined || countAnswers(routes) > countAnswers(known)) {
@@ -13,7 +13,7 @@
     }
   }
 
-  /** The sums of all together. */
+  /** Returns the counts of all incarnations together. */
   total(): RouteOutcomeCounts[] {
     const total = new OutcomeCounter();
     this.byIncarnation.forEach((routes) => total.add(routes));
--- a/packages/judge-version/src/outcome-counts.ts
+++ b/packages/judge-version/src/outcome-counts.ts
@@ -1,121 +1,124 @@
 /**
- * What sends to the versions of a service brought, as sums that only grow. Sums of
- * several VMs can be added; of two states of one sum the larger is the later one.
+ * Counts outcomes of attempts by route and version. Counts only grow: those of several VMs can be
+ * added, and of two snapshots of one counter the larger is the later one.
  */
 import type { Millis } from '@limelead/types';
 
-/** Each bucket of times ends this much later than the one before: fine enough to see a doubling. */
+/** Ratio between the limits of successive time buckets, in which answer times are counted. */
 const BUCKET_RATIO = 1.25;
-/** The last bucket begins at about a minute, longer than any answer may take. */
+/** Number of buckets; the last one starts at about a minute. */
 const BUCKET_COUNT = 51;
 
-/** Sums of one version on one route. */
+/** Outcome counts of one version on one route, as sent to peers. */
 export interface RouteOutcomeCounts {
   route: string;
-  /** True for the version under trial, false for those in force beside it. */
+  /** True for the version under trial, false for the active versions. */
   isTrial: boolean;
   good: number;
   bad: number;
-  /** Bucket numbers and good answers whose time fell there; empty buckets are left out. */
+  /** Bucket numbers with the count of good answers in each; empty buckets are left out. */
   times: [bucket: number, answers: number][];
 }
 
-/** How one send ended. */
+/** Outcome of one attempt. */
 export interface AttemptOutcome {
   route: string;
   isTrial: boolean;
   isGood: boolean;
-  /** Undefined where the time says nothing of the version, as at a target that warms up. */
+  /**
+   * Time from sending to the outcome; undefined if it does not reflect the version, as at a target
+   * that warms up.
+   */
   afterMs?: Millis;
 }
 
-/** The same with a place for each bucket, to count with. */
+/** Outcome counts with an element for each time bucket. */
 export interface OutcomeCounts {
   good: number;
   bad: number;
   times: number[];
 }
 
-/** Sums without any answer. */
+/** Creates empty counts. */
 export function createCounts(): OutcomeCounts {
   return { good: 0, bad: 0, times: new Array<number>(BUCKET_COUNT).fill(0) };
 }
 
-/** The bucket of a time. */
+/** Returns the bucket for a time. */
 export function bucketForTime(afterMs: Millis): number {
   const bucket = Math.floor(Math.log(Math.max(1, afterMs)) / Math.log(BUCKET_RATIO));
   return Math.min(BUCKET_COUNT - 1, bucket);
 }
 
-/** Buckets by which a time lies higher that is so many times as long. */
+/** Returns the number of buckets between a time and its multiple by the factor. */
 export function bucketsForFactor(factor: number): number {
   return Math.round(Math.log(factor) / Math.log(BUCKET_RATIO));
 }
 
-/** The bucket below which this part (0 to 1) of the times lies; undefined without any. */
-export function findQuantileBucket({ times }: OutcomeCounts, part: number): number | undefined {
+/** Returns the bucket that contains this quantile (0 to 1); undefined without any time. */
+export function findQuantileBucket({ times }: OutcomeCounts, quantile: number): number | undefined {
   const all = countTimes(times);
   let below = 0;
   for (const [bucket, answers] of times.entries()) {
     below += answers;
-    if (all > 0 && below >= part * all) {
+    if (all > 0 && below >= quantile * all) {
       return bucket;
     }
   }
   return undefined;
 }
 
-/** Number of times in the buckets from the given one on. */
+/** Returns the number of times in the given bucket and all later ones. */
 export function countTimes(times: readonly number[], from = 0): number {
   return times.slice(from).reduce((sum, answers) => sum + answers, 0);
 }
 
-/** Adds sums of one route to others. */
+/** Adds counts of one route to others. */
 export function addCounts(
-  sums: OutcomeCounts,
+  counts: OutcomeCounts,
   { good, bad, times }: Omit<RouteOutcomeCounts, 'route' | 'isTrial'>,
 ): void {
-  sums.good += good;
-  sums.bad += bad;
+  counts.good += good;
+  counts.bad += bad;
   for (const [bucket, answers] of times) {
-    sums.times[bucket] = (sums.times[bucket] ?? 0) + answers;
+    counts.times[bucket] = (counts.times[bucket] ?? 0) + answers;
   }
 }
 
-/** Counts the sends of one VM. */
+/** Counts the outcomes of one VM's attempts. */
 export class OutcomeCounter {
   private readonly byKey = new Map<
     string,
-    { route: string; isTrial: boolean; sums: OutcomeCounts }
+    { route: string; isTrial: boolean; counts: OutcomeCounts }
   >();
 
-  /** A send ended. */
+  /** Records the outcome of an attempt. */
   record({ route, isTrial, isGood, afterMs }: AttemptOutcome): void {
-    const { sums } = this.at(route, isTrial);
+    const { counts } = this.at(route, isTrial);
     if (!isGood) {
-      sums.bad += 1;
+      counts.bad += 1;
       return;
     }
-    sums.good += 1;
+    counts.good += 1;
     if (afterMs !== undefined) {
       const bucket = bucketForTime(afterMs);
-      sums.times[bucket] = (sums.times[bucket] ?? 0) + 1;
+      counts.times[bucket] = (counts.times[bucket] ?? 0) + 1;
     }
   }
 
-  /** Adds what another counter read. */
+  /** Adds a snapshot of another counter. */
   add(routes: readonly RouteOutcomeCounts[]): void {
-    routes.forEach((sums) => addCounts(this.at(sums.route, sums.isTrial).sums, sums));
+    routes.forEach((counts) => addCounts(this.at(counts.route, counts.isTrial).counts, counts));
   }
 
-  /** All sums, as they are sent to peers. */
+  /** Returns all counts in the form that is sent to peers. */
   snapshot(): RouteOutcomeCounts[] {
-    return [...this.byKey.values()].map(({ route, isTrial, sums }) => ({
+    return [...this.byKey.values()].map(({ route, isTrial, counts }) => ({
       route,
       isTrial,
-      good: sums.good,
-      bad: sums.bad,
-      times: sums.times.flatMap((answers, bucket): [number, number][] =>
+      good: counts.good,
+      bad: counts.bad,
+      times: counts.times.flatMap((answers, bucket): [number, number][] =>
         answers > 0 ? [[bucket, answers]] : [],
       ),
     }));
@@ -123,15 +126,15 @@
 
   private at(route: string, isTrial: boolean) {
     const key = `${isTrial} ${route}`;
-    const known = this.byKey.get(key) ?? { route, isTrial, sums: createCounts() };
+    const known = this.byKey.get(key) ?? { route, isTrial, counts: createCounts() };
     this.byKey.set(key, known);
     return known;
   }
 }
 
-/** Answers that sums count. */
+/** Returns the number of answers in the counts. */
 export function countAnswers(routes: readonly RouteOutcomeCounts[], isTrial?: boolean): number {
   return routes
-    .filter((sums) => isTrial === undefined || sums.isTrial === isTrial)
+    .filter((counts) => isTrial === undefined || counts.isTrial === isTrial)
     .reduce((count, { good, bad }) => count + good + bad, 0);
 }
--- a/packages/judge-version/src/proportion-test.ts
+++ b/packages/judge-version/src/proportion-test.ts
@@ -1,4 +1,4 @@
-/** Compares the parts of bad answers of late, once there are enough of them. */
+/** Compares the recent shares of bad answers once there are enough answers. */
 import {
   findSlowBucket,
   failureProportion,
@@ -10,29 +10,29 @@
 } from './route-test.js';
 import { createCounts, type OutcomeCounts } from './outcome-counts.js';
 
-/** Answers of the version under trial below which nothing is said. */
+/** Minimum number of answers on each side of a comparison. */
 const MIN_ANSWERS = 20;
-/** Standard errors between the two parts from which on the version is bad. */
+/** Difference between the shares, in standard errors, at which the version is bad. */
 const MIN_STANDARD_ERRORS = 4;
-/** Least rise of the part of bad answers that counts. */
+/** Minimum increase of the share of bad answers. */
 const MIN_INCREASE = 0.1;
 
-/** Judges one route. */
+/** Judges one route by a two-proportion test. */
 export default class ProportionTest implements RouteTest {
-  private readonly late: OutcomeCounts = createCounts();
+  private readonly recent: OutcomeCounts = createCounts();
 
   evaluate({ fresh, baseline, decayFactor }: RouteSample): BadVersionCause | undefined {
-    this.late.good = this.late.good * decayFactor + fresh.good;
-    this.late.bad = this.late.bad * decayFactor + fresh.bad;
+    this.recent.good = this.recent.good * decayFactor + fresh.good;
+    this.recent.bad = this.recent.bad * decayFactor + fresh.bad;
     fresh.times.forEach((answers, bucket) => {
-      this.late.times[bucket] = (this.late.times[bucket] ?? 0) * decayFactor + answers;
+      this.recent.times[bucket] = (this.recent.times[bucket] ?? 0) * decayFactor + answers;
     });
-    if (isHigher(failureProportion(this.late), failureProportion(baseline))) {
+    if (isHigher(failureProportion(this.recent), failureProportion(baseline))) {
       return 'failures';
     }
     const slow = findSlowBucket(baseline);
     return slow !== undefined &&
-      isHigher(slowProportion(this.late, slow), slowProportion(baseline, slow))
+      isHigher(slowProportion(this.recent, slow), slowProportion(baseline, slow))
       ? 'times'
       : undefined;
   }
@@ -42,8 +42,8 @@
   if (trial.trials < MIN_ANSWERS || inForce.trials < MIN_ANSWERS) {
     return false;
   }
-  const rise = trial.events / trial.trials - inForce.events / inForce.trials;
+  const increase = trial.events / trial.trials - inForce.events / inForce.trials;
   const pooled = (trial.events + inForce.events) / (trial.trials + inForce.trials);
   const error = Math.sqrt(pooled * (1 - pooled) * (1 / trial.trials + 1 / inForce.trials));
-  return rise > MIN_INCREASE && rise > MIN_STANDARD_ERRORS * error;
+  return increase > MIN_INCREASE && increase > MIN_STANDARD_ERRORS * error;
 }
--- a/packages/judge-version/src/route-test.ts
+++ b/packages/judge-version/src/route-test.ts
@@ -1,34 +1,39 @@
-/** What the ways to judge a version on one route have in common. */
-import { countTimes, findQuantileBucket, bucketsForFactor, type OutcomeCounts } from './outcome-counts.js';
-
-/** Why a version is bad. */
+/** Common interface and measures of the tests that judge a version on one route. */
+import {
+  countTimes,
+  findQuantileBucket,
+  bucketsForFactor,
+  type OutcomeCounts,
+} from './outcome-counts.js';
+
+/** Reason why a version is bad: failures or slow answers. */
 export type BadVersionCause = 'failures' | 'times';
 
-/** What one look at a route has to go by. */
+/** Input of one evaluation of a route. */
 export interface RouteSample {
-  /** What the version under trial brought since the last look. */
+  /** New outcomes of the version under trial since the last evaluation. */
   fresh: OutcomeCounts;
-  /** What the versions in force brought lately. */
+  /** Recent outcomes of the active versions. */
   baseline: OutcomeCounts;
-  /** Part of what was known at the last look that still counts, 0 to 1. */
+  /** Factor by which older outcomes count, 0 to 1. */
   decayFactor: number;
 }
 
-/** Judges one route, look by look. */
+/** Judges one route from successive samples. */
 export interface RouteTest {
-  /** Gives the cause where the version is bad. */
-  evaluate(look: RouteSample): BadVersionCause | undefined;
+  /** Returns the cause if the version is bad. */
+  evaluate(sample: RouteSample): BadVersionCause | undefined;
 }
 
-/** Part of the answers in force that are quicker than the bound of slow ones is derived from. */
+/** Quantile of the baseline's answer times from which the limit for slow answers is derived. */
 const BASE_QUANTILE = 0.75;
 /**
- * Answers this many times as long as the quantile are slow: bad versions answer several
- * times slower, and the spread between targets of one version is below a doubling.
+ * Answers this many times slower than the quantile are slow; more than the spread between targets
+ * of one version.
  */
 const SLOW_FACTOR = 2.2;
 
-/** First bucket of slow answers; undefined where nothing in force answered lately. */
+/** Returns the first bucket of slow answers; undefined if the baseline has no recent answers. */
 export function findSlowBucket(baseline: OutcomeCounts): number | undefined {
   const quantile = findQuantileBucket(baseline, BASE_QUANTILE);
   return quantile === undefined ? undefined : quantile + bucketsForFactor(SLOW_FACTOR);
@@ -40,12 +45,12 @@
   trials: number;
 }
 
-/** Failures among the answers. */
+/** Returns the failures among all answers. */
 export function failureProportion({ good, bad }: OutcomeCounts): Proportion {
   return { events: bad, trials: good + bad };
 }
 
-/** Slow answers among the good ones. */
+/** Returns the slow answers among the good ones. */
 export function slowProportion({ times }: OutcomeCounts, slowBucket: number): Proportion {
   return { events: countTimes(times, slowBucket), trials: countTimes(times) };
 }
--- a/packages/judge-version/src/sequential-test.ts
+++ b/packages/judge-version/src/sequential-test.ts
@@ -1,7 +1,6 @@
 /**
- * A sequential probability ratio test that begins anew whenever the version looks like
- * the one in force: a version that turns bad late is found as soon as one that was bad
- * from the start.
+ * Sequential probability logRatio test that restarts whenever the version looks like the baseline, so
+ * that a version that turns bad late is found as quickly as one that is bad from the start.
  */
 import {
   findSlowBucket,
@@ -13,24 +12,24 @@
   type RouteTest,
 } from './route-test.js';
 
-/** Least rise of the part of bad answers that is looked for; smaller ones callers hardly notice. */
+/** Increase of the share of bad answers to detect; callers hardly notice smaller ones. */
 const MIN_INCREASE = 0.15;
-/** A bad version has at least this many times the bad answers of the one in force. */
+/** A bad version has at least this many times the baseline's share of bad answers. */
 const MIN_INCREASE_FACTOR = 2.2;
-/** Rates nearer to 0 or 1 would let a single answer decide. */
+/** Limits on rates, so that a single answer never decides. */
 const MIN_RATE = 0.02;
 const MAX_RATE = 0.9;
+/** Log-likelihood logRatio of bad against good at which the version is bad. */
+const MIN_LOG_LIKELIHOOD_RATIO = 8;
 /**
- * Logarithm of how many times likelier a bad version has to be than a good one. The
- * table of `docs/design/06-roll-outs.md` says what it costs and what it brings.
+ * Standard errors added to the baseline's rate, so that few answers do not give a low rate by
+ * chance.
  */
-const MIN_LOG_LIKELIHOOD_RATIO = 8;
-/** Added to a rate of few answers in force, as standard errors, so that chance makes no low rate. */
 const BASELINE_MARGIN = 1;
 
-/** Judges one route. */
+/** Judges one route by a sequential test. */
 export default class SequentialTest implements RouteTest {
-  private readonly ratios: Record<BadVersionCause, number> = { failures: 0, times: 0 };
+  private readonly logRatios: Record<BadVersionCause, number> = { failures: 0, times: 0 };
 
   evaluate({ fresh, baseline }: RouteSample): BadVersionCause | undefined {
     this.add('failures', failureProportion(fresh), failureProportion(baseline));
@@ -39,20 +38,20 @@
       this.add('times', slowProportion(fresh, slowBucket), slowProportion(baseline, slowBucket));
     }
     return (['failures', 'times'] as const).find(
-      (cause) => this.ratios[cause] >= MIN_LOG_LIKELIHOOD_RATIO,
+      (cause) => this.logRatios[cause] >= MIN_LOG_LIKELIHOOD_RATIO,
     );
   }
 
-  private add(cause: BadVersionCause, { events, trials }: Proportion, inForce: Proportion): void {
-    const good = clamp(readCautiousRate(inForce));
+  private add(cause: BadVersionCause, { events, trials }: Proportion, baseline: Proportion): void {
+    const good = clamp(upperBaselineRate(baseline));
     const bad = clamp(Math.max(good * MIN_INCREASE_FACTOR, good + MIN_INCREASE));
-    const ratio =
+    const logRatio =
       events * Math.log(bad / good) + (trials - events) * Math.log((1 - bad) / (1 - good));
-    this.ratios[cause] = Math.max(0, this.ratios[cause] + ratio);
+    this.logRatios[cause] = Math.max(0, this.logRatios[cause] + logRatio);
   }
 }
 
-function readCautiousRate({ events, trials }: Proportion): number {
+function upperBaselineRate({ events, trials }: Proportion): number {
   const rate = (events + 1) / (trials + 2);
   return rate + BASELINE_MARGIN * Math.sqrt((rate * (1 - rate)) / (trials + 2));
 }
--- a/packages/judge-version/src/version-judge.ts
+++ b/packages/judge-version/src/version-judge.ts
@@ -1,18 +1,23 @@
 /**
- * The verdict on a version under trial, route by route beside the versions in force. A
- * service may fail a part of its calls on a plain day, so nothing absolute is asked.
+ * Judges a version under trial on each route by comparison with the active versions, because a
+ * service may regularly fail a share of its calls.
  */
 import type { Millis } from '@limelead/types';
 import type { BadVersionCause, RouteTest } from './route-test.js';
 import SequentialTest from './sequential-test.js';
-import { addCounts, createCounts, type RouteOutcomeCounts, type OutcomeCounts } from './outcome-counts.js';
+import {
+  addCounts,
+  createCounts,
+  type RouteOutcomeCounts,
+  type OutcomeCounts,
+} from './outcome-counts.js';
 
-/** Time after which an answer counts half: long enough for samples, short beside an incident. */
+/** Time after which a baseline answer counts half. */
 const HALF_LIFE_MS = 10_000;
-/** Answers in force that a comparison needs; without them nothing is judged yet. */
+/** Minimum number of baseline answers for a comparison. */
 const MIN_BASELINE_ANSWERS = 20;
 
-/** Why a version is bad, with what the verdict rests on. */
+/** Reason why a version is bad and the counts that support it. */
 export interface BadVersionVerdict {
   cause: BadVersionCause;
   route: string;
@@ -23,64 +28,66 @@
 
 interface RouteState {
   test: RouteTest;
-  /** Sums at the last look. */
-  seen: Record<'trial' | 'force', OutcomeCounts>;
-  /** What was in force lately; older answers count less. */
+  /** Counts at the last evaluation. */
+  seen: Record<'trial' | 'active', OutcomeCounts>;
+  /** Recent outcomes of the active versions; older answers count less. */
   baseline: OutcomeCounts;
-  /** What the version under trial brought and nothing was there to compare with. */
+  /** Outcomes of the version under trial that are not yet compared. */
   fresh: OutcomeCounts;
 }
 
 /** Judges one version. */
 export default class VersionJudge {
   private readonly routes = new Map<string, RouteState>();
-  private lookedAtMs: Millis | undefined;
+  private evaluatedAtMs: Millis | undefined;
 
   constructor(private readonly createTest: () => RouteTest = () => new SequentialTest()) {}
 
-  /** Looks at sums that have grown since the last look; gives the verdict where it is bad. */
-  evaluate(now: Millis, sums: readonly RouteOutcomeCounts[]): BadVersionVerdict | undefined {
-    const kept = 0.5 ** ((now - (this.lookedAtMs ?? now)) / HALF_LIFE_MS);
-    this.lookedAtMs = now;
+  /**
+   * Evaluates counts that have grown since the last call. Returns a verdict if the version is bad.
+   */
+  evaluate(now: Millis, counts: readonly RouteOutcomeCounts[]): BadVersionVerdict | undefined {
+    const decayFactor = 0.5 ** ((now - (this.evaluatedAtMs ?? now)) / HALF_LIFE_MS);
+    this.evaluatedAtMs = now;
     const byRoute = new Map<string, RouteOutcomeCounts[]>();
-    for (const entry of sums) {
+    for (const entry of counts) {
       byRoute.set(entry.route, [...(byRoute.get(entry.route) ?? []), entry]);
     }
     return [...byRoute]
-      .map(([route, entries]) => this.lookAt(route, entries, kept))
+      .map(([route, entries]) => this.evaluateRoute(route, entries, decayFactor))
       .find((verdict) => verdict !== undefined);
   }
 
-  private lookAt(
+  private evaluateRoute(
     route: string,
     entries: RouteOutcomeCounts[],
-    kept: number,
+    decayFactor: number,
   ): BadVersionVerdict | undefined {
-    const state = this.stateOf(route);
-    const force = toSums(entries.filter(({ isTrial }) => !isTrial));
-    const trial = toSums(entries.filter(({ isTrial }) => isTrial));
-    const forceGrowth = takeGrowth(state.seen.force, force);
-    // Without new answers in force the last ones stay what the trial is compared with.
-    const decay = forceGrowth.good + forceGrowth.bad > 0 ? kept : 1;
-    state.baseline = combine(state.baseline, forceGrowth, decay);
+    const state = this.getState(route);
+    const active = toCounts(entries.filter(({ isTrial }) => !isTrial));
+    const trial = toCounts(entries.filter(({ isTrial }) => isTrial));
+    const activeGrowth = takeGrowth(state.seen.active, active);
+    // Without new baseline answers the last ones stay the basis of comparison.
+    const decay = activeGrowth.good + activeGrowth.bad > 0 ? decayFactor : 1;
+    state.baseline = combine(state.baseline, activeGrowth, decay);
     state.fresh = combine(state.fresh, takeGrowth(state.seen.trial, trial), 1);
     if (state.baseline.good + state.baseline.bad < MIN_BASELINE_ANSWERS) {
       return undefined;
     }
     const { fresh, baseline } = state;
     state.fresh = createCounts();
-    const cause = state.test.evaluate({ fresh, baseline, decayFactor: kept });
+    const cause = state.test.evaluate({ fresh, baseline, decayFactor: decayFactor });
     return cause && { cause, route, good: trial.good, bad: trial.bad };
   }
 
-  private stateOf(route: string): RouteState {
+  private getState(route: string): RouteState {
     const known = this.routes.get(route);
     if (known !== undefined) {
       return known;
     }
     const state: RouteState = {
       test: this.createTest(),
-      seen: { trial: createCounts(), force: createCounts() },
+      seen: { trial: createCounts(), active: createCounts() },
       baseline: createCounts(),
       fresh: createCounts(),
     };
@@ -89,13 +96,13 @@
   }
 }
 
-function toSums(entries: RouteOutcomeCounts[]): OutcomeCounts {
-  const sums = createCounts();
-  entries.forEach((entry) => addCounts(sums, entry));
-  return sums;
+function toCounts(entries: RouteOutcomeCounts[]): OutcomeCounts {
+  const counts = createCounts();
+  entries.forEach((entry) => addCounts(counts, entry));
+  return counts;
 }
 
-/** What came since the last look; sums of another source that knows less give nothing. */
+/** Returns the growth since the last evaluation; counts lower than those seen give none. */
 function takeGrowth(seen: OutcomeCounts, now: OutcomeCounts): OutcomeCounts {
   const growth = {
     good: Math.max(0, now.good - seen.good),
@@ -108,10 +115,10 @@
   return growth;
 }
 
-function combine(older: OutcomeCounts, fresh: OutcomeCounts, kept: number): OutcomeCounts {
+function combine(older: OutcomeCounts, fresh: OutcomeCounts, decayFactor: number): OutcomeCounts {
   return {
-    good: older.good * kept + fresh.good,
-    bad: older.bad * kept + fresh.bad,
-    times: older.times.map((answers, bucket) => answers * kept + (fresh.times[bucket] ?? 0)),
+    good: older.good * decayFactor + fresh.good,
+    bad: older.bad * decayFactor + fresh.bad,
+    times: older.times.map((answers, bucket) => answers * decayFactor + (fresh.times[bucket] ?? 0)),
   };
 }
--- a/packages/run-roll-outs/bin/draw.js
+++ b/packages/run-roll-outs/bin/draw.js
@@ -1,6 +1,6 @@
 /**
- * Makes the design note's table and figure of what `prove.js` printed.
- * usage: node bin/draw.js LINES.jsonl FIGURE.svg > TABLE.md
+ * Draws the design note's table and figure from the output of `prove.js`.
+ * Usage: node bin/draw.js LINES.jsonl FIGURE.svg > TABLE.md
  */
 import { readFileSync, writeFileSync } from 'node:fs';
 
@@ -13,8 +13,8 @@
 const BAR_HEIGHT = 12;
 const LEFT = 260;
 const WIDTH = 760;
-/** Requests at the right edge of the figure: a little more than the bound of any run. */
-const MOST = 560;
+/** Requests at the right edge of the figure. */
+const MAX_REQUESTS = 560;
 const COLOURS = { sequential: '#2b6cb0', proportions: '#c05621' };
 
 const columns = [
@@ -40,7 +40,7 @@
 process.stdout.write(toRow(columns.map(() => '---')));
 rows.forEach((row) => process.stdout.write(toRow(columns.map(([, read]) => read(row)))));
 
-const scale = (requests) => (requests / MOST) * (WIDTH - LEFT - 10);
+const scale = (requests) => (requests / MAX_REQUESTS) * (WIDTH - LEFT - 10);
 const bad = rows.filter(({ kind }) => kind !== 'good');
 const bars = bad.map(({ way, vms, kind, exposed, mostExposed }, index) => {
   const y = 40 + index * (BAR_HEIGHT + 4);
--- a/packages/run-roll-outs/bin/prove.js
+++ b/packages/run-roll-outs/bin/prove.js
@@ -1,20 +1,20 @@
 /**
- * Plays seeded roll-outs: usage: node bin/prove.js VMS RUNS [sequential|proportions|ignore]
- * Prints a row of the design note's table for each kind of version.
+ * Simulates seeded roll-outs and prints a JSON line of results for each kind of version.
+ * Usage: node bin/prove.js VMS RUNS [sequential|proportions|ignore] [KIND]
  */
 import { ProportionTest, SequentialTest } from '@limelead/judge-version';
-import { BAD_KINDS, findBreaches, playRollOut } from '../dist/fleet.fixture.js';
+import { BAD_KINDS, findViolations, simulateRollOut } from '../dist/fleet.fixture.js';
 
-const [vms = '3', runs = '20', way = 'sequential', only] = process.argv.slice(2);
+const [vms = '3', runs = '20', method = 'sequential', only] = process.argv.slice(2);
 const tests = {
   sequential: () => new SequentialTest(),
   proportions: () => new ProportionTest(),
-  ignore: () => ({ take: () => undefined }),
+  ignore: () => ({ evaluate: () => undefined }),
 };
 
 for (const kind of ['good', ...BAD_KINDS].filter((name) => only === undefined || name === only)) {
   const results = [];
-  const broken = {};
+  const violations = {};
   for (let seed = 1; seed <= Number(runs); seed += 1) {
     const plan = {
       seed: seed * 7919,
@@ -22,19 +22,19 @@
       kind,
       durationMs: 60_000,
       hasFaults: true,
-      createTest: tests[way],
+      createTest: tests[method],
     };
-    const result = await playRollOut(plan);
+    const result = await simulateRollOut(plan);
     results.push(result);
-    for (const name of findBreaches(plan, result)) {
-      broken[name] = (broken[name] ?? 0) + 1;
+    for (const name of findViolations(plan, result)) {
+      violations[name] = (violations[name] ?? 0) + 1;
     }
   }
   const sorted = (read) => results.map(read).sort((a, b) => a - b);
   const median = (read) => sorted(read)[Math.floor(results.length / 2)];
   process.stdout.write(
     `${JSON.stringify({
-      way,
+      way: method,
       vms: Number(vms),
       kind,
       runs: results.length,
@@ -44,7 +44,7 @@
       requests: median(({ requests }) => requests),
       leftAfterFirstMs: median(({ leftAfterFirstMs }) => leftAfterFirstMs),
       mostLeftAfterManyMs: sorted(({ leftAfterManyMs }) => leftAfterManyMs).at(-1),
-      broken,
+      broken: violations,
     })}\n`,
   );
 }
--- a/packages/run-roll-outs/src/fleet.fixture.ts
+++ b/packages/run-roll-outs/src/fleet.fixture.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet on a clock of its own: the decision code of every VM, targets of two versions,
- * a store and messages that fail as the seed says. It plays one order to its deadline.
+ * Simulates a fleet on a manual clock: the decision code of every VM, targets of two versions, a
+ * store and messages that fail by a seeded random. It runs one order to its deadline.
  */
 import { PortFault } from '@limelead/errors';
 import type { RouteTest } from '@limelead/judge-version';
@@ -17,8 +17,8 @@
 const REQUESTS_PER_SECOND = 80;
 const TARGETS_PER_VERSION = 6;
 const SERVICE = 'answers';
-/** Bad answers after which a version has to be left within a bound. */
-const MANY_BAD = 50;
+/** Number of bad answers after which a version must receive no requests within `rollBackMs`. */
+const MANY_BAD_ANSWERS = 50;
 const ROUTES = [
   { route: 'often', weight: 0.5, medianMs: 80, failures: 0.01 },
   { route: 'failing', weight: 0.35, medianMs: 200, failures: 0.1 },
@@ -30,7 +30,7 @@
 export const BAD_KINDS = ['at-once', 'later', 'under-load', 'one-route', 'slow'] as const;
 export type VersionKind = 'good' | (typeof BAD_KINDS)[number];
 
-/** What one run is made of. */
+/** Parameters of one simulation. */
 export interface SimulationPlan {
   seed: number;
   vms: number;
@@ -40,23 +40,29 @@
   createTest?: () => RouteTest;
 }
 
-/** What one run showed. */
+/** Result of one simulation. */
 export interface SimulationResult {
-  /** States in the order in which the store took them. */
+  /** States in the order in which they were stored. */
   states: RollOutState[];
-  /** Sends to the version, and to the service, of VMs in touch up to the deadline. */
+  /**
+   * Attempts at the version by VMs that are up to date, and all requests to the service, up to the
+   * deadline.
+   */
   exposed: number;
   requests: number;
-  /** Time from the first bad answer, and from the 50th, to the last send; 0 where there was none. */
+  /**
+   * Time from the first and from the 50th bad answer to the last attempt at the version; 0 if there
+   * was none.
+   */
   leftAfterFirstMs: Millis;
   leftAfterManyMs: Millis;
-  /** Requests under way at replaced targets as the move was completed. */
+  /** Requests in flight at replaced targets when the move was completed. */
   cutByCompletion: number;
-  /** Whether every VM alive and in touch agreed in the end. */
+  /** Whether all stored final states agree. */
   isAgreed: boolean;
 }
 
-/** Numbers in [0, 1) from a seed. */
+/** Creates a seeded random number generator for [0, 1). */
 export function createRandom(seed: number): Random {
   let state = seed >>> 0;
   return {
@@ -72,9 +78,9 @@
 interface Vm {
   rollOuts: RollOutController;
   incarnation: string;
-  /** A VM takes no requests before it knows its targets. */
+  /** A VM accepts no requests before it knows its targets. */
   isReady: boolean;
-  cutUntilMs: Millis;
+  isolatedUntilMs: Millis;
   inFlight: Map<string, number>;
 }
 
@@ -83,19 +89,19 @@
   run: () => void;
 }
 
-class Fleet {
+class FleetSimulation {
   private now: Millis = 0;
   private readonly random: Random;
   private readonly vms: Vm[] = [];
   private events: Event[] = [];
   private readonly items = new Map<string, StoreEntry>();
   private revision = 10;
-  private darkFromMs = Infinity;
-  private darkUntilMs = Infinity;
+  private storeDownFromMs = Infinity;
+  private storeDownUntilMs = Infinity;
   private incarnations = 0;
-  private sentToNew: Millis[] = [];
+  private newVersionAttemptsAtMs: Millis[] = [];
   private badAtMs: Millis[] = [];
-  /** When the version's badness first showed; plain failures left out. */
+  /** When the version's fault first showed; ordinary failures are not counted. */
   private firstBadAtMs: Millis | undefined;
   private readonly result: SimulationResult = {
     states: [],
@@ -106,13 +112,13 @@
     cutByCompletion: 0,
     isAgreed: true,
   };
-  private readonly standing: StoredOrder;
+  private readonly storedOrder: StoredOrder;
   private readonly targets: ServiceTarget[];
 
   constructor(private readonly plan: SimulationPlan) {
     this.random = createRandom(plan.seed);
     const order = { service: SERVICE, version: 'v2', durationMs: plan.durationMs };
-    this.standing = { order, revision: 5 };
+    this.storedOrder = { order, revision: 5 };
     this.targets = ['v1', 'v2'].flatMap((version) =>
       Array.from({ length: TARGETS_PER_VERSION }, (_, index) => createTarget(version, index)),
     );
@@ -120,7 +126,7 @@
       this.vms.push(this.createVm(index));
     }
     if (plan.hasFaults) {
-      this.planFaults();
+      this.scheduleFaults();
     }
   }
 
@@ -135,19 +141,19 @@
       this.sendRequests();
       this.vms.forEach((vm, index) => {
         if ((tick + index) % ROUND_TICKS === 0) {
-          this.tellKnowledge(vm);
+          this.sendSnapshot(vm);
           vm.rollOuts.runRound();
         }
       });
-      // Writes are promises; they end within the tick.
+      // Writes are promises that resolve within the tick.
       await new Promise((resolve) => setImmediate(resolve));
       this.now += TICK_MS;
     }
-    return this.conclude();
+    return this.finish();
   }
 
-  private get isDark(): boolean {
-    return this.now >= this.darkFromMs && this.now < this.darkUntilMs;
+  private get isStoreDown(): boolean {
+    return this.now >= this.storeDownFromMs && this.now < this.storeDownUntilMs;
   }
 
   private createVm(index: number): Vm {
@@ -155,10 +161,10 @@
     const incarnation = `${index}/${this.incarnations}`;
     const clock = { now: () => this.now };
     const log = { write: () => undefined, dropped: 0, flush: async () => undefined };
-    const isCut = (): boolean => this.now < vm.cutUntilMs;
-    const gatherers = Math.min(this.plan.vms, 2);
+    const isIsolated = (): boolean => this.now < vm.isolatedUntilMs;
+    const aggregatorCount = Math.min(this.plan.vms, 2);
     const deliver = (to: Vm, run: (receiver: RollOutController) => void): void => {
-      const isLost = isCut() || this.now < to.cutUntilMs || this.random.next() < 0.02;
+      const isLost = isIsolated() || this.now < to.isolatedUntilMs || this.random.next() < 0.02;
       if (!isLost) {
         this.at(TICK_MS, () => run(to.rollOuts));
       }
@@ -166,7 +172,7 @@
     const vm: Vm = {
       incarnation,
       isReady: false,
-      cutUntilMs: 0,
+      isolatedUntilMs: 0,
       inFlight: new Map(),
       rollOuts: new RollOutController({
         clock,
@@ -176,9 +182,11 @@
         bounds: BOUNDS,
         incarnation,
         writer: new StepWriter({
-          store: this.createStore(isCut),
+          store: this.createStore(isIsolated),
           log,
-          duty: { permit: () => (index < gatherers ? { token: 1, heldSinceMs: 0 } : undefined) },
+          duty: {
+            permit: () => (index < aggregatorCount ? { token: 1, heldSinceMs: 0 } : undefined),
+          },
           composeState: (service, state) => ({
             key: `status/${service}`,
             value: Buffer.from(state),
@@ -190,49 +198,51 @@
         isSuspected: () => false,
         countVms: () => this.plan.vms,
         countReportingVms: () => this.plan.vms,
-        isUpToDate: () => !isCut() && !this.isDark,
-        isAggregator: () => index < gatherers,
+        isUpToDate: () => !isIsolated() && !this.isStoreDown,
+        isAggregator: () => index < aggregatorCount,
         sendToAggregators: (evidence) =>
           this.vms
-            .slice(0, gatherers)
+            .slice(0, aggregatorCount)
             .filter((peer) => peer !== vm)
             .forEach((peer) => deliver(peer, (to) => to.onEvidence(incarnation, evidence))),
-        broadcast: (gathered) =>
+        broadcast: (aggregated) =>
           this.vms
             .filter((peer) => peer !== vm)
-            .forEach((peer) => deliver(peer, (to) => to.onAggregatedEvidence(gathered))),
+            .forEach((peer) => deliver(peer, (to) => to.onAggregatedEvidence(aggregated))),
         createTest: this.plan.createTest,
       }),
     };
     return vm;
   }
 
-  /** A gatherer and another VM are killed, the store goes dark, a VM is cut off. */
-  private planFaults(): void {
+  /**
+   * Kills an aggregator and another VM, makes the store unreachable for a while and isolates a VM.
+   */
+  private scheduleFaults(): void {
     const { durationMs, vms } = this.plan;
     const anyTime = (): Millis => this.random.next() * durationMs;
     for (const index of [0, Math.floor(this.random.next() * vms)]) {
       this.at(anyTime(), () => {
         const restarted = this.createVm(index);
         this.vms[index] = restarted;
-        this.tellKnowledge(restarted);
+        this.sendSnapshot(restarted);
       });
     }
-    this.darkFromMs = anyTime() * 0.8;
-    this.darkUntilMs = this.darkFromMs + 2_000;
+    this.storeDownFromMs = anyTime() * 0.8;
+    this.storeDownUntilMs = this.storeDownFromMs + 2_000;
     this.at(anyTime(), () => {
       const cut = this.vms[Math.floor(this.random.next() * vms)];
       if (cut !== undefined) {
-        cut.cutUntilMs = this.now + 4_000;
+        cut.isolatedUntilMs = this.now + 4_000;
       }
     });
   }
 
-  private createStore(isCut: () => boolean): ConditionalStore {
+  private createStore(isIsolated: () => boolean): ConditionalStore {
     const call =
       <Value>(run: () => Value): PortCall<Value> =>
       async () => {
-        if (this.isDark || isCut()) {
+        if (this.isStoreDown || isIsolated()) {
           return E.left(new PortFault('unreachable', 'no', 'dark'));
         }
         const value = run();
@@ -253,7 +263,7 @@
           for (const write of writes) {
             if (write.kind === 'put') {
               this.items.set(write.key, { ...write, revision: this.revision });
-              this.noteState(write.key, write.value.toString());
+              this.recordState(write.key, write.value.toString());
             }
           }
           return { kind: 'written' as const, revision: this.revision };
@@ -264,30 +274,30 @@
     };
   }
 
-  private noteState(key: string, value: string): void {
+  private recordState(key: string, value: string): void {
     if (!key.startsWith('status/')) {
       return;
     }
     this.result.states.push(value as RollOutState);
     if (value === 'completed') {
       this.result.cutByCompletion = this.vms
-        .filter(({ cutUntilMs }) => cutUntilMs <= this.now)
+        .filter(({ isolatedUntilMs }) => isolatedUntilMs <= this.now)
         .flatMap(({ inFlight }) => [...inFlight])
         .filter(([id]) => id.startsWith('v1'))
         .reduce((sum, [, requests]) => sum + requests, 0);
     }
   }
 
-  private tellKnowledge(vm: Vm): void {
-    const { rollOuts, cutUntilMs } = vm;
-    if (this.isDark || this.now < cutUntilMs) {
+  private sendSnapshot(vm: Vm): void {
+    const { rollOuts, isolatedUntilMs } = vm;
+    if (this.isStoreDown || this.now < isolatedUntilMs) {
       return;
     }
     vm.isReady = true;
     const item = this.items.get(stepKey(SERVICE));
     const agreed = item && decodeStep(item.value);
     rollOuts.onSnapshot({
-      orders: [this.standing],
+      orders: [this.storedOrder],
       steps: new Map(agreed ? [[SERVICE, agreed]] : []),
       targets: this.targets,
     });
@@ -316,13 +326,13 @@
     vm.rollOuts.recordAttempt(target);
     vm.inFlight.set(target.id, (vm.inFlight.get(target.id) ?? 0) + 1);
     const isTrial = target.version === 'v2';
-    const isInTouch = this.now >= vm.cutUntilMs && !this.isDark;
+    const isUpToDate = this.now >= vm.isolatedUntilMs && !this.isStoreDown;
     this.result.requests += 1;
     if (isTrial) {
-      this.sentToNew.push(this.now);
-      this.result.exposed += isInTouch ? 1 : 0;
+      this.newVersionAttemptsAtMs.push(this.now);
+      this.result.exposed += isUpToDate ? 1 : 0;
     }
-    const { isBad, factor } = isTrial ? this.drawBadness(route) : { isBad: false, factor: 1 };
+    const { isBad, factor } = isTrial ? this.drawFault(route) : { isBad: false, factor: 1 };
     const isGood = !isBad && this.random.next() >= route.failures;
     const spread = 1 + this.random.next() * this.random.next() * 1.5;
     const afterMs = isBad ? 5 : route.medianMs * spread * factor;
@@ -339,11 +349,11 @@
     });
   }
 
-  private drawBadness({ route }: Route): { isBad: boolean; factor: number } {
+  private drawFault({ route }: Route): { isBad: boolean; factor: number } {
     const { kind, durationMs } = this.plan;
     const draws = (part: number): boolean => this.random.next() < part;
-    const since = this.sentToNew.findLastIndex((atMs) => atMs < this.now - 1_000);
-    const lately = this.sentToNew.length - 1 - since;
+    const since = this.newVersionAttemptsAtMs.findLastIndex((atMs) => atMs < this.now - 1_000);
+    const lately = this.newVersionAttemptsAtMs.length - 1 - since;
     const fails =
       (kind === 'at-once' && draws(0.35)) ||
       (kind === 'later' && this.now > durationMs * 0.4 && draws(0.35)) ||
@@ -373,35 +383,35 @@
     due.forEach(({ run }) => run());
   }
 
-  private conclude(): SimulationResult {
-    const last = this.sentToNew.at(-1) ?? 0;
+  private finish(): SimulationResult {
+    const last = this.newVersionAttemptsAtMs.at(-1) ?? 0;
     const after = (atMs = Infinity): Millis => Math.max(0, last - atMs);
     this.result.leftAfterFirstMs = after(this.firstBadAtMs);
-    this.result.leftAfterManyMs = after(this.badAtMs[MANY_BAD - 1]);
+    this.result.leftAfterManyMs = after(this.badAtMs[MANY_BAD_ANSWERS - 1]);
     this.result.isAgreed =
       new Set(this.result.states.filter((state) => state !== 'running')).size <= 1;
     return this.result;
   }
 }
 
-/** Plays one order. */
+/** Simulates one order. */
 export function simulateRollOut(plan: SimulationPlan): Promise<SimulationResult> {
-  return new Fleet(plan).play();
+  return new FleetSimulation(plan).play();
 }
 
-/** The rules that a run broke. */
+/** Returns the rules that a simulation violated. */
 export function findViolations({ kind }: SimulationPlan, result: SimulationResult): string[] {
   const { exposed, requests, states, leftAfterManyMs, cutByCompletion, isAgreed } = result;
   const isBad = kind !== 'good';
-  const wanted = isBad ? 'rolled_back' : 'completed';
-  const breaches = {
+  const expected = isBad ? 'rolled_back' : 'completed';
+  const violations = {
     exposure: isBad && exposed > BOUNDS.exposureShare * requests + BOUNDS.exposureSlack,
     'left late': isBad && leftAfterManyMs > BOUNDS.rollBackMs,
-    duty: states.at(-1) !== wanted,
+    duty: states.at(-1) !== expected,
     'two final states': !isAgreed,
     'cut by completion': cutByCompletion > 0,
   };
-  return Object.entries(breaches).flatMap(([name, isBroken]) => (isBroken ? [name] : []));
+  return Object.entries(violations).flatMap(([name, isViolated]) => (isViolated ? [name] : []));
 }
 
 function createTarget(version: string, index: number): ServiceTarget {
--- a/packages/run-roll-outs/src/index.ts
+++ b/packages/run-roll-outs/src/index.ts
@@ -1,21 +1,21 @@
-/** Moves the traffic of a service to another version, or back, and writes what became of it. */
+/** Gradual roll-outs: moves traffic of a service to a new version and rolls back a bad one. */
 export { default as RollOutController } from './roll-out-controller.js';
 export type {
-  EndedAttempt as EndedSend,
-  RollOutSnapshot as RollOutKnowledge,
-  RollOutControllerOptions as RollOutsOptions,
+  EndedAttempt,
+  RollOutSnapshot,
+  RollOutControllerOptions,
   TargetGroups,
-  TargetUsage as TargetInUse,
+  TargetUsage,
 } from './roll-out-controller.js';
-export { EVIDENCE_TTL_SHARE as HEARD_PART } from './version-trial.js';
-export { decodeStep as readStep, STEP_KEY_PREFIX as STEP_KEYS } from './step-item.js';
+export { EVIDENCE_TTL_SHARE } from './version-trial.js';
+export { decodeStep, STEP_KEY_PREFIX } from './step-item.js';
 export { default as StepWriter, type StateItem, type StepWriterOptions } from './step-writer.js';
 export type {
   AgreedStep,
-  AggregatedEvidence as GatheredEvidence,
+  AggregatedEvidence,
   RollOutBounds,
   RollOutState,
   RollOutStep,
-  StoredOrder as StandingOrder,
+  StoredOrder,
   VmEvidence,
 } from './types.js';
--- a/packages/run-roll-outs/src/plan-step.ts
+++ b/packages/run-roll-outs/src/plan-step.ts
@@ -1,87 +1,94 @@
-/** Pure decision: the next step of a roll-out. */
+/** Decides the next step of a roll-out; free of side effects. */
 import type { Millis } from '@limelead/types';
 import type { OrderFault } from './validate-order.js';
 import type { RollOutStep } from './types.js';
 
-/** Part of an order's time that is kept for moving the traffic and ending what is under way. */
+/** Share of an order's duration reserved for moving traffic and completing requests in flight. */
 const MOVE_SHARE = 0.35;
-/** Longest time kept for it: the users' longest streams and calls end within it. */
+/** Upper limit of that time; long enough for long streams and calls to finish. */
 const MAX_MOVE_MS = 30_000;
-/** Part of an order's time that is kept for writing the state, and the most of it. */
+/** Share of an order's duration reserved for writing the state, and its upper limit. */
 const RESERVE_SHARE = 0.1;
 const MAX_RESERVE_MS = 3_000;
 /**
- * Time in which the traffic goes over, from the trial's share to all of it: a version
- * that fails under load shows it before it has everything.
+ * Maximum time for ramping traffic from the trial's share to all of it, so that a version that
+ * fails under load shows it early.
  */
 const MAX_RAMP_MS = 4_000;
-/** Parts of a short order's time that ramp and watch take instead. */
+/** Shares of the duration used for ramp and observation in short orders. */
 const RAMP_SHARE = 0.1;
 const OBSERVATION_SHARE = 0.05;
-/** Time at full traffic before a move may be completed: two exchanges of evidence and a look. */
+/**
+ * Maximum observation time at full traffic before completion; covers two exchanges of evidence and
+ * an evaluation.
+ */
 const MAX_OBSERVATION_MS = 3_000;
-/** Answers of the version under trial without which it is not moved to. */
+/** Number of answers required before traffic moves to the version under trial. */
 const MIN_ANSWERS = 30;
 
-/** What is known of a roll-out. */
+/** Inputs of the decision. */
 export interface StepInputs {
-  /** The step that stands; undefined before the first. */
+  /** The current step; undefined before the first. */
   step?: RollOutStep;
   fault?: OrderFault;
   durationMs: Millis;
-  /** Time since the order was seen. */
+  /** Time since the order was first seen. */
   ageMs: Millis;
-  /** Time since the move was agreed; 0 before. */
+  /** Time since the move was agreed; 0 before that. */
   movingForMs: Millis;
   isOrdered: boolean;
   isBad: boolean;
-  /** Whether every target of the service already has the version. */
+  /** Whether every target of the service already runs the version. */
   isAlreadyActive: boolean;
-  /** Targets of the version that take work. */
+  /** Targets of the version that accept requests. */
   targetCount: number;
   /** Answers of the version so far. */
   answers: number;
-  /** Whether no VM has anything under way at replaced targets, nor sends there. */
+  /** Whether no VM has requests in flight at replaced targets or sends new ones there. */
   isDrained: boolean;
 }
 
-/** A step to take, and why. */
+/** A step to take and its reason. */
 export interface NextStep {
   step: RollOutStep;
   reason: string;
 }
 
-/** When the traffic begins to move, as time since the order. */
+/** Returns when traffic starts to move, as time since the order. */
 export function moveStartMs(durationMs: Millis): Millis {
   return durationMs - Math.min(MAX_MOVE_MS, durationMs * MOVE_SHARE);
 }
 
 /**
- * The part of the requests that goes to the version while traffic moves.
- * @param from the part at the move's begin
+ * Returns the share of requests that go to the new version while traffic moves.
+ * @param initialShare share at the start of the move
  */
-export function trafficShare(movedForMs: Millis, durationMs: Millis, from: number): number {
-  return Math.min(1, from + (1 - from) * (movedForMs / rampMs(durationMs)));
+export function trafficShare(
+  movingForMs: Millis,
+  durationMs: Millis,
+  initialShare: number,
+): number {
+  return Math.min(1, initialShare + (1 - initialShare) * (movingForMs / rampMs(durationMs)));
 }
 
 function rampMs(durationMs: Millis): Millis {
   return Math.min(MAX_RAMP_MS, durationMs * RAMP_SHARE);
 }
 
-/** Least time from the agreed move to its completion. */
+/** Minimum time from the agreed move to its completion. */
 function minMoveMs(durationMs: Millis): Millis {
   return rampMs(durationMs) + Math.min(MAX_OBSERVATION_MS, durationMs * OBSERVATION_SHARE);
 }
 
-/** Gives the next step; undefined where the present one stays. */
-export default function planStep(facts: StepInputs): NextStep | undefined {
-  switch (facts.step) {
+/** Returns the next step; undefined to keep the current one. */
+export default function planStep(inputs: StepInputs): NextStep | undefined {
+  switch (inputs.step) {
     case undefined:
-      return planFirst(facts);
+      return planFirst(inputs);
     case 'trial':
-      return planRollBack(facts) ?? planMove(facts);
+      return planRollBack(inputs) ?? planMove(inputs);
     case 'move':
-      return planRollBack(facts) ?? planCompletion(facts);
+      return planRollBack(inputs) ?? planCompletion(inputs);
     default:
       return undefined;
   }
@@ -96,37 +103,37 @@
     : { step: 'trial', reason: 'ordered' };
 }
 
-function planRollBack({ isOrdered, isBad, step, ...facts }: StepInputs): NextStep | undefined {
+function planRollBack({ isOrdered, isBad, step, ...inputs }: StepInputs): NextStep | undefined {
   if (!isOrdered) {
     return { step: 'rolled_back', reason: 'order-deleted' };
   }
   if (isBad) {
     return { step: 'rolled_back', reason: 'bad-version' };
   }
-  const isLate = facts.ageMs >= decisionDeadlineMs(facts.durationMs);
+  const isLate = inputs.ageMs >= decisionDeadlineMs(inputs.durationMs);
   return isLate && step === 'trial'
-    ? { step: 'rolled_back', reason: facts.targetCount === 0 ? 'no-target' : 'too-few-answers' }
+    ? { step: 'rolled_back', reason: inputs.targetCount === 0 ? 'no-target' : 'too-few-answers' }
     : undefined;
 }
 
 function planMove({ ageMs, durationMs, answers, targetCount }: StepInputs): NextStep | undefined {
-  const isTime =
+  const isInWindow =
     ageMs >= moveStartMs(durationMs) &&
     ageMs + minMoveMs(durationMs) <= decisionDeadlineMs(durationMs);
-  const mayMove = isTime && answers >= MIN_ANSWERS && targetCount > 0;
-  return mayMove ? { step: 'move', reason: 'as-good-as-in-force' } : undefined;
+  const canMove = isInWindow && answers >= MIN_ANSWERS && targetCount > 0;
+  return canMove ? { step: 'move', reason: 'as-good-as-in-force' } : undefined;
 }
 
-function planCompletion(facts: StepInputs): NextStep | undefined {
-  if (facts.targetCount === 0) {
+function planCompletion(inputs: StepInputs): NextStep | undefined {
+  if (inputs.targetCount === 0) {
     return { step: 'rolled_back', reason: 'no-target' };
   }
-  const isWatched = facts.movingForMs >= minMoveMs(facts.durationMs);
-  if (facts.isDrained && isWatched) {
+  const isObserved = inputs.movingForMs >= minMoveMs(inputs.durationMs);
+  if (inputs.isDrained && isObserved) {
     return { step: 'completed', reason: 'moved' };
   }
-  // What is still under way at replaced targets goes on elsewhere, as after any loss.
-  return facts.ageMs >= decisionDeadlineMs(facts.durationMs) && isWatched
+  // Requests still in flight at replaced targets continue elsewhere, as after any target loss.
+  return inputs.ageMs >= decisionDeadlineMs(inputs.durationMs) && isObserved
     ? { step: 'completed', reason: 'time-is-over' }
     : undefined;
 }
--- a/packages/run-roll-outs/src/roll-out-controller.ts
+++ b/packages/run-roll-outs/src/roll-out-controller.ts
@@ -1,6 +1,6 @@
 /**
- * The roll-outs of all services on one VM: which targets a request may go to, what is
- * told to other VMs, and which step is written next.
+ * Runs the roll-outs of all services on one VM: selects targets, exchanges evidence with other VMs
+ * and writes the next steps.
  */
 import type { DecisionLog } from '@limelead/decision-log';
 import type { RouteTest } from '@limelead/judge-version';
@@ -20,20 +20,20 @@
   VmEvidence,
 } from './types.js';
 
-/** A target with the requests of this VM that are under way there. */
+/** A target and this VM's requests in flight there. */
 export interface TargetUsage {
   target: ServiceTarget;
   inFlight: number;
 }
 
-/** What is known of the store. */
+/** Stored orders, agreed steps by service, and targets, as last read. */
 export interface RollOutSnapshot {
   orders: readonly StoredOrder[];
   steps: ReadonlyMap<string, AgreedStep>;
   targets: readonly ServiceTarget[];
 }
 
-/** How a send ended. */
+/** Outcome of one attempt; `afterMs` is the time from sending to the outcome. */
 export interface EndedAttempt {
   route: string;
   target: ServiceTarget;
@@ -41,67 +41,72 @@
   afterMs: Millis;
 }
 
-/** What roll-outs need. */
+/** Dependencies and limits of the roll-out controller. */
 export interface RollOutControllerOptions {
   clock: Clock;
   random: Random;
   log: DecisionLog;
   metrics: Pick<Metrics, 'count'>;
   bounds: RollOutBounds;
-  /** Names this process among all that ever told evidence. */
+  /** Unique id of this process. */
   incarnation: string;
   writer: Pick<StepWriter, 'write'>;
   isService(name: string): boolean;
   listTargets(): readonly TargetUsage[];
-  /** Whether a target seems to be down. */
+  /** Whether a target is suspected to be down. */
   isSuspected(id: string): boolean;
-  /** VMs that share the slack, this one included. */
+  /** Number of VMs that share the slack, including this one. */
   countVms(): number;
-  /** VMs that tell evidence, this one included. */
+  /** Number of VMs that report evidence, including this one. */
   countReportingVms(): number;
-  /** Whether the store's news are young enough here to send to a version under trial. */
+  /** Whether this VM's data from the store and its peers is recent enough for trial requests. */
   isUpToDate(): boolean;
-  /** Whether this VM gathers evidence for all. */
+  /** Whether this VM aggregates the evidence of all VMs. */
   isAggregator(): boolean;
-  /** Tells those that gather; this VM itself is told directly. */
+  /**
+   * Sends evidence to the other aggregators; the controller passes it to this VM's own directly.
+   */
   sendToAggregators(evidence: VmEvidence): void;
-  broadcast(gathered: AggregatedEvidence): void;
+  broadcast(aggregated: AggregatedEvidence): void;
   createTest?: () => RouteTest;
 }
 
-/** Where a request may go: groups of targets, in the order in which they are tried. */
+/** Groups of targets that a request may use, in order of preference. */
 export type TargetGroups<Item> = readonly (readonly Item[])[];
 
-/** Follows all roll-outs. */
+/** Decides which versions receive requests and advances the roll-out of each service. */
 export default class RollOutController {
   private readonly versions: VersionTable;
-  /** By service. */
+  /** Trials by service. */
   private readonly trials = new Map<string, VersionTrial>();
   private readonly warmAtMs = new Map<string, Millis>();
-  private hasKnowledge = false;
+  private hasSnapshot = false;
 
   constructor(private readonly options: RollOutControllerOptions) {
     this.versions = new VersionTable(options.clock);
   }
 
-  /** Whether there is anything to do round by round. */
+  /** Whether any roll-out is unfinished, so that `runRound` has work. */
   get isActive(): boolean {
     return [...this.trials.values()].some(({ step }) => !isFinal(step));
   }
 
-  /** Takes what the store holds now. */
+  /** Applies the current orders, steps and targets from the store. */
   onSnapshot({ orders, steps, targets }: RollOutSnapshot): void {
     this.versions.update(targets, orders, steps);
-    this.noteWarming(targets);
-    orders.forEach((standing) => this.takeOrder(standing));
-    steps.forEach((agreed, service) => this.takeUnordered(service, agreed));
+    this.recordWarmUps(targets);
+    orders.forEach((storedOrder) => this.onOrder(storedOrder));
+    steps.forEach((agreed, service) => this.onStepWithoutOrder(service, agreed));
     for (const [service, trial] of this.trials) {
-      this.takeStep(service, trial, steps.get(service));
+      this.applyStep(service, trial, steps.get(service));
     }
-    this.hasKnowledge = true;
+    this.hasSnapshot = true;
   }
 
-  /** Orders the targets that a request may go to; the very array where all may be taken. */
+  /**
+   * Groups the targets that a request may use. Returns the given array itself if all targets are
+   * allowed.
+   */
   selectTargets<Item extends { target: ServiceTarget }>(
     service: string,
     items: readonly Item[],
@@ -110,56 +115,61 @@
     if (this.versions.get(service)?.hasSingleVersion ?? true) {
       return [items];
     }
-    const of = (use: string): Item[] =>
-      items.filter(({ target }) => this.versions.eligibilityOf(service, versionOf(target)) === use);
+    const of = (eligibility: string): Item[] =>
+      items.filter(
+        ({ target }) => this.versions.eligibilityOf(service, versionOf(target)) === eligibility,
+      );
     const trial = this.trials.get(service);
-    const inForce = of('in-force');
-    if (trial !== undefined && this.mustLeaveForce(trial, inForce)) {
+    const active = of('active');
+    if (trial !== undefined && this.mustAvoidReplaced(trial, active)) {
       return [of('under-trial')];
     }
     if (!isRepeat && trial?.shouldSendTrial(this.options.isUpToDate()) === true) {
-      return [of('under-trial'), inForce];
+      return [of('under-trial'), active];
     }
-    if (inForce.some(({ target }) => !this.options.isSuspected(target.id))) {
-      return [inForce];
+    if (active.some(({ target }) => !this.options.isSuspected(target.id))) {
+      return [active];
     }
-    // Better a version that nobody judged than none, but never one that is on order.
-    return [[...inForce, ...of('unordered')]];
+    // An unjudged version is better than none, but a version with an order is never used here.
+    return [[...active, ...of('unordered')]];
   }
 
-  /** Whether a request may go to just this target now. */
+  /** Whether a request may be sent to this target now. */
   canSendTo(target: ServiceTarget): boolean {
     const { service } = target;
     if (this.versions.get(service)?.hasSingleVersion ?? true) {
       return true;
     }
-    const use = this.versions.eligibilityOf(service, versionOf(target));
+    const eligibility = this.versions.eligibilityOf(service, versionOf(target));
     const trial = this.trials.get(service);
-    if (use === 'under-trial') {
+    if (eligibility === 'under-trial') {
       return trial?.shouldSendTrial(this.options.isUpToDate()) === true;
     }
-    return use === 'in-force' && !(trial !== undefined && this.mustLeaveForce(trial, [{ target }]));
+    return (
+      eligibility === 'active' &&
+      !(trial !== undefined && this.mustAvoidReplaced(trial, [{ target }]))
+    );
   }
 
-  /** Whether the next request should go to a version under trial, whatever is advised. */
+  /** Whether the next request should use the version under trial, regardless of target advice. */
   shouldSendTrial(service: string): boolean {
     return this.trials.get(service)?.shouldSendTrial(this.options.isUpToDate()) ?? false;
   }
 
-  /** The targets that may be advised to other VMs. */
+  /** Returns the targets that may be recommended to other VMs. */
   listAdvisable<Item extends { target: ServiceTarget }>(service: string, items: Item[]): Item[] {
     if (this.versions.get(service)?.hasSingleVersion ?? true) {
       return items;
     }
     const trial = this.trials.get(service);
-    const mustLeave = trial !== undefined && this.mustLeaveForce(trial, items);
-    const use = mustLeave ? 'under-trial' : 'in-force';
+    const mustLeave = trial !== undefined && this.mustAvoidReplaced(trial, items);
+    const eligibility = mustLeave ? 'under-trial' : 'active';
     return items.filter(
-      ({ target }) => this.versions.eligibilityOf(service, versionOf(target)) === use,
+      ({ target }) => this.versions.eligibilityOf(service, versionOf(target)) === eligibility,
     );
   }
 
-  /** A request was sent. */
+  /** Records that a request was sent to a target. */
   recordAttempt(target: ServiceTarget): void {
     const trial = this.trials.get(target.service);
     if (trial === undefined || isFinal(trial.step)) {
@@ -173,7 +183,7 @@
     });
   }
 
-  /** A send ended. */
+  /** Records the outcome of an attempt. */
   recordOutcome({ route, target, isGood, afterMs }: EndedAttempt): void {
     const trial = this.trials.get(target.service);
     if (trial === undefined || isFinal(trial.step)) {
@@ -190,27 +200,29 @@
     }
   }
 
-  /** One round: what this VM knows is told, and the next steps are written. */
+  /** Runs one round: exchanges evidence, then writes the next steps. */
   runRound(): void {
     for (const trial of this.trials.values()) {
       if (!isFinal(trial.step)) {
-        this.tell(trial);
+        this.exchangeEvidence(trial);
       }
     }
     for (const trial of this.trials.values()) {
-      void this.advance(trial);
+      void this.writeNextStep(trial);
     }
   }
 
-  /** A VM told what its sends brought. */
+  /** Handles evidence that a VM reported. */
   onEvidence(incarnation: string, evidence: VmEvidence): void {
-    this.trialOf(evidence)?.onEvidence(incarnation, evidence);
+    this.findTrial(evidence)?.onEvidence(incarnation, evidence);
   }
 
-  /** A VM that gathers told what all sends brought. */
-  onAggregatedEvidence(gathered: AggregatedEvidence): void {
-    const trial = this.trialOf(gathered);
-    if (trial?.onAggregatedEvidence(gathered) === true) {
+  /**
+   * Handles evidence of all VMs from an aggregator, and logs when the version turns out to be bad.
+   */
+  onAggregatedEvidence(aggregated: AggregatedEvidence): void {
+    const trial = this.findTrial(aggregated);
+    if (trial?.onAggregatedEvidence(aggregated) === true) {
       const { order, revision } = trial.storedOrder;
       this.options.log.write('roll-out-version-bad', {
         service: order.service,
@@ -224,25 +236,27 @@
     }
   }
 
-  private tell(trial: VersionTrial): void {
-    const replaced = this.listAtReplaced(trial);
+  private exchangeEvidence(trial: VersionTrial): void {
+    const replaced = this.listReplacedTargets(trial);
     const underWay = replaced.reduce((sum, { inFlight }) => sum + inFlight, 0);
-    // Without touch a word that was given still holds, and none is given anew.
+    // While not up to date, an announced move stays in effect and no new move is announced.
     const moves =
-      this.options.isUpToDate() && trial.hasFreshEvidence && this.mustLeaveForce(trial, replaced);
+      this.options.isUpToDate() &&
+      trial.hasFreshEvidence &&
+      this.mustAvoidReplaced(trial, replaced);
     const evidence = trial.createEvidence(underWay, moves);
     this.options.sendToAggregators(evidence);
     if (this.options.isAggregator()) {
       trial.onEvidence(this.options.incarnation, evidence);
-      const gathered = trial.aggregate();
-      this.options.broadcast(gathered);
-      this.onAggregatedEvidence(gathered);
+      const aggregated = trial.aggregate();
+      this.options.broadcast(aggregated);
+      this.onAggregatedEvidence(aggregated);
     }
   }
 
-  private async advance(trial: VersionTrial): Promise<void> {
+  private async writeNextStep(trial: VersionTrial): Promise<void> {
     const { order, revision } = trial.storedOrder;
-    const next = isFinal(trial.step) ? undefined : planStep(this.readFacts(trial));
+    const next = isFinal(trial.step) ? undefined : planStep(this.collectInputs(trial));
     if (next === undefined) {
       return;
     }
@@ -251,7 +265,7 @@
       order: revision,
       version,
       step: next.step,
-      replaces: this.listReplaced(trial),
+      replaces: this.listReplacedVersions(trial),
     };
     const { reason } = next;
     const stored = await this.options.writer.write({
@@ -261,16 +275,16 @@
       ageMs: trial.ageMs,
     });
     if (stored !== undefined) {
-      this.takeStored(trial, stored);
+      this.applyStored(trial, stored);
     }
   }
 
-  /** What was just written or read counts at once, also before the store's news bring it. */
-  private takeStored(trial: VersionTrial, { agreed }: StoredStep): void {
-    this.takeStep(trial.storedOrder.order.service, trial, agreed);
+  /** Applies a step that was just written or read, before the store's next snapshot contains it. */
+  private applyStored(trial: VersionTrial, { agreed }: StoredStep): void {
+    this.applyStep(trial.storedOrder.order.service, trial, agreed);
   }
 
-  private readFacts(trial: VersionTrial): StepInputs {
+  private collectInputs(trial: VersionTrial): StepInputs {
     const { order, revision } = trial.storedOrder;
     const known = this.versions.get(order.service);
     const targets = this.options
@@ -292,23 +306,23 @@
     };
   }
 
-  private takeOrder(standing: StoredOrder): void {
-    const { service, version, durationMs } = standing.order;
+  private onOrder(storedOrder: StoredOrder): void {
+    const { service, version, durationMs } = storedOrder.order;
     const known = this.trials.get(service);
-    if (known !== undefined && known.storedOrder.revision >= standing.revision) {
+    if (known !== undefined && known.storedOrder.revision >= storedOrder.revision) {
       return;
     }
     const { clock, random, bounds, incarnation, createTest } = this.options;
-    const isLate = !this.hasKnowledge;
+    const startedAfterOrder = !this.hasSnapshot;
     this.trials.set(
       service,
       new VersionTrial({
-        storedOrder: standing,
+        storedOrder,
         bounds,
         clock,
         random,
         incarnation,
-        startedAfterOrder: isLate,
+        startedAfterOrder,
         countVms: () => this.options.countVms(),
         createTest,
       }),
@@ -316,22 +330,25 @@
     this.options.log.write('roll-out-seen', {
       service,
       version,
-      order: standing.revision,
+      order: storedOrder.revision,
       durationMs,
-      isLate,
-      fault: validateOrder(standing, (name) => this.options.isService(name)),
+      isLate: startedAfterOrder,
+      fault: validateOrder(storedOrder, (name) => this.options.isService(name)),
       replacesOrder: known?.storedOrder.revision,
     });
   }
 
-  /** A step that nobody finished, whose order was deleted: whoever may write ends it. */
-  private takeUnordered(service: string, { step, version, order: revision }: AgreedStep): void {
+  /** Ends an unfinished step whose order was deleted. */
+  private onStepWithoutOrder(
+    service: string,
+    { step, version, order: revision }: AgreedStep,
+  ): void {
     if (!this.trials.has(service) && !isFinal(step)) {
-      this.takeOrder({ order: { service, version, durationMs: 1 }, revision });
+      this.onOrder({ order: { service, version, durationMs: 1 }, revision });
     }
   }
 
-  private takeStep(service: string, trial: VersionTrial, agreed: AgreedStep | undefined): void {
+  private applyStep(service: string, trial: VersionTrial, agreed: AgreedStep | undefined): void {
     const before = trial.step;
     if (agreed === undefined || agreed.order !== trial.storedOrder.revision) {
       return;
@@ -352,13 +369,13 @@
   }
 
   /**
-   * While traffic moves, nothing new goes to what is replaced. A VM that told so keeps to
-   * it until its word is too old to complete the move by. Without touch it goes back then,
-   * unless it finds that all of it is gone.
+   * Whether replaced versions must receive no new requests. A VM that announced this keeps to it
+   * until other VMs no longer count its announcement. If it is not up to date by then, it uses
+   * replaced targets again unless all of them are suspected to be down.
    */
-  private mustLeaveForce(
+  private mustAvoidReplaced(
     trial: VersionTrial,
-    inForce: readonly { target: ServiceTarget }[],
+    active: readonly { target: ServiceTarget }[],
   ): boolean {
     if (trial.step !== 'move' || trial.isBad) {
       return false;
@@ -366,27 +383,27 @@
     const { isUpToDate, isSuspected } = this.options;
     return isUpToDate() && trial.hasFreshEvidence
       ? trial.isRampComplete
-      : trial.hasAnnouncedMove || inForce.every(({ target }) => isSuspected(target.id));
+      : trial.hasAnnouncedMove || active.every(({ target }) => isSuspected(target.id));
   }
 
-  private listAtReplaced(trial: VersionTrial): TargetUsage[] {
+  private listReplacedTargets(trial: VersionTrial): TargetUsage[] {
     const { service, version } = trial.storedOrder.order;
     return this.options
       .listTargets()
       .filter(({ target }) => target.service === service && versionOf(target) !== version);
   }
 
-  private listReplaced(trial: VersionTrial): string[] {
+  private listReplacedVersions(trial: VersionTrial): string[] {
     const { service } = trial.storedOrder.order;
-    const present = this.listAtReplaced(trial).filter(
-      ({ target }) => this.versions.eligibilityOf(service, versionOf(target)) === 'in-force',
+    const present = this.listReplacedTargets(trial).filter(
+      ({ target }) => this.versions.eligibilityOf(service, versionOf(target)) === 'active',
     );
     const agreed = this.versions.get(service)?.agreed;
     const earlier = agreed?.order === trial.storedOrder.revision ? agreed.replaces : [];
     return [...new Set([...earlier, ...present.map(({ target }) => versionOf(target))])];
   }
 
-  private trialOf({
+  private findTrial({
     service,
     order,
   }: {
@@ -401,7 +418,7 @@
     return versionOf(target) === storedOrder.order.version;
   }
 
-  private noteWarming(targets: readonly ServiceTarget[]): void {
+  private recordWarmUps(targets: readonly ServiceTarget[]): void {
     const now = this.options.clock.now();
     const present = new Set(targets.map(({ id }) => id));
     for (const { id, coldForMs = 0 } of targets) {
--- a/packages/run-roll-outs/src/run-roll-outs.test.ts
+++ b/packages/run-roll-outs/src/run-roll-outs.test.ts
@@ -19,46 +19,50 @@
 import StepWriter, { canFollow } from './step-writer.js';
 import type { AgreedStep, RollOutStep } from './types.js';
 
-const RUN: Omit<SimulationPlan, 'kind' | 'seed'> = { vms: 3, durationMs: 60_000, hasFaults: true };
+const DEFAULT_PLAN: Omit<SimulationPlan, 'kind' | 'seed'> = {
+  vms: 3,
+  durationMs: 60_000,
+  hasFaults: true,
+};
 const SEEDS = [1, 2, 3, 4];
 
 for (const kind of ['good', ...BAD_KINDS] as const) {
-  test(`a version that is ${kind}: bounds and duty hold under faults`, async () => {
+  test(`a version that is ${kind}: exposure limits and final state hold under faults`, async () => {
     for (const seed of SEEDS) {
-      const plan = { ...RUN, seed, kind };
+      const plan = { ...DEFAULT_PLAN, seed, kind };
       assert.equal(findViolations(plan, await simulateRollOut(plan)), [], `seed ${seed}`);
     }
   });
 }
 
-test('a version whose verdict is ignored fails the check', async () => {
+test('the check fails when verdicts are ignored', async () => {
   const plan: SimulationPlan = {
-    ...RUN,
+    ...DEFAULT_PLAN,
     seed: 1,
     kind: 'at-once',
     createTest: () => ({ evaluate: () => undefined }),
   };
-  const breaches = findViolations(plan, await simulateRollOut(plan));
-  assert.ok(breaches.includes('exposure') && breaches.includes('duty'), breaches.join());
+  const violations = findViolations(plan, await simulateRollOut(plan));
+  assert.ok(violations.includes('exposure') && violations.includes('duty'), violations.join());
 });
 
 const STEPS: RollOutStep[] = ['trial', 'move', 'completed', 'rolled_back'];
 
-function agree(step: RollOutStep, order = 5): AgreedStep {
+function agreedStep(step: RollOutStep, order = 5): AgreedStep {
   return { order, version: 'v2', step, replaces: ['v1'] };
 }
 
-test('no step follows a final one of the same order, and a later order follows any', () => {
+test('no step replaces a final one of the same order, and a later order replaces any step', () => {
   for (const step of STEPS) {
-    assert.not.ok(canFollow(agree('completed'), agree(step)));
-    assert.not.ok(canFollow(agree('rolled_back'), agree(step)));
-    assert.ok(canFollow(agree('completed'), agree(step, 6)));
-    assert.not.ok(canFollow(agree('trial', 6), agree(step)));
+    assert.not.ok(canFollow(agreedStep('completed'), agreedStep(step)));
+    assert.not.ok(canFollow(agreedStep('rolled_back'), agreedStep(step)));
+    assert.ok(canFollow(agreedStep('completed'), agreedStep(step, 6)));
+    assert.not.ok(canFollow(agreedStep('trial', 6), agreedStep(step)));
   }
 });
 
-/** One VM alone, which holds the duty, with a store in memory. */
-function createAlone() {
+/** A single VM that holds the duty, with an in-memory store. */
+function createSingleVm() {
   const items = new Map<string, StoreEntry>();
   const lines: LogFields[] = [];
   let now = 0;
@@ -166,8 +170,8 @@
 ] as const;
 
 for (const { name, given, reason } of BAD_ORDERS) {
-  test(`${name} is answered by rolled_back, with a line`, async () => {
-    const vm = createAlone();
+  test(`${name} is rolled back and logged`, async () => {
+    const vm = createSingleVm();
     vm.take({ targets: [target('v1')] });
     vm.take({ orders: [given] });
     await vm.runFor(1_000);
@@ -177,16 +181,16 @@
   });
 }
 
-test('the version that is in force already is completed at once', async () => {
-  const vm = createAlone();
+test('an order for the active version is completed at once', async () => {
+  const vm = createSingleVm();
   vm.take({ targets: [target('v2')] });
   vm.take({ orders: [order()] });
   await vm.runFor(1_000);
   assert.is(vm.status(), 'completed v2');
 });
 
-test('a version that no target has is rolled back by the deadline', async () => {
-  const vm = createAlone();
+test('a version without targets is rolled back by the deadline', async () => {
+  const vm = createSingleVm();
   vm.take({ targets: [target('v1')] });
   vm.take({ orders: [order()] });
   await vm.runFor(50_000);
@@ -196,8 +200,8 @@
   assert.is(vm.lines.at(-2)?.['reason'], 'no-target');
 });
 
-test('an order that is deleted is rolled back, and its version gets nothing more', async () => {
-  const vm = createAlone();
+test('a deleted order is rolled back, and its version gets no more requests', async () => {
+  const vm = createSingleVm();
   const targets = [target('v1'), target('v2')];
   vm.take({ targets: [target('v1')] });
   vm.take({ orders: [order()], targets });
@@ -209,8 +213,8 @@
   assert.equal(vm.rollOuts.selectTargets('s', usable, false), [usable.slice(0, 1)]);
 });
 
-test('a second order takes the place of the first, whose version gets nothing more', async () => {
-  const vm = createAlone();
+test('a second order replaces the first, whose version gets no more requests', async () => {
+  const vm = createSingleVm();
   const targets = [target('v1'), target('v2'), target('v3')];
   vm.take({ targets: [target('v1')] });
   vm.take({ orders: [order()], targets: targets.slice(0, 2) });
@@ -228,8 +232,8 @@
   assert.equal([ids(first), ids(second)], [['v3-0'], ['v1-0']]);
 });
 
-test('a version without an order waits until news of one would have come', async () => {
-  const vm = createAlone();
+test('a version without an order is not used until an order would have arrived', async () => {
+  const vm = createSingleVm();
   const targets = [target('v1'), target('v2')];
   vm.take({ targets: [target('v1')] });
   vm.take({ targets });
@@ -240,16 +244,16 @@
   assert.equal(vm.rollOuts.selectTargets('s', usable, false), [usable]);
 });
 
-test('a replacement of the same version is taken at once, and costs no group', () => {
-  const vm = createAlone();
+test('a replacement target of the same version is used at once without grouping', () => {
+  const vm = createSingleVm();
   vm.take({ targets: [target('v1')] });
   vm.take({ targets: [target('v1'), target('v1', 1)] });
   const usable = [target('v1'), target('v1', 1)].map((known) => ({ target: known }));
   assert.is(vm.rollOuts.selectTargets('s', usable, false)[0], usable);
 });
 
-test('a request that a target failed does not go to the version under trial', async () => {
-  const vm = createAlone();
+test('a retry is not sent to the version under trial', async () => {
+  const vm = createSingleVm();
   const targets = [target('v1'), target('v2')];
   vm.take({ targets: [target('v1')] });
   vm.take({ orders: [order()], targets });
@@ -259,16 +263,16 @@
   assert.equal(vm.rollOuts.selectTargets('s', usable, true), [usable.slice(0, 1)]);
 });
 
-test('a VM that started while the order stood gets no part of the slack', async () => {
-  const vm = createAlone();
+test('a VM that starts after the order gets no share of the slack', async () => {
+  const vm = createSingleVm();
   vm.take({ orders: [order()], targets: [target('v1'), target('v2')] });
   await vm.runFor(2_000);
   assert.is(vm.status(), 'running v2');
   assert.not.ok(vm.rollOuts.shouldSendTrial('s'));
 });
 
-test('a write whose answer is lost is found done, and none is written twice', async () => {
-  const vm = createAlone();
+test('a write whose answer was lost is not repeated', async () => {
+  const vm = createSingleVm();
   vm.take({ targets: [target('v1')] });
   vm.take({ orders: [order()] });
   vm.failWrites(new PortFault('timeout', 'maybe', 'no answer'));
@@ -280,8 +284,8 @@
   assert.ok(vm.lines.some(({ event }) => event === 'roll-out-write-failed'));
 });
 
-test('long behind a roll-out a return to the old version is a plain replacement', async () => {
-  const vm = createAlone();
+test('long after a roll-out, targets of the old version are used again without an order', async () => {
+  const vm = createSingleVm();
   vm.take({ targets: [target('v2')] });
   vm.take({ orders: [order()] });
   await vm.runFor(1_000);
@@ -290,8 +294,8 @@
   assert.ok(vm.rollOuts.canSendTo(target('v1')));
 });
 
-test('a version that was taken back may come as a replacement once its order is gone', async () => {
-  const vm = createAlone();
+test('a rolled-back version may be used without an order once its order is deleted', async () => {
+  const vm = createSingleVm();
   vm.take({ targets: [target('v1')] });
   vm.take({ orders: [order('v2', 0)], targets: [target('v1'), target('v2')] });
   await vm.runFor(60_000);
@@ -301,11 +305,11 @@
   assert.ok(vm.rollOuts.canSendTo(target('v2')));
 });
 
-test('a step whose order was deleted is ended by a VM that never saw the order', async () => {
-  const vm = createAlone();
+test('a step whose order was deleted is ended by a VM that never saw the order ', async () => {
+  const vm = createSingleVm();
   vm.items.set(stepKey('s'), {
     key: stepKey('s'),
-    value: Buffer.from(JSON.stringify(agree('trial'))),
+    value: Buffer.from(JSON.stringify(agreedStep('trial'))),
     revision: 7,
   });
   vm.take({ targets: [target('v1'), target('v2')] });
@@ -326,7 +330,7 @@
   isDrained: false,
 };
 
-test('no move begins too late to be watched, and none is completed unwatched', () => {
+test('no move starts too late to be observed, and none completes unobserved', () => {
   assert.is(planStep({ ...MOVING, step: 'trial', ageMs: 17_500 }), undefined);
   assert.is(planStep({ ...MOVING, step: 'trial', ageMs: 14_000 })?.step, 'move');
   assert.is(planStep(MOVING), undefined);
--- a/packages/run-roll-outs/src/step-item.ts
+++ b/packages/run-roll-outs/src/step-item.ts
@@ -1,9 +1,9 @@
-/** The agreed step as an item of the store, in the product's own shape. */
+/** Encodes and decodes the agreed step as a stored item. */
 import * as E from 'fp-ts/lib/Either.js';
 import * as t from 'io-ts';
 import type { AgreedStep } from './types.js';
 
-/** Keys of the items begin so; the service's name follows. */
+/** Prefix of the items' keys; the service's name follows it. */
 export const STEP_KEY_PREFIX = 'limelead/roll-out/';
 
 const stepCodec = t.type({
@@ -18,17 +18,17 @@
   replaces: t.array(t.string),
 });
 
-/** Key of the item of a service. */
+/** Returns the key of a service's item. */
 export function stepKey(service: string): string {
   return `${STEP_KEY_PREFIX}${service}`;
 }
 
-/** The item's value. */
+/** Encodes a step as the value of its item. */
 export function encodeStep(agreed: AgreedStep): Buffer {
   return Buffer.from(JSON.stringify(agreed));
 }
 
-/** The step; undefined where the value holds none. */
+/** Decodes a step; undefined if the value is not a valid step. */
 export function decodeStep(value: Buffer): AgreedStep | undefined {
   try {
     const decoded = stepCodec.decode(JSON.parse(value.toString('utf8')));
--- a/packages/run-roll-outs/src/step-writer.ts
+++ b/packages/run-roll-outs/src/step-writer.ts
@@ -1,7 +1,6 @@
 /**
- * Writes steps to the store. Each write holds only while the step that it follows still
- * stands, so that whatever dies, hangs or comes late leaves one step that all agree on,
- * and none goes back from a final one.
+ * Writes roll-out steps to the store. Each write is conditional on the step it follows, so all VMs
+ * agree on one step after crashes, delays and lost answers, and a final step never changes.
  */
 import type { DecisionLog } from '@limelead/decision-log';
 import type { Duty } from '@limelead/hold-duty';
@@ -11,25 +10,29 @@
 import { decodeStep, stepKey, encodeStep } from './step-item.js';
 import type { AgreedStep, RollOutState, RollOutStep, StoredStep } from './types.js';
 
-/** Time for a write to arrive or be lost; the store answers in milliseconds or is away. */
+/**
+ * Time within which a write reaches the store or is lost; the duty must last at least this long.
+ */
 const MAX_WRITE_MS = 1_000;
 
-/** Where the operator reads the state of a service's roll-out. */
+/** Stored item in which operators read the state of a roll-out. */
 export interface StateItem {
   key: string;
   value: Buffer;
 }
 
-/** What writing needs. */
+/** Dependencies of the step writer. */
 export interface StepWriterOptions {
   store: ConditionalStore;
   log: DecisionLog;
-  /** Only one VM at a time writes, to spare the store; the conditions keep the steps right. */
+  /**
+   * Limits writes to one VM to spare the store; the conditional writes alone ensure correct steps.
+   */
   duty: Pick<Duty, 'permit'>;
   composeState(service: string, state: RollOutState, version: string): StateItem;
 }
 
-/** A step to write. */
+/** A step to write, with its reason and the age of its order. */
 export interface StepWrite {
   service: string;
   agreed: AgreedStep;
@@ -43,32 +46,32 @@
 
   constructor(private readonly options: StepWriterOptions) {}
 
-  /** Writes a step; gives what stands then, undefined where that is not known. */
-  async write(stepOrder: StepWrite): Promise<StoredStep | undefined> {
-    const { service } = stepOrder;
+  /** Writes a step. Returns the step that is now stored; undefined if that is unknown. */
+  async write(stepWrite: StepWrite): Promise<StoredStep | undefined> {
+    const { service } = stepWrite;
     if (this.busy.has(service) || this.options.duty.permit(MAX_WRITE_MS) === undefined) {
       return undefined;
     }
     this.busy.add(service);
     try {
-      return await this.writeAlone(stepOrder);
+      return await this.writeExclusively(stepWrite);
     } finally {
       this.busy.delete(service);
     }
   }
 
-  private async writeAlone(stepOrder: StepWrite): Promise<StoredStep | undefined> {
-    const { service, agreed } = stepOrder;
+  private async writeExclusively(stepWrite: StepWrite): Promise<StoredStep | undefined> {
+    const { service, agreed } = stepWrite;
     const key = stepKey(service);
     const read = await this.options.store.read(key)();
     if (E.isLeft(read)) {
-      this.noteFault(stepOrder, read.left.message);
+      this.logFailure(stepWrite, read.left.message);
       return undefined;
     }
     const entry = read.right;
-    const standing = entry && decodeStep(entry.value);
-    if (entry !== undefined && standing !== undefined && !canFollow(standing, agreed)) {
-      return { agreed: standing, revision: entry.revision };
+    const stored = entry && decodeStep(entry.value);
+    if (entry !== undefined && stored !== undefined && !canFollow(stored, agreed)) {
+      return { agreed: stored, revision: entry.revision };
     }
     const state = this.options.composeState(service, toOperatorState(agreed.step), agreed.version);
     const writes: StoreWrite[] = [
@@ -80,11 +83,11 @@
       writes,
     )();
     if (E.isLeft(written)) {
-      this.noteFault(stepOrder, written.left.message);
+      this.logFailure(stepWrite, written.left.message);
       return undefined;
     }
     if (written.right.kind !== 'written') {
-      this.noteFault(stepOrder, written.right.kind);
+      this.logFailure(stepWrite, written.right.kind);
       return undefined;
     }
     const { revision } = written.right;
@@ -94,14 +97,14 @@
       order: agreed.order,
       step: agreed.step,
       state: toOperatorState(agreed.step),
-      reason: stepOrder.reason,
-      ageMs: Math.round(stepOrder.ageMs),
+      reason: stepWrite.reason,
+      ageMs: Math.round(stepWrite.ageMs),
       revision,
     });
     return { agreed, revision };
   }
 
-  private noteFault({ service, agreed }: StepWrite, reason: string): void {
+  private logFailure({ service, agreed }: StepWrite, reason: string): void {
     this.options.log.write('roll-out-write-failed', { service, step: agreed.step, reason });
   }
 }
@@ -113,12 +116,15 @@
   rolled_back: 2,
 };
 
-/** A later order follows any step; within one order only a later step does, and none a final one. */
-export function canFollow(standing: AgreedStep, next: AgreedStep): boolean {
-  if (next.order !== standing.order) {
-    return next.order > standing.order;
+/**
+ * Whether `next` may replace the stored step: a later order always may; within an order only a
+ * later step may replace a step that is not final.
+ */
+export function canFollow(stored: AgreedStep, next: AgreedStep): boolean {
+  if (next.order !== stored.order) {
+    return next.order > stored.order;
   }
-  return RANKS[next.step] > RANKS[standing.step];
+  return RANKS[next.step] > RANKS[stored.step];
 }
 
 function toOperatorState(step: RollOutStep): RollOutState {
--- a/packages/run-roll-outs/src/types.ts
+++ b/packages/run-roll-outs/src/types.ts
@@ -1,63 +1,65 @@
-/** Shapes that the parts of a roll-out share. */
-import type { RouteSums } from '@limelead/judge-version';
+/** Types shared by the modules of this package. */
+import type { RouteOutcomeCounts } from '@limelead/judge-version';
 import type { Millis, RollOutOrder } from '@limelead/types';
 
-/** What all VMs together may send to a version that turns out to be bad. */
+/** Limits on the traffic that all VMs together send to a version that turns out to be bad. */
 export interface RollOutBounds {
-  /** Part of all requests to the service, 0 to 1. */
+  /** Share of all requests to the service, 0 to 1. */
   exposureShare: number;
-  /** Requests on top. */
+  /** Number of requests allowed in addition to the share. */
   exposureSlack: number;
-  /** Time after the 50th bad answer within which nothing more is sent, in milliseconds. */
+  /** Time after the 50th bad answer by which the version receives no more requests. */
   rollBackMs: Millis;
 }
 
-/** How far a roll-out is; `trial` and `move` are `running` to the operator. */
+/** Step of a roll-out; operators see `trial` and `move` as `running`. */
 export type RollOutStep = 'trial' | 'move' | 'completed' | 'rolled_back';
 
-/** What the operator is told. */
+/** State of a roll-out as operators see it. */
 export type RollOutState = 'running' | 'completed' | 'rolled_back';
 
-/** The step that all VMs agree on, as it stands in the store. */
+/** Step of a roll-out as stored and agreed on by all VMs. */
 export interface AgreedStep {
-  /** Revision of the order that it belongs to; a later order has a higher one. */
+  /** Revision of the order that the step belongs to; later orders have higher revisions. */
   order: number;
   version: string;
   step: RollOutStep;
-  /** Versions that were in force when the order began; empty where none was there. */
+  /** Versions that were active when the order began; empty if there were none. */
   replaces: string[];
 }
 
-/** The agreed step with the revision of its item, for writing under a condition. */
+/** Agreed step and the revision of its stored item, for conditional writes. */
 export interface StoredStep {
   agreed: AgreedStep;
   revision: number;
 }
 
-/** An order that stands in the store. */
+/** Roll-out order and the revision that stored it. */
 export interface StoredOrder {
   order: RollOutOrder;
   revision: number;
 }
 
-/** What one VM tells of a roll-out; all sums are those of its incarnation so far. */
+/** Evidence that one VM reports about a roll-out; all counts are totals of its incarnation. */
 export interface VmEvidence {
   service: string;
   order: number;
-  /** Longest time since any VM saw the order, as far as the teller heard. */
+  /** Age of the order: the longest age that this VM knows of. */
   ageMs: Millis;
-  /** Whether the teller knows that traffic moves, and sends nothing new to replaced targets. */
+  /**
+   * Whether the sender knows that traffic is moving and sends no new requests to replaced targets.
+   */
   moves: boolean;
-  /** Requests of the teller under way at replaced targets. */
+  /** The sender's requests in flight at replaced targets. */
   underWay: number;
-  sums: RouteSums[];
+  sums: RouteOutcomeCounts[];
 }
 
-/** What a VM that gathers evidence tells all others. */
+/** Evidence of all VMs, merged and broadcast by an aggregating VM. */
 export interface AggregatedEvidence {
   service: string;
   order: number;
   ageMs: Millis;
   isBad: boolean;
-  sums: RouteSums[];
+  sums: RouteOutcomeCounts[];
 }
--- a/packages/run-roll-outs/src/validate-order.ts
+++ b/packages/run-roll-outs/src/validate-order.ts
@@ -1,14 +1,14 @@
-/** Says what is wrong with an order, where something is. */
+/** Validates roll-out orders. */
 import type { Millis } from '@limelead/types';
 import type { StoredOrder } from './types.js';
 
-/** Longer orders are taken for mistakes of unit: nobody watches a roll-out for more than a day. */
+/** Longer durations are rejected as mistakes of unit. */
 const MAX_DURATION_MS = 86_400_000;
 
-/** Why an order is not carried out. */
+/** Reason for which an order is rejected. */
 export type OrderFault = 'unknown-service' | 'duration-out-of-range';
 
-/** The fault of an order; undefined where it can be carried out. */
+/** Returns the reason to reject an order; undefined if the order is valid. */
 export default function validateOrder(
   { order }: StoredOrder,
   isService: (name: string) => boolean,
--- a/packages/run-roll-outs/src/version-table.ts
+++ b/packages/run-roll-outs/src/version-table.ts
@@ -1,41 +1,39 @@
 /**
- * Which versions of a service are in force. A version that appears beside those in force
- * is under trial: an order comes before its targets, and a replacement without an order
- * keeps the version.
+ * Tracks which versions of a service are active. A new version is under trial if an order names it;
+ * a replacement without an order keeps the version.
  */
 import type { Clock, Millis, ServiceTarget } from '@limelead/types';
 import type { AgreedStep, StoredOrder } from './types.js';
 
 /**
- * Time after which a version that nobody ordered counts as a plain replacement. News of
- * an order reach every VM that is in touch within a few seconds.
+ * Delay before a version without an order becomes active, so that an order stored before its
+ * targets reaches every VM first.
  */
 const UNORDERED_ACTIVATION_DELAY_MS = 5_000;
 
 /**
- * Time for which a version stays blocked behind the end of its roll-out: replaced targets
- * stop at once, those of a version that was taken back drain within it.
+ * Time for which a version stays blocked after its roll-out ends, while its targets stop or drain.
  */
 const BLOCK_AFTER_END_MS = 30_000;
 
-/** What a version of a service may be given. */
-export type VersionEligibility = 'in-force' | 'under-trial' | 'blocked' | 'unordered';
+/** Whether requests may be sent to a version. `unordered` versions become active after a delay. */
+export type VersionEligibility = 'active' | 'under-trial' | 'blocked' | 'unordered';
 
-/** What is known of one service. */
+/** Versions, order and agreed step of one service. */
 export interface ServiceVersions {
   order?: StoredOrder;
   agreed?: AgreedStep;
-  /** Versions, and when each counts as in force without an order. */
+  /** When each version without an order becomes active. */
   activeFromMs: Map<string, Millis>;
-  /** Versions that stood on an order. */
+  /** Versions that were ever named by an order. */
   everOrdered: Set<string>;
-  /** Since when the agreed step is final and says no more than that targets end. */
+  /** When the agreed step became final with no further effect than that targets stop. */
   endedAtMs?: Millis;
-  /** True where every target may be sent to, and nothing has to be counted. */
+  /** True if the service has one version and no roll-out, so that every target may be used. */
   hasSingleVersion: boolean;
 }
 
-/** The version of a target; empty where it tells none. */
+/** Version of a target; empty if it reports none. */
 export function versionOf({ version }: ServiceTarget): string {
   return version ?? '';
 }
@@ -46,12 +44,12 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** What is known of a service; undefined before its first target. */
+  /** Returns the versions of a service; undefined before its first target. */
   get(service: string): ServiceVersions | undefined {
     return this.services.get(service);
   }
 
-  /** Takes what the store holds now. */
+  /** Applies the current targets, orders and steps from the store. */
   update(
     targets: readonly ServiceTarget[],
     orders: readonly StoredOrder[],
@@ -67,16 +65,16 @@
       versions.set(order.service, versions.get(order.service) ?? new Set());
     }
     for (const [service, present] of versions) {
-      const order = orders.find((standing) => standing.order.service === service);
-      this.takeService(service, present, { order, agreed: steps.get(service), now });
+      const order = orders.find((stored) => stored.order.service === service);
+      this.updateService(service, present, { order, agreed: steps.get(service), now });
     }
   }
 
-  /** What a version may be given now. */
+  /** Returns whether requests may be sent to a version now. */
   eligibilityOf(service: string, version: string): VersionEligibility {
     const known = this.services.get(service);
     if (known === undefined) {
-      return 'in-force';
+      return 'active';
     }
     const { order, agreed } = known;
     const isOrdered = order?.order.version === version;
@@ -89,16 +87,16 @@
       agreed === undefined || isOver
         ? undefined
         : eligibilityByStep(agreed, version, order !== undefined);
-    return byStep ?? this.useWithoutOrder(known, version);
+    return byStep ?? this.eligibilityWithoutOrder(known, version);
   }
 
-  private takeService(
+  private updateService(
     service: string,
     present: ReadonlySet<string>,
     { order, agreed, now }: Pick<ServiceVersions, 'order' | 'agreed'> & { now: Millis },
   ): void {
     const known = this.services.get(service);
-    const admittedAtMs = admit(known?.activeFromMs ?? new Map(), present, order, now);
+    const activeFromMs = activateVersions(known?.activeFromMs ?? new Map(), present, order, now);
     const isPlain = order === undefined && agreed === undefined && present.size <= 1;
     const ordered = new Set(known?.everOrdered);
     if (order !== undefined) {
@@ -108,52 +106,52 @@
     this.services.set(service, {
       order,
       agreed,
-      activeFromMs: admittedAtMs,
+      activeFromMs: activeFromMs,
       everOrdered: ordered,
       endedAtMs,
       hasSingleVersion: isPlain,
     });
   }
 
-  private useWithoutOrder(
+  private eligibilityWithoutOrder(
     { order, agreed, everOrdered, activeFromMs }: ServiceVersions,
     version: string,
   ): VersionEligibility {
     if (agreed?.step === 'completed' && agreed.version === version) {
-      return 'in-force';
+      return 'active';
     }
-    // A version whose order another one replaced was never found good.
+    // A version whose order was superseded was never confirmed as good.
     if (order !== undefined && everOrdered.has(version)) {
       return 'blocked';
     }
-    const admittedMs = activeFromMs.get(version);
-    return admittedMs !== undefined && admittedMs <= this.clock.now() ? 'in-force' : 'unordered';
+    const activeAtMs = activeFromMs.get(version);
+    return activeAtMs !== undefined && activeAtMs <= this.clock.now() ? 'active' : 'unordered';
   }
 }
 
-/** Versions that are there at the first look are in force, but for the one on order. */
-function admit(
-  admittedAtMs: ReadonlyMap<string, Millis>,
+/** Versions present at the first update are active, except the one with an order. */
+function activateVersions(
+  activeFromMs: ReadonlyMap<string, Millis>,
   present: ReadonlySet<string>,
   order: StoredOrder | undefined,
   now: Millis,
 ): Map<string, Millis> {
-  const admitAtMs = admittedAtMs.size === 0 ? now : now + UNORDERED_ACTIVATION_DELAY_MS;
-  const kept = [...admittedAtMs].filter(([version]) => present.has(version));
+  const activeAtMs = activeFromMs.size === 0 ? now : now + UNORDERED_ACTIVATION_DELAY_MS;
+  const kept = [...activeFromMs].filter(([version]) => present.has(version));
   const fresh = [...present]
-    .filter((version) => !admittedAtMs.has(version) && order?.order.version !== version)
-    .map((version): [string, Millis] => [version, admitAtMs]);
-  const admitted = new Map([...kept, ...fresh]);
-  // Where all targets are gone, the versions that were there stay those in force.
-  return admitted.size > 0 ? admitted : new Map(admittedAtMs);
+    .filter((version) => !activeFromMs.has(version) && order?.order.version !== version)
+    .map((version): [string, Millis] => [version, activeAtMs]);
+  const activated = new Map([...kept, ...fresh]);
+  // If all targets are gone, the previous versions stay active.
+  return activated.size > 0 ? activated : new Map(activeFromMs);
 }
 
-/** A version that was taken back stays so while its order stands. */
+/** A rolled-back version stays blocked while its order exists. */
 function hasEnded(order: StoredOrder | undefined, agreed: AgreedStep | undefined): boolean {
   return agreed?.step === 'completed' || (agreed?.step === 'rolled_back' && order === undefined);
 }
 
-/** Undefined where the step says nothing of the version. */
+/** Returns undefined if the step does not concern the version. */
 function eligibilityByStep(
   { step, version: ordered, replaces }: AgreedStep,
   version: string,
@@ -161,12 +159,12 @@
 ): VersionEligibility | undefined {
   if (version === ordered) {
     if (step === 'completed') {
-      return 'in-force';
+      return 'active';
     }
     return step === 'rolled_back' || !isOrdered ? 'blocked' : 'under-trial';
   }
   if (!replaces.includes(version)) {
     return undefined;
   }
-  return step === 'completed' ? 'blocked' : 'in-force';
+  return step === 'completed' ? 'blocked' : 'active';
 }
--- a/packages/run-roll-outs/src/version-trial.ts
+++ b/packages/run-roll-outs/src/version-trial.ts
@@ -1,13 +1,16 @@
-/** One order as one VM sees it: its own part of the exposure, its evidence, its verdict. */
+/**
+ * Trial of one ordered version on one VM: its share of the trial requests, its evidence and its
+ * verdict.
+ */
 import {
   countAnswers,
   EvidenceTable,
-  SendSums,
+  OutcomeCounter,
   VersionJudge,
-  type BadVerdict,
-  type RouteSums,
+  type BadVersionVerdict,
+  type RouteOutcomeCounts,
   type RouteTest,
-  type SendOutcome,
+  type AttemptOutcome,
 } from '@limelead/judge-version';
 import { RetrySpender } from '@limelead/spend-retries';
 import type { Clock, Millis, Random } from '@limelead/types';
@@ -21,138 +24,145 @@
 } from './types.js';
 
 /**
- * Part of the exposure that trials may use. The rest is for what a version that only
- * fails under all traffic gets until its verdict.
+ * Share of the exposure limit that trials may use. The rest covers a version that fails only under
+ * full traffic, until its verdict.
  */
-const TRIAL_PART = 0.6;
-/** A budget's window has to be longer than any order, so that nothing is forgotten within it. */
-const WINDOW_FACTOR = 2;
+const TRIAL_SHARE = 0.6;
+/** Makes the budget's window longer than the order, so that no spent request expires within it. */
+const BUDGET_WINDOW_FACTOR = 2;
 /**
- * Part of the time to leave a bad version for which gathered evidence is good: the rest is
- * for the verdict's way, and some of its rounds may be lost.
+ * Share of `rollBackMs` for which aggregated evidence counts as fresh. The rest allows for delivery
+ * of the verdict and for lost rounds.
  */
 export const EVIDENCE_TTL_SHARE = 0.4;
-/** Time between two looks at the evidence; several VMs tell the same in each round. */
-const LOOK_MS = 400;
-/** What a VM told of its moved traffic is believed this long. */
-const TOLD_MS = 2_000;
-/** A VM that told so keeps to it this long: until it is not believed, and a write arrived. */
-const BOUND_MS = TOLD_MS + 1_000;
-
-/** What a trial needs. */
+/** Minimum time between two evaluations; several aggregators broadcast the same evidence. */
+const MIN_EVALUATION_INTERVAL_MS = 400;
+/** Time for which a VM's report about its drained traffic is valid. */
+const REPORT_TTL_MS = 2_000;
+/**
+ * Time for which a VM keeps to its own announcement: until it expires elsewhere and a write based
+ * on it has completed.
+ */
+const ANNOUNCEMENT_TTL_MS = REPORT_TTL_MS + 1_000;
+
+/** Dependencies and limits of a trial. */
 export interface VersionTrialOptions {
   storedOrder: StoredOrder;
   bounds: RollOutBounds;
   clock: Clock;
   random: Random;
-  /** Names this VM's process among all that ever told evidence. */
+  /** Unique id of this VM's process. */
   incarnation: string;
-  /** True where the order stood before this VM knew anything: its part of the slack may be spent. */
+  /**
+   * True if the order already existed when this VM started, so that its share of the slack may be
+   * spent.
+   */
   startedAfterOrder: boolean;
-  /** VMs that share the slack, this one included. */
+  /** Number of VMs that share the slack, including this one. */
   countVms(): number;
   createTest?: () => RouteTest;
 }
 
-interface Told {
+interface DrainReport {
   atMs: Millis;
   isDrained: boolean;
 }
 
-/** Follows one order on one VM. */
+/** Tracks one order on one VM. */
 export default class VersionTrial {
-  private readonly own = new SendSums();
-  private readonly book = new EvidenceTable();
-  private readonly told = new Map<string, Told>();
+  private readonly own = new OutcomeCounter();
+  private readonly evidence = new EvidenceTable();
+  private readonly drainReports = new Map<string, DrainReport>();
   private readonly judge: VersionJudge;
-  private readonly spender: RetrySpender;
-  /** What the VM that knows most gathered. */
-  private gathered: RouteSums[] = [];
-  private gatheredAtMs: Millis | undefined;
-  /** Steady time at which any VM first saw the order, as far as this one heard. */
-  private beganAtMs: Millis;
-  private lookedAtMs: Millis = -Infinity;
-  private movesSinceMs: Millis | undefined;
-  private toldMovedAtMs: Millis = -Infinity;
-  private ownVerdict: BadVerdict | undefined;
+  private readonly budget: RetrySpender;
+  /** Counts from the aggregator that knows the most answers. */
+  private aggregatedCounts: RouteOutcomeCounts[] = [];
+  private aggregatedAtMs: Millis | undefined;
+  /** Steady time at which the first VM saw the order, as far as known here. */
+  private firstSeenAtMs: Millis;
+  private evaluatedAtMs: Millis = -Infinity;
+  private movingSinceMs: Millis | undefined;
+  private announcedMoveAtMs: Millis = -Infinity;
+  private ownVerdict: BadVersionVerdict | undefined;
   private isBadElsewhere = false;
   private knownStep: RollOutStep | undefined;
 
   constructor(private readonly options: VersionTrialOptions) {
     const { bounds, clock, random, startedAfterOrder, storedOrder, createTest } = options;
-    this.beganAtMs = clock.now();
+    this.firstSeenAtMs = clock.now();
     this.judge = new VersionJudge(createTest);
-    this.spender = new RetrySpender({
-      ratio: bounds.exposureShare * TRIAL_PART,
-      slack: startedAfterOrder ? 0 : bounds.exposureSlack * TRIAL_PART,
-      windowMs: Math.max(1, storedOrder.order.durationMs) * WINDOW_FACTOR,
+    this.budget = new RetrySpender({
+      ratio: bounds.exposureShare * TRIAL_SHARE,
+      slack: startedAfterOrder ? 0 : bounds.exposureSlack * TRIAL_SHARE,
+      windowMs: Math.max(1, storedOrder.order.durationMs) * BUDGET_WINDOW_FACTOR,
     });
-    // In a fleet of hundreds a VM's part is less than a request: by lot, some send one early.
-    this.spender.borrow(clock.now(), random.next());
+    // In a large fleet a VM's share is less than one request; a random credit lets some VMs send
+    // one early.
+    this.budget.borrow(clock.now(), random.next());
   }
 
   get storedOrder(): StoredOrder {
     return this.options.storedOrder;
   }
 
-  /** The agreed step as far as this VM knows. */
+  /** The agreed step as far as this VM knows it. */
   get step(): RollOutStep | undefined {
     return this.knownStep;
   }
 
-  /** The store tells of a step; a final one stays. */
+  /** Applies a step from the store; a final step never changes. */
   onStep(step: RollOutStep): void {
     const isFinal = this.knownStep === 'completed' || this.knownStep === 'rolled_back';
     if (!isFinal && step !== this.knownStep) {
       this.knownStep = step;
-      this.movesSinceMs = step === 'move' ? this.now : undefined;
+      this.movingSinceMs = step === 'move' ? this.now : undefined;
     }
   }
 
   get ageMs(): Millis {
-    return this.now - this.beganAtMs;
+    return this.now - this.firstSeenAtMs;
   }
 
   get movingForMs(): Millis {
-    return this.movesSinceMs === undefined ? 0 : this.now - this.movesSinceMs;
+    return this.movingSinceMs === undefined ? 0 : this.now - this.movingSinceMs;
   }
 
-  /** Whether this VM told lately that it sends nothing new to replaced targets. */
+  /** Whether this VM recently announced that it sends no new requests to replaced targets. */
   get hasAnnouncedMove(): boolean {
-    return this.now - this.toldMovedAtMs < BOUND_MS;
+    return this.now - this.announcedMoveAtMs < ANNOUNCEMENT_TTL_MS;
   }
 
-  /** Whether all traffic goes to the version by now. */
+  /** Whether all traffic goes to the new version by now. */
   get isRampComplete(): boolean {
     return trafficShare(this.movingForMs, this.storedOrder.order.durationMs, 0) >= 1;
   }
 
-  /** The verdict that this VM acts on. */
+  /** Whether this VM treats the version as bad, by its own verdict or a peer's. */
   get isBad(): boolean {
     return this.ownVerdict !== undefined || this.isBadElsewhere;
   }
 
-  get verdict(): BadVerdict | undefined {
+  get verdict(): BadVersionVerdict | undefined {
     return this.ownVerdict;
   }
 
-  /** Answers of the version under trial, as far as this VM knows. */
+  /** Number of answers of the version under trial that this VM knows of. */
   get answers(): number {
     return countAnswers(this.known, true);
   }
 
-  /** Whether others gathered evidence for this VM just now. */
+  /** Whether aggregated evidence arrived recently. */
   get hasFreshEvidence(): boolean {
-    return this.gatheredAtMs !== undefined && this.now - this.gatheredAtMs < this.heardMs;
+    return this.aggregatedAtMs !== undefined && this.now - this.aggregatedAtMs < this.evidenceTtlMs;
   }
 
-  /** Whether the next request should go to the version under trial. */
-  shouldSendTrial(isInTouch: boolean): boolean {
-    if (this.isBad || !isInTouch || !this.hasFreshEvidence) {
+  /** Whether the next request should use the version under trial. */
+  shouldSendTrial(isUpToDate: boolean): boolean {
+    if (this.isBad || !isUpToDate || !this.hasFreshEvidence) {
       return false;
     }
     if (this.knownStep === 'trial') {
-      return this.spender.left(this.now, this.options.countVms()) >= 1;
+      return this.budget.left(this.now, this.options.countVms()) >= 1;
     }
     const { random, bounds } = this.options;
     return (
@@ -162,24 +172,24 @@
     );
   }
 
-  /** A request was sent to the service. */
+  /** Records an attempt at the service. */
   recordAttempt(isTrial: boolean): void {
-    this.spender.noteFirstSend(this.now);
+    this.budget.noteFirstSend(this.now);
     if (isTrial) {
-      this.spender.trySpend(this.now, this.options.countVms());
+      this.budget.trySpend(this.now, this.options.countVms());
     }
   }
 
-  /** A send ended. */
-  recordOutcome(outcome: SendOutcome): void {
+  /** Records the outcome of an attempt. */
+  recordOutcome(outcome: AttemptOutcome): void {
     this.own.record(outcome);
   }
 
-  /** What this VM tells those that gather. */
+  /** Returns this VM's evidence for the aggregators. */
   createEvidence(underWay: number, moves: boolean): VmEvidence {
     const { order, revision } = this.storedOrder;
     if (moves) {
-      this.toldMovedAtMs = this.now;
+      this.announcedMoveAtMs = this.now;
     }
     return {
       service: order.service,
@@ -191,14 +201,14 @@
     };
   }
 
-  /** Another VM told, or this one tells itself. */
+  /** Records the evidence of a VM, which may be this one. */
   onEvidence(incarnation: string, { ageMs, moves, underWay, sums }: VmEvidence): void {
-    this.noteAge(ageMs);
-    this.book.record(incarnation, sums);
-    this.told.set(incarnation, { atMs: this.now, isDrained: moves && underWay === 0 });
+    this.recordAge(ageMs);
+    this.evidence.record(incarnation, sums);
+    this.drainReports.set(incarnation, { atMs: this.now, isDrained: moves && underWay === 0 });
   }
 
-  /** What this VM gathered, for all others. */
+  /** Returns the evidence of all VMs, for broadcast. */
   aggregate(): AggregatedEvidence {
     const { order, revision } = this.storedOrder;
     return {
@@ -206,42 +216,47 @@
       order: revision,
       ageMs: this.ageMs,
       isBad: this.isBad,
-      sums: this.book.total(),
+      sums: this.evidence.total(),
     };
   }
 
-  /** Takes what was gathered, and judges anew; true where the version turned out bad just now. */
+  /**
+   * Records aggregated evidence and evaluates it. Returns true if the version just turned out to be
+   * bad.
+   */
   onAggregatedEvidence({ ageMs, isBad, sums }: AggregatedEvidence): boolean {
     const wasBad = this.isBad;
-    this.noteAge(ageMs);
-    this.gatheredAtMs = this.now;
+    this.recordAge(ageMs);
+    this.aggregatedAtMs = this.now;
     this.isBadElsewhere ||= isBad;
-    if (countAnswers(sums) >= countAnswers(this.gathered)) {
-      this.gathered = sums;
+    if (countAnswers(sums) >= countAnswers(this.aggregatedCounts)) {
+      this.aggregatedCounts = sums;
     }
-    if (!this.isBad && this.now - this.lookedAtMs >= LOOK_MS) {
-      this.lookedAtMs = this.now;
+    if (!this.isBad && this.now - this.evaluatedAtMs >= MIN_EVALUATION_INTERVAL_MS) {
+      this.evaluatedAtMs = this.now;
       this.ownVerdict = this.judge.evaluate(this.now, this.known);
     }
     return this.isBad && !wasBad;
   }
 
-  /** Whether so many VMs told that nothing of theirs is left at replaced targets. */
+  /** Whether this many VMs recently reported that nothing of theirs is left at replaced targets. */
   isDrained(vms: number): boolean {
-    const fresh = [...this.told.values()].filter(({ atMs }) => this.now - atMs < TOLD_MS);
+    const fresh = [...this.drainReports.values()].filter(
+      ({ atMs }) => this.now - atMs < REPORT_TTL_MS,
+    );
     return fresh.length >= vms && fresh.every(({ isDrained }) => isDrained);
   }
 
-  /** What was gathered; this VM's own before anything was. */
-  private get known(): RouteSums[] {
-    return this.gathered.length > 0 ? this.gathered : this.own.snapshot();
+  /** Aggregated counts; this VM's own before the first aggregation. */
+  private get known(): RouteOutcomeCounts[] {
+    return this.aggregatedCounts.length > 0 ? this.aggregatedCounts : this.own.snapshot();
   }
 
-  private noteAge(ageMs: Millis): void {
-    this.beganAtMs = Math.min(this.beganAtMs, this.now - ageMs);
+  private recordAge(ageMs: Millis): void {
+    this.firstSeenAtMs = Math.min(this.firstSeenAtMs, this.now - ageMs);
   }
 
-  private get heardMs(): Millis {
+  private get evidenceTtlMs(): Millis {
     return this.options.bounds.rollBackMs * EVIDENCE_TTL_SHARE;
   }
 
