--- a/packages/gateway/src/capacity.ts
+++ b/packages/gateway/src/capacity.ts
@@ -1,7 +1,7 @@
 /** Counts what callers ask of this VM, tells the VMs that stand for duties, and orders targets. */
 import type { AdmittedRequest, TrafficObserver } from '@limelead/forward-request';
 import type { Duty } from '@limelead/hold-duty';
-import { CapacityDuty, DemandBook, type ServiceDemand } from '@limelead/order-capacity';
+import { CapacityController, DemandTracker, type ServiceDemand } from '@limelead/order-capacity';
 import type { DutyPlatform } from '@limelead/ports';
 import type { PeerReport } from '@limelead/share-evidence';
 import type { Millis } from '@limelead/types';
@@ -24,9 +24,9 @@
   { duties, duty, dutyPlatform }: CapacityOptions,
 ): FleetPart {
   const { settings, clock, timers, log, metrics, directory, knowledge } = context;
-  const demand = new DemandBook();
+  const demand = new DemandTracker();
   const counts = new DemandCounts(context);
-  const ordering = new CapacityDuty({
+  const ordering = new CapacityController({
     duty,
     platform: dutyPlatform,
     clock,
@@ -45,7 +45,7 @@
     timers.after(REPORT_MS, () => {
       const report = counts.report();
       if (report !== undefined) {
-        demand.take(settings.vm, report, clock.now());
+        demand.recordReport(settings.vm, report, clock.now());
         context.readExchange()?.reportToCandidates(report);
       }
       tell();
@@ -56,7 +56,7 @@
     observer: counts.observer,
     onReport: (peer, report) => {
       if (report.kind === 'demand') {
-        demand.take(peer, report, clock.now());
+        demand.recordReport(peer, report, clock.now());
       }
     },
     start: () => {
--- a/packages/order-capacity/src/call-rate.ts
+++ b/packages/order-capacity/src/call-rate-limiter.ts
@@ -4,13 +4,13 @@
 const SECOND_MS = 1_000;
 
 /** Remembers the calls of the last second. */
-export default class CallRate {
+export default class CallRateLimiter {
   private readonly atMs: Millis[] = [];
 
   constructor(private readonly perSecond: number) {}
 
   /** Takes a call now, where one may be made. */
-  tryTake(now: Millis): boolean {
+  tryAcquire(now: Millis): boolean {
     while (this.atMs[0] !== undefined && this.atMs[0] <= now - SECOND_MS) {
       this.atMs.shift();
     }
--- a/packages/order-capacity/src/capacity-duty.test.ts
+++ b/packages/order-capacity/src/capacity-controller.test.ts
@@ -1,20 +1,20 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { BOOT_MS, SERVICE } from './fake-platform.fixture.js';
-import createWorld from './world.fixture.js';
+import createFleet from './fleet.fixture.js';
 
 const SWAP_MS = BOOT_MS + 4_000;
 const KNOWN_SECONDS = 40;
 
 async function settled(options = {}) {
-  const world = createWorld(options);
+  const world = createFleet(options);
   const holder = world.createHolder('vm1', 1);
   await world.time.advance(SWAP_MS);
   return { world, holder };
 }
 
 test('a holder that knows nothing replaces plain by spot, and never has fewer', async () => {
-  const world = createWorld();
+  const world = createFleet();
   world.createHolder('vm1', 1);
   let least = Infinity;
   for (let step = 0; step < SWAP_MS / 100; step += 1) {
@@ -29,7 +29,7 @@
 });
 
 test('without the duty nothing is ordered', async () => {
-  const world = createWorld();
+  const world = createFleet();
   const holder = world.createHolder('vm1', 1);
   holder.state.token = undefined;
   await world.load([holder], { runs: 80, seconds: 30 });
@@ -134,7 +134,7 @@
 
 for (const isFenced of [true, false]) {
   test(`orders that are carried out late and out of order are put right, fenced: ${isFenced}`, async () => {
-    const world = createWorld({ isFenced });
+    const world = createFleet({ isFenced });
     const holder = world.createHolder('vm1', 1);
     world.faults.losesAnswers = true;
     world.faults.lateMs = 12_000;
@@ -164,7 +164,7 @@
 });
 
 test('a holder killed between two orders of one plan is followed by one that completes it', async () => {
-  const world = createWorld();
+  const world = createFleet();
   const holder = world.createHolder('vm1', 1);
   await world.time.advance(BOOT_MS + 100);
   holder.capacity.stop();
--- a/packages/order-capacity/src/capacity-duty.ts
+++ b/packages/order-capacity/src/capacity-controller.ts
@@ -8,23 +8,23 @@
 import type { DutyAnswer, DutyPlatform } from '@limelead/ports';
 import type { Clock, Millis, ServedService, ServiceTarget, Timers } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
-import CallRate from './call-rate.js';
-import type DemandBook from './demand-book.js';
-import viewDomains, { type DomainView } from './domain-view.js';
-import listOrders, { type TargetKind, type WantedOrder } from './order-book.js';
-import ServiceOrders from './service-orders.js';
+import CallRateLimiter from './call-rate-limiter.js';
+import type DemandTracker from './demand-tracker.js';
+import createDomainViews, { type DomainView } from './domain-view.js';
+import planOrders, { type TargetKind, type PlannedOrder } from './plan-orders.js';
+import ServiceOrderState from './service-order-state.js';
 import ServicePlanner, { type ServicePlan } from './service-plan.js';
 import type { CapacitySettings } from './settings.js';
 
 /** Pause between two looks, in milliseconds: an order goes out in the second of its cause. */
-const LOOK_MS = 250;
+const PLAN_INTERVAL_MS = 250;
 /** Longest time until an order arrives or is lost, in milliseconds: its call is given up then. */
-const ARRIVAL_MS = 1_000;
+const ORDER_TIMEOUT_MS = 1_000;
 /** Part of the calls of all duties that orders may take; reports of usage need the rest. */
 const CALL_SHARE = 0.5;
 
 /** What ordering needs. */
-export interface CapacityDutyOptions {
+export interface CapacityControllerOptions {
   duty: Duty;
   platform: DutyPlatform;
   clock: Clock;
@@ -34,7 +34,7 @@
   settings: CapacitySettings;
   /** Calls of all duties that the platform takes in a second. */
   callsPerSecond: number;
-  demand: DemandBook;
+  demand: DemandTracker;
   listServices(): readonly ServedService[];
   listTargets(service: string): ServiceTarget[];
 }
@@ -44,25 +44,25 @@
 
 interface ServiceState {
   planner: ServicePlanner;
-  orders: ServiceOrders;
+  orders: ServiceOrderState;
   plan?: ServicePlan;
   views: Map<string, DomainView>;
 }
 
 /** Looks, plans and orders, again and again. */
-export default class CapacityDuty {
+export default class CapacityController {
   private readonly services = new Map<string, ServiceState>();
   private readonly shown = new Set<string>();
-  private readonly rate: CallRate;
+  private readonly rate: CallRateLimiter;
   private token: number | undefined;
   private isStopped = false;
 
-  constructor(private readonly options: CapacityDutyOptions) {
-    this.rate = new CallRate(options.callsPerSecond * CALL_SHARE);
+  constructor(private readonly options: CapacityControllerOptions) {
+    this.rate = new CallRateLimiter(options.callsPerSecond * CALL_SHARE);
   }
 
   start(): void {
-    this.options.timers.after(LOOK_MS, () => {
+    this.options.timers.after(PLAN_INTERVAL_MS, () => {
       if (!this.isStopped) {
         this.look();
         this.start();
@@ -76,7 +76,7 @@
 
   private look(): void {
     const { duty, listServices } = this.options;
-    const token = duty.permit(ARRIVAL_MS)?.token;
+    const token = duty.permit(ORDER_TIMEOUT_MS)?.token;
     if (token === undefined) {
       return;
     }
@@ -99,17 +99,17 @@
     const now = clock.now();
     const state = this.stateOf(name);
     const { orders, planner } = state;
-    state.views = viewDomains(listTargets(name), scaling);
-    for (const failureDomain of orders.see(state.views, now)) {
+    state.views = createDomainViews(listTargets(name), scaling);
+    for (const failureDomain of orders.onViews(state.views, now)) {
       log.write('spot-targets-reclaimed', { service: name, failureDomain });
     }
     state.plan = planner.plan({
       now,
       scaling,
       engine,
-      demand: demand.read(name, now),
+      demand: demand.estimate(name, now),
       views: state.views,
-      isDry: (domain) => orders.isDry(domain, now),
+      isSpotUnavailable: (domain) => orders.isSpotUnavailable(domain, now),
     });
     state.views.forEach((_, domain) => this.show(name, domain));
     this.order(service, state, now);
@@ -121,22 +121,22 @@
       return;
     }
     const { max, bootMs } = scaling;
-    for (const order of listOrders(orders.toStates(views, plan, now), { now, max, bootMs })) {
-      if (orders.mayOrder(order.failureDomain, now) && this.rate.tryTake(now)) {
+    for (const order of planOrders(orders.toStates(views, plan, now), { now, max, bootMs })) {
+      if (orders.canOrder(order.failureDomain, now) && this.rate.tryAcquire(now)) {
         void this.send(name, state, order);
       }
     }
   }
 
-  private async send(service: string, state: ServiceState, order: WantedOrder): Promise<void> {
+  private async send(service: string, state: ServiceState, order: PlannedOrder): Promise<void> {
     const { duty, platform, clock } = this.options;
-    const permit = duty.permit(ARRIVAL_MS);
+    const permit = duty.permit(ORDER_TIMEOUT_MS);
     if (permit === undefined || permit.token !== this.token) {
       return;
     }
     const { failureDomain, kind, count } = order;
     const startedAtMs = clock.now();
-    state.orders.noteSending(order);
+    state.orders.onSending(order);
     const answer = await platform.orderTargets(
       { holder: duty.holder, token: permit.token },
       { service, failureDomain, count, isSpot: kind === 'spot' },
@@ -148,7 +148,7 @@
 
   private noteOutcome(
     { orders }: ServiceState,
-    order: WantedOrder,
+    order: PlannedOrder,
     outcome: DutyAnswer | 'no-answer',
     token: number,
   ): void {
@@ -156,23 +156,23 @@
     const now = clock.now();
     switch (outcome) {
       case 'taken':
-        orders.noteOrdered(order, now, true);
+        orders.onOrdered(order, now, true);
         break;
       case 'no-answer':
-        orders.noteOrdered(order, now, false);
+        orders.onOrdered(order, now, false);
         break;
       case 'refused':
         if (order.kind === 'spot') {
           // An outdated token is found out by the duty's own renewal.
-          orders.noteDry(order, now);
+          orders.onSpotRefused(order, now);
         } else {
-          orders.notePause(order, now, false);
+          orders.backOff(order, now, false);
           duty.noteOutdated(token);
         }
         break;
       case 'too-many':
       case 'invalid':
-        orders.notePause(order, now, outcome === 'invalid');
+        orders.backOff(order, now, outcome === 'invalid');
         break;
     }
   }
@@ -180,7 +180,7 @@
   private tell(
     service: string,
     { plan, views }: ServiceState,
-    { failureDomain, kind, count, reason }: WantedOrder,
+    { failureDomain, kind, count, reason }: PlannedOrder,
     sent: { outcome: string; token: number; startedAtMs: Millis },
   ): void {
     const { clock, log, metrics } = this.options;
@@ -198,7 +198,7 @@
       outcome,
       token,
       afterMs: Math.round(clock.now() - startedAtMs),
-      isLoadKnown: plan?.isKnown,
+      isLoadKnown: plan?.isLoadKnown,
       forecastTokensPerSecond: Math.round(plan?.forecast ?? 0),
       needed: plan?.needed,
       cover: plan?.cover,
@@ -213,7 +213,7 @@
     }
     const state: ServiceState = {
       planner: new ServicePlanner(this.options.settings),
-      orders: new ServiceOrders(),
+      orders: new ServiceOrderState(),
       views: new Map(),
     };
     this.services.set(name, state);
@@ -232,7 +232,7 @@
     const labels = (kind: TargetKind) => ({ service, failure_domain: domain, kind });
     for (const kind of ['plain', 'spot'] as const) {
       const wanted = (): number => state()?.plan?.counts.get(domain)?.[kind] ?? 0;
-      const ordered = (): number => state()?.orders.readOrdered(domain, kind) ?? 0;
+      const ordered = (): number => state()?.orders.lastOrderedCount(domain, kind) ?? 0;
       const ready = (): number => state()?.views.get(domain)?.[kind].ready ?? 0;
       metrics.gauge('limelead_capacity_wanted', wanted, labels(kind));
       metrics.gauge('limelead_capacity_ordered', ordered, labels(kind));
@@ -240,7 +240,7 @@
     }
     metrics.gauge(
       'limelead_capacity_dry',
-      () => Number(state()?.orders.isDry(domain, clock.now()) ?? false),
+      () => Number(state()?.orders.isSpotUnavailable(domain, clock.now()) ?? false),
       { service, failure_domain: domain },
     );
   }
--- a/packages/order-capacity/src/domain-view.ts
+++ b/packages/order-capacity/src/domain-view.ts
@@ -1,17 +1,17 @@
 /** What is there of one service, failure domain by failure domain. */
 import type { ServiceScaling, ServiceTarget } from '@limelead/types';
-import type { TargetKind, ThereCount } from './order-book.js';
+import type { TargetKind, PresentTargets } from './plan-orders.js';
 
 /** One failure domain as the store tells it. */
 export interface DomainView {
-  plain: ThereCount;
-  spot: ThereCount;
+  plain: PresentTargets;
+  spot: PresentTargets;
   /** All spot targets of the domain leave: none is to be had there for a while. */
   isReclaimed: boolean;
 }
 
 /** Looks at every target once. */
-export default function viewDomains(
+export default function createDomainViews(
   targets: readonly ServiceTarget[],
   scaling: ServiceScaling,
 ): Map<string, DomainView> {
@@ -29,7 +29,7 @@
 }
 
 function createView(): DomainView {
-  const none = (): ThereCount => ({ ready: 0, leaving: 0 });
+  const none = (): PresentTargets => ({ ready: 0, leaving: 0 });
   return { plain: none(), spot: none(), isReclaimed: false };
 }
 
--- a/packages/order-capacity/src/fake-platform.fixture.ts
+++ b/packages/order-capacity/src/fake-platform.fixture.ts
@@ -9,7 +9,7 @@
 export const BOOT_MS = 4_000;
 
 /** One order that the platform saw. */
-export interface SeenOrder extends TargetOrder, DutyCredentials {
+export interface ReceivedOrder extends TargetOrder, DutyCredentials {
   atMs: number;
 }
 
@@ -18,7 +18,7 @@
   const time = createManualTime();
   const targets = new Map<string, ServiceTarget>();
   const desired = new Map<string, number>();
-  const orders: SeenOrder[] = [];
+  const orders: ReceivedOrder[] = [];
   const dry = new Set<string>();
   let highestToken = 0;
   let nextId = 0;
@@ -51,7 +51,7 @@
     }
   }
 
-  function carryOut({ failureDomain, isSpot, count, token }: SeenOrder): DutyAnswer {
+  function carryOut({ failureDomain, isSpot, count, token }: ReceivedOrder): DutyAnswer {
     if (isFenced && token < highestToken) {
       return 'refused';
     }
--- a/packages/order-capacity/src/world.fixture.ts
+++ b/packages/order-capacity/src/fleet.fixture.ts
@@ -1,13 +1,13 @@
 /** One fleet: a platform, holders of the duty, and VMs that tell their load. */
 import type { Duty } from '@limelead/hold-duty';
 import type { ServedService } from '@limelead/types';
-import CapacityDuty from './capacity-duty.js';
-import DemandBook from './demand-book.js';
+import CapacityController from './capacity-controller.js';
+import DemandTracker from './demand-tracker.js';
 import createFakePlatform, { BOOT_MS, SERVICE } from './fake-platform.fixture.js';
 import { DEFAULT_CAPACITY, type CapacitySettings } from './settings.js';
 
 /** What a test may change. */
-export interface WorldOptions {
+export interface FleetOptions {
   domains?: string[];
   plain?: number;
   scaling?: { min?: number; max?: number };
@@ -16,7 +16,7 @@
 }
 
 /** Creates everything; nothing runs before a holder is started. */
-export default function createWorld(options: WorldOptions = {}) {
+export default function createFleet(options: FleetOptions = {}) {
   const { domains = ['a', 'b', 'c'], plain = 28, isFenced = true } = options;
   const fake = createFakePlatform(domains, plain, isFenced);
   const { time, targets, platform } = fake;
@@ -44,8 +44,8 @@
         state.token = undefined;
       },
     };
-    const demand = new DemandBook();
-    const capacity = new CapacityDuty({
+    const demand = new DemandTracker();
+    const capacity = new CapacityController({
       ...{ duty, platform, demand, clock: time.clock, timers: time.timers },
       log: {
         write: (event, fields = {}) => void lines.push({ event, fields }),
@@ -70,13 +70,13 @@
 
   /** Lets VMs tell a steady load for some seconds. */
   async function load(
-    holders: { demand: DemandBook }[],
+    holders: { demand: DemandTracker }[],
     { runs, seconds, vms = 4 }: { runs: number; seconds: number; vms?: number },
   ): Promise<void> {
     for (let second = 0; second < seconds; second += 1) {
       for (let vm = 0; vm < vms; vm += 1) {
         const told = tell(vm, runs / 4);
-        holders.forEach(({ demand }) => demand.take(`vm${vm}`, told, time.clock.now()));
+        holders.forEach(({ demand }) => demand.recordReport(`vm${vm}`, told, time.clock.now()));
       }
       await time.advance(1_000);
     }
--- a/packages/order-capacity/src/index.ts
+++ b/packages/order-capacity/src/index.ts
@@ -1,9 +1,16 @@
 /** Reads demand, and orders targets by the plan while this VM holds the duty. */
-export { default as CapacityDuty, type CapacityDutyOptions } from './capacity-duty.js';
-export { default as DemandBook, type DemandReport, type ServiceDemand } from './demand-book.js';
+export {
+  default as CapacityController,
+  type CapacityControllerOptions,
+} from './capacity-controller.js';
+export {
+  default as DemandTracker,
+  type DemandReport,
+  type ServiceDemand,
+} from './demand-tracker.js';
 export {
   capacityCodec,
   DEFAULT_CAPACITY,
-  readCapacity,
+  withCapacityDefaults,
   type CapacitySettings,
 } from './settings.js';
--- a/packages/order-capacity/src/order-book.test.ts
+++ b/packages/order-capacity/src/plan-orders.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import listOrders, { type DomainState } from './order-book.js';
+import planOrders, { type DomainState } from './plan-orders.js';
 
 const LIMITS = { now: 10_000, max: 56, bootMs: 4_000 };
 const NONE = { ready: 0, leaving: 0 };
@@ -8,18 +8,18 @@
 function domain(plain: number, spot: number, orderedPlain?: number): DomainState {
   return {
     wanted: { plain: 1, spot: 27 },
-    there: { plain: { ...NONE, ready: plain }, spot: { ...NONE, ready: spot } },
+    present: { plain: { ...NONE, ready: plain }, spot: { ...NONE, ready: spot } },
     ordered: {
       plain: orderedPlain === undefined ? undefined : sure(orderedPlain),
       spot: sure(27),
     },
-    isDry: false,
-    ask: undefined,
+    isSpotUnavailable: false,
+    spotRetryCount: undefined,
   };
 }
 
 function sure(count: number) {
-  return { count, atMs: 9_000, isSure: true };
+  return { count, atMs: 9_000, isConfirmed: true };
 }
 
 test('what was ordered away counts as gone, though the list still shows it', () => {
@@ -28,7 +28,7 @@
     ['b', domain(28, 0)],
     ['c', domain(28, 0)],
   ]);
-  assert.equal(listOrders(states, LIMITS), []);
+  assert.equal(planOrders(states, LIMITS), []);
 });
 
 test('what others replace may go, and no more', () => {
@@ -37,7 +37,7 @@
     ['b', domain(28, 0)],
     ['c', domain(28, 0)],
   ]);
-  assert.equal(listOrders(states, LIMITS), [
+  assert.equal(planOrders(states, LIMITS), [
     { failureDomain: 'a', kind: 'plain', count: 1, reason: 'fewer' },
   ]);
 });
--- a/packages/order-capacity/src/order-book.ts
+++ b/packages/order-capacity/src/plan-orders.ts
@@ -6,7 +6,7 @@
 export type TargetKind = keyof TargetCounts;
 
 /** Targets of one kind in one failure domain. */
-export interface ThereCount {
+export interface PresentTargets {
   /** Those that take work. */
   ready: number;
   leaving: number;
@@ -15,21 +15,21 @@
 /** One failure domain. */
 export interface DomainState {
   wanted: TargetCounts;
-  there: Record<TargetKind, ThereCount>;
+  present: Record<TargetKind, PresentTargets>;
   /** The last order of each kind; undefined where this holder gave none that counts. */
-  ordered: Record<TargetKind, PastOrder | undefined>;
+  ordered: Record<TargetKind, SentOrder | undefined>;
   /** No spot target is to be had there now. */
-  isDry: boolean;
+  isSpotUnavailable: boolean;
   /** Spot targets that a dry domain may be asked for now, whether it has them again. */
-  ask: number | undefined;
+  spotRetryCount: number | undefined;
 }
 
 /** An order that went out. */
-export interface PastOrder {
+export interface SentOrder {
   count: number;
   atMs: Millis;
   /** False where no answer came: it may be done, or be done seconds later. */
-  isSure: boolean;
+  isConfirmed: boolean;
 }
 
 /** Why an order goes out. */
@@ -42,7 +42,7 @@
   | 'no-answer';
 
 /** One order to send. */
-export interface WantedOrder {
+export interface PlannedOrder {
   failureDomain: string;
   kind: TargetKind;
   count: number;
@@ -59,18 +59,18 @@
 }
 
 /** Time until an entry of a new target is read everywhere, and late orders are done, in milliseconds. */
-const SETTLE_MS = 4_000;
+const SETTLE_MARGIN_MS = 4_000;
 /** Pause before an order without an answer is repeated, in milliseconds; it says the same number. */
-const REPEAT_MS = 1_000;
+const RETRY_DELAY_MS = 1_000;
 const KINDS: readonly TargetKind[] = ['spot', 'plain'];
 
 /** Lists orders, those for more targets first. */
-export default function listOrders(
+export default function planOrders(
   domains: ReadonlyMap<string, DomainState>,
   limits: OrderLimits,
-): WantedOrder[] {
+): PlannedOrder[] {
   const spare = new SpareTargets(domains);
-  const orders: WantedOrder[] = [];
+  const orders: PlannedOrder[] = [];
   for (const [failureDomain, state] of domains) {
     for (const kind of KINDS) {
       const count = isDryOf(state, kind) ? askFor(state, limits) : aim(state, kind, spare, limits);
@@ -83,14 +83,14 @@
   return orders.sort((a, b) => Number(a.reason === 'fewer') - Number(b.reason === 'fewer'));
 }
 
-function isDryOf({ isDry }: DomainState, kind: TargetKind): boolean {
-  return kind === 'spot' && isDry;
+function isDryOf({ isSpotUnavailable }: DomainState, kind: TargetKind): boolean {
+  return kind === 'spot' && isSpotUnavailable;
 }
 
 /** A dry domain is asked for what it would have if it were not; else nothing is ordered there. */
 function askFor(state: DomainState, { max }: OrderLimits): number {
   const present = presentOf(state, 'spot');
-  const most = Math.min(state.ask ?? 0, max - presentOf(state, 'plain'));
+  const most = Math.min(state.spotRetryCount ?? 0, max - presentOf(state, 'plain'));
   return Math.max(present, most);
 }
 
@@ -100,10 +100,10 @@
 
   constructor(domains: ReadonlyMap<string, DomainState>) {
     this.left = 0;
-    for (const { wanted, there, ordered } of domains.values()) {
+    for (const { wanted, present, ordered } of domains.values()) {
       for (const kind of KINDS) {
         // The list may still show targets that were ordered away.
-        this.left += Math.min(there[kind].ready, ordered[kind]?.count ?? Infinity) - wanted[kind];
+        this.left += Math.min(present[kind].ready, ordered[kind]?.count ?? Infinity) - wanted[kind];
       }
     }
   }
@@ -132,8 +132,8 @@
 }
 
 /** What was ordered last, or else what is there. */
-function presentOf({ ordered, there }: DomainState, kind: TargetKind): number {
-  return ordered[kind]?.count ?? there[kind].ready;
+function presentOf({ ordered, present }: DomainState, kind: TargetKind): number {
+  return ordered[kind]?.count ?? present[kind].ready;
 }
 
 function findReason(
@@ -151,9 +151,9 @@
     return undefined;
   }
   const ageMs = now - last.atMs;
-  if (!last.isSure) {
-    return ageMs >= REPEAT_MS ? 'no-answer' : undefined;
+  if (!last.isConfirmed) {
+    return ageMs >= RETRY_DELAY_MS ? 'no-answer' : undefined;
   }
-  const isOff = state.there[kind].ready !== last.count;
-  return isOff && ageMs >= bootMs + SETTLE_MS ? 'did-not-come' : undefined;
+  const isOff = state.present[kind].ready !== last.count;
+  return isOff && ageMs >= bootMs + SETTLE_MARGIN_MS ? 'did-not-come' : undefined;
 }
--- a/packages/order-capacity/src/service-plan.ts
+++ b/packages/order-capacity/src/service-plan.ts
@@ -1,26 +1,26 @@
 /** What one service should have in each failure domain, from what is known of its load. */
 import {
-  estimateNeed,
+  estimateTargetNeed,
   forecastByQuantile,
-  limitFall,
-  NEED_COUNTS_MS,
+  limitScaleDown,
+  SCALE_DOWN_DELAY_MS,
   planDomains,
-  targetsAt,
+  targetsForUtilization,
   type CapacityPlan,
-  type FallState,
+  type ScaleDownState,
   type TargetCounts,
 } from '@limelead/plan-capacity';
 import type { EngineTraits, Millis, ServiceScaling } from '@limelead/types';
-import { LOAD_SECONDS, type KnownDemand } from './demand-book.js';
+import { FORECAST_WINDOW_SECONDS, type DemandEstimate } from './demand-tracker.js';
 import type { DomainView } from './domain-view.js';
 import type { CapacitySettings } from './settings.js';
 
 /** Hundredths of runs, which fall as whole numbers do. */
-const HUNDREDTHS = 100;
+const RUNS_SCALE = 100;
 /** Seconds of load before which a forecast would follow chance. */
-const LEAST_SECONDS = 5;
+const MIN_OBSERVED_SECONDS = 5;
 /** Tokens that a run holds beside its prompt, as a part of it: what it has written. */
-const WRITTEN_SHARE = 0.2;
+const GENERATED_TOKEN_SHARE = 0.2;
 
 /** A plan with what it came from. */
 export interface ServicePlan extends CapacityPlan {
@@ -29,28 +29,33 @@
   /** Targets that carry the forecast; 0 where too little is known. */
   needed: number;
   /** False while the plan only keeps what is there. */
-  isKnown: boolean;
+  isLoadKnown: boolean;
 }
 
 /** What a plan is made from. */
-export interface ServiceFacts {
+export interface PlanInputs {
   now: Millis;
   scaling: ServiceScaling;
   engine: EngineTraits;
-  demand: KnownDemand | undefined;
+  demand: DemandEstimate | undefined;
   views: ReadonlyMap<string, DomainView>;
-  isDry(failureDomain: string): boolean;
+  isSpotUnavailable(failureDomain: string): boolean;
 }
 
-const START: FallState = { needed: 0, highest: 0, sinceMs: -Infinity, isFalling: false };
+const INITIAL_STATE: ScaleDownState = {
+  needed: 0,
+  peakNeed: 0,
+  sinceMs: -Infinity,
+  isScalingDown: false,
+};
 
 /** Remembers what a plan may not forget from one look to the next. */
 export default class ServicePlanner {
-  private need = START;
-  private runs = START;
+  private need = INITIAL_STATE;
+  private runs = INITIAL_STATE;
   private startedAtMs: Millis | undefined;
   private readMsPerToken: number | undefined;
-  private isKnown = false;
+  private isLoadKnown = false;
   /** Most targets that were seen in each failure domain, until the load is known. */
   private readonly seen = new Map<string, TargetCounts>();
   /** Domains whose plain targets this holder replaces by spot ones. */
@@ -59,12 +64,12 @@
   constructor(private readonly settings: CapacitySettings) {}
 
   /** Until the load is known the plan keeps as many targets as there are, or more. */
-  plan(facts: ServiceFacts): ServicePlan {
+  plan(facts: PlanInputs): ServicePlan {
     const forecast = this.forecast(facts);
     this.noteKnown(facts);
     const planned = this.planFor(facts);
-    const told = { forecast, needed: this.need.needed, isKnown: this.isKnown };
-    if (this.isKnown) {
+    const told = { forecast, needed: this.need.needed, isLoadKnown: this.isLoadKnown };
+    if (this.isLoadKnown) {
       return { ...planned, ...told };
     }
     const counts = new Map(
@@ -81,50 +86,50 @@
    * after as long as a need counts: a change of holder in a lull lowers nothing.
    * Known once, it stays known: at night too few runs begin to tell how fast targets read.
    */
-  private noteKnown({ demand, now }: ServiceFacts): void {
+  private noteKnown({ demand, now }: PlanInputs): void {
     this.startedAtMs ??= now;
-    this.isKnown ||=
+    this.isLoadKnown ||=
       this.readMsPerToken !== undefined &&
-      (demand?.seenSeconds ?? 0) >= LOAD_SECONDS &&
-      now - this.startedAtMs >= NEED_COUNTS_MS;
+      (demand?.observedSeconds ?? 0) >= FORECAST_WINDOW_SECONDS &&
+      now - this.startedAtMs >= SCALE_DOWN_DELAY_MS;
   }
 
   /** Gives the prompt tokens a second that are forecast, and takes the need for them. */
-  private forecast({ demand, engine, now }: ServiceFacts): number {
-    this.readMsPerToken = demand?.readMsPerToken ?? this.readMsPerToken;
+  private forecast({ demand, engine, now }: PlanInputs): number {
+    this.readMsPerToken = demand?.prefillMsPerToken ?? this.readMsPerToken;
     if (
       demand === undefined ||
       this.readMsPerToken === undefined ||
-      demand.seenSeconds < LEAST_SECONDS
+      demand.observedSeconds < MIN_OBSERVED_SECONDS
     ) {
       return 0;
     }
     const { headroom, load } = this.settings;
     const forecast = forecastByQuantile(headroom)(demand.tokensBySecond);
-    const need = estimateNeed(
+    const need = estimateTargetNeed(
       { promptTokensPerSecond: forecast, runs: demand.runs },
       {
-        readMsPerToken: this.readMsPerToken,
-        tokensPerRun: demand.tokensPerRun * (1 + WRITTEN_SHARE),
+        prefillMsPerToken: this.readMsPerToken,
+        tokensPerRun: demand.tokensPerRun * (1 + GENERATED_TOKEN_SHARE),
       },
       engine,
     );
-    this.need = limitFall(this.need, targetsAt(load, need), now);
+    this.need = limitScaleDown(this.need, targetsForUtilization(load, need), now);
     // The reserve is weighed against late runs; a swing of the runs may not swing it.
-    this.runs = limitFall(this.runs, Math.ceil(demand.runsPerSecond * HUNDREDTHS), now);
+    this.runs = limitScaleDown(this.runs, Math.ceil(demand.runsPerSecond * RUNS_SCALE), now);
     return forecast;
   }
 
-  private planFor({ scaling, views, isDry }: ServiceFacts): CapacityPlan {
+  private planFor({ scaling, views, isSpotUnavailable }: PlanInputs): CapacityPlan {
     return planDomains({
       domains: [...views].map(([name, { spot }]) => ({
         name,
-        mostSpot: isDry(name) ? spot.ready : undefined,
+        mostSpot: isSpotUnavailable(name) ? spot.ready : undefined,
       })),
       scaling,
       policy: this.settings,
       needed: this.need.needed,
-      runsPerSecond: this.runs.needed / HUNDREDTHS,
+      runsPerSecond: this.runs.needed / RUNS_SCALE,
     });
   }
 
@@ -132,7 +137,7 @@
    * As many as were seen. Where there are only plain ones, spot ones replace them; where an
    * earlier holder already ordered spot ones, nobody knows here which of them replace others.
    */
-  private keepSeen({ views, scaling }: ServiceFacts): Map<string, TargetCounts> {
+  private keepSeen({ views, scaling }: PlanInputs): Map<string, TargetCounts> {
     const { usesSpot, plainFloor } = this.settings;
     const maySpot = usesSpot && (scaling.spotPrice ?? 1) < 1;
     const counts = new Map<string, TargetCounts>();
--- a/packages/order-capacity/src/settings.ts
+++ b/packages/order-capacity/src/settings.ts
@@ -23,7 +23,7 @@
 };
 
 /** A number in its bounds; others are mistakes of unit. */
-function numberBetween(least: number, most: number): t.Type<number> {
+function boundedNumber(least: number, most: number): t.Type<number> {
   return new t.Type<number>(
     `a number from ${least} to ${most}`,
     (value): value is number => typeof value === 'number' && value >= least && value <= most,
@@ -37,14 +37,16 @@
 
 /** Checks the settings; what is left out keeps the product's default. */
 export const capacityCodec = t.partial({
-  headroom: numberBetween(0, 3),
-  load: numberBetween(0.05, 1),
+  headroom: boundedNumber(0, 3),
+  load: boundedNumber(0.05, 1),
   usesSpot: t.boolean,
-  plainFloor: numberBetween(0, 1_000),
-  lateRunsPerTargetSecond: numberBetween(0.000_001, 1_000),
+  plainFloor: boundedNumber(0, 1_000),
+  lateRunsPerTargetSecond: boundedNumber(0.000_001, 1_000),
 });
 
 /** Fills in the defaults. */
-export function readCapacity(settings: t.TypeOf<typeof capacityCodec> = {}): CapacitySettings {
+export function withCapacityDefaults(
+  settings: t.TypeOf<typeof capacityCodec> = {},
+): CapacitySettings {
   return { ...DEFAULT_CAPACITY, ...settings };
 }
--- a/packages/plan-capacity/src/compare-ways.fixture.ts
+++ b/packages/plan-capacity/src/compare-strategies.fixture.ts
@@ -1,7 +1,7 @@
 /** Plays a load with losses against ways to order targets, and counts what each costs. */
 import type { Forecast } from './forecast.js';
-import limitFall, { type FallState } from './limit-fall.js';
-import planDomains, { pricesOf } from './plan-domains.js';
+import limitScaleDown, { type ScaleDownState } from './limit-scale-down.js';
+import planDomains, { targetPrices } from './plan-domains.js';
 import type { CapacityPolicy, TargetCounts } from './types.js';
 
 const DOMAINS = ['a', 'b', 'c'];
@@ -17,15 +17,15 @@
 const WINDOW_SECONDS = 15;
 const RUNS_PER_SECOND = 18;
 /** Targets that one run of a second keeps busy for a second. */
-const WORK_OF_RUN = 1.1;
+const TARGET_SECONDS_PER_RUN = 1.1;
 /** Seconds of work that may wait until runs are late. */
-const PATIENCE_SECONDS = 3;
+const MAX_BACKLOG_SECONDS = 3;
 
 /** Targets of each domain for a need. */
-export type Way = (needed: number) => ReadonlyMap<string, TargetCounts>;
+export type OrderStrategy = (needed: number) => ReadonlyMap<string, TargetCounts>;
 
 /** What a way cost. */
-export interface WayCost {
+export interface StrategyCost {
   price: number;
   targetSeconds: number;
   lateRuns: number;
@@ -46,7 +46,7 @@
 }
 
 /** The ways that were weighed. */
-export const WAYS: Readonly<Record<string, Way>> = {
+export const STRATEGIES: Readonly<Record<string, OrderStrategy>> = {
   'keep all plain': () => evenly(28, 0),
   'cheapest plain': (needed) => {
     const cheap = Math.min(SCALING.max, needed);
@@ -71,7 +71,7 @@
 }
 
 /** Runs of each second: a wave, clumps of three, and now and then a jump of some seconds. */
-export function drawLoad(seed: number): number[] {
+export function generateLoad(seed: number): number[] {
   const random = createRandom(seed);
   let jumpUntil = 0;
   let jump = 1;
@@ -91,7 +91,7 @@
 }
 
 /** Each domain in its turn is down for a second of every six, and one loses its spot targets every 40 s. */
-function leftOf(counts: ReadonlyMap<string, TargetCounts>, second: number): number {
+function capacityLeft(counts: ReadonlyMap<string, TargetCounts>, second: number): number {
   const down = second % 6 === 0 ? DOMAINS[(second / 6) % 3] : undefined;
   const dry = second % 40 < 10 ? DOMAINS[Math.floor(second / 40) % 3] : undefined;
   let left = 0;
@@ -102,29 +102,33 @@
 }
 
 /** Plays one load. */
-export function playWay(way: Way, forecast: Forecast, seed: number): WayCost {
-  const loads = drawLoad(seed);
-  const cost: WayCost = { price: 0, targetSeconds: 0, lateRuns: 0, orders: 0 };
+export function simulateStrategy(
+  way: OrderStrategy,
+  forecast: Forecast,
+  seed: number,
+): StrategyCost {
+  const loads = generateLoad(seed);
+  const cost: StrategyCost = { price: 0, targetSeconds: 0, lateRuns: 0, orders: 0 };
   const ordered: ReadonlyMap<string, TargetCounts>[] = [];
-  let fall: FallState = { needed: 0, highest: 0, sinceMs: 0, isFalling: false };
+  let fall: ScaleDownState = { needed: 0, peakNeed: 0, sinceMs: 0, isScalingDown: false };
   let backlog = 0;
   loads.forEach((load, second) => {
     const seen = loads.slice(Math.max(0, second - WINDOW_SECONDS), second);
-    const needed = Math.ceil((forecast(seen) * WORK_OF_RUN) / POLICY.load);
-    fall = limitFall(fall, needed, second * 1_000);
+    const needed = Math.ceil((forecast(seen) * TARGET_SECONDS_PER_RUN) / POLICY.load);
+    fall = limitScaleDown(fall, needed, second * 1_000);
     const counts = second < WINDOW_SECONDS ? evenly(28, 0) : way(fall.needed);
     cost.orders += countOrders(ordered.at(-1), counts);
     ordered.push(counts);
     const serving = ordered[Math.max(0, second - BOOT_SECONDS)] ?? counts;
     for (const [domain, { plain, spot }] of counts) {
-      const price = pricesOf({ scaling: SCALING }, domain);
+      const price = targetPrices({ scaling: SCALING }, domain);
       cost.price += plain * price.plain + spot * price.spot;
       cost.targetSeconds += plain + spot;
     }
-    const left = leftOf(serving, second);
-    backlog = Math.max(0, backlog + load * WORK_OF_RUN - left);
-    const late = Math.max(0, backlog - left * PATIENCE_SECONDS);
-    cost.lateRuns += late / WORK_OF_RUN;
+    const left = capacityLeft(serving, second);
+    backlog = Math.max(0, backlog + load * TARGET_SECONDS_PER_RUN - left);
+    const late = Math.max(0, backlog - left * MAX_BACKLOG_SECONDS);
+    cost.lateRuns += late / TARGET_SECONDS_PER_RUN;
     backlog -= late;
   });
   return cost;
--- a/packages/plan-capacity/src/compare-ways.test.ts
+++ b/packages/plan-capacity/src/compare-strategies.test.ts
@@ -1,16 +1,21 @@
 /** The forecasts and ways that the design note compares; LIMELEAD_TABLE=1 prints its tables. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { playWay, WAYS, type Way, type WayCost } from './compare-ways.fixture.js';
-import { forecastByLevelAndSwing, forecastByQuantile, type Forecast } from './forecast.js';
+import {
+  simulateStrategy,
+  STRATEGIES,
+  type OrderStrategy,
+  type StrategyCost,
+} from './compare-strategies.fixture.js';
+import { forecastByMeanAndDeviation, forecastByQuantile, type Forecast } from './forecast.js';
 
 const SEEDS = [11, 12, 13];
 const HEADROOM = 0;
 
-function playAll(way: Way, forecast: Forecast): WayCost {
-  const total: WayCost = { price: 0, targetSeconds: 0, lateRuns: 0, orders: 0 };
+function playAll(way: OrderStrategy, forecast: Forecast): StrategyCost {
+  const total: StrategyCost = { price: 0, targetSeconds: 0, lateRuns: 0, orders: 0 };
   for (const seed of SEEDS) {
-    const cost = playWay(way, forecast, seed);
+    const cost = simulateStrategy(way, forecast, seed);
     total.price += cost.price;
     total.targetSeconds += cost.targetSeconds;
     total.lateRuns += cost.lateRuns;
@@ -19,18 +24,21 @@
   return total;
 }
 
-function show(name: string, { price, targetSeconds, lateRuns, orders }: WayCost): void {
+function show(name: string, { price, targetSeconds, lateRuns, orders }: StrategyCost): void {
   if (process.env.LIMELEAD_TABLE !== undefined) {
     const cells = [price, targetSeconds, lateRuns, orders].map((figure) => Math.round(figure));
     process.stdout.write(`| ${[name, ...cells].join(' | ')} |\n`);
   }
 }
 
-const plan = WAYS['planned'] as Way;
+const plan = STRATEGIES['planned'] as OrderStrategy;
 
 test('the planned way costs a third of keeping all plain, and makes no more runs late', () => {
   const costs = new Map(
-    Object.entries(WAYS).map(([name, way]) => [name, playAll(way, forecastByQuantile(HEADROOM))]),
+    Object.entries(STRATEGIES).map(([name, way]) => [
+      name,
+      playAll(way, forecastByQuantile(HEADROOM)),
+    ]),
   );
   costs.forEach((cost, name) => show(name, cost));
   const planned = costs.get('planned');
@@ -44,7 +52,7 @@
 
 test('the quantile orders no more often than level and swing', () => {
   const byQuantile = playAll(plan, forecastByQuantile(HEADROOM));
-  const bySwing = playAll(plan, forecastByLevelAndSwing(HEADROOM));
+  const bySwing = playAll(plan, forecastByMeanAndDeviation(HEADROOM));
   show('quantile', byQuantile);
   show('level and swing', bySwing);
   assert.ok(byQuantile.orders <= bySwing.orders, `${byQuantile.orders}, ${bySwing.orders}`);
--- a/packages/plan-capacity/src/forecast.ts
+++ b/packages/plan-capacity/src/forecast.ts
@@ -7,13 +7,13 @@
 export type Forecast = (loads: readonly number[]) => number;
 
 /** Seconds that are taken together: runs that come within them may wait for each other. */
-const SMOOTH_SECONDS = 3;
+const AVERAGING_SECONDS = 3;
 /** Part of the seconds that may lie above the forecast before its headroom. */
-const EXCEEDED = 0.1;
+const EXCEEDED_SHARE = 0.1;
 /** Weight of the newest second in level and swing; 0.2 remembers some ten seconds. */
-const GAIN = 0.2;
+const SMOOTHING_FACTOR = 0.2;
 /** Swings above the level: a wave's peak lies about 1.6 mean swings above its level. */
-const SWINGS = 2;
+const DEVIATION_FACTOR = 2;
 
 /**
  * The load that nine seconds of ten stay below, times the headroom.
@@ -22,27 +22,27 @@
 export function forecastByQuantile(headroom: number): Forecast {
   return (loads) => {
     const sorted = smooth(loads).sort((a, b) => a - b);
-    const index = Math.ceil(sorted.length * (1 - EXCEEDED)) - 1;
+    const index = Math.ceil(sorted.length * (1 - EXCEEDED_SHARE)) - 1;
     return (sorted[Math.max(0, index)] ?? 0) * (1 + headroom);
   };
 }
 
 /** A moving level and two moving swings, times the headroom. */
-export function forecastByLevelAndSwing(headroom: number): Forecast {
+export function forecastByMeanAndDeviation(headroom: number): Forecast {
   return (loads) => {
     const [first = 0, ...rest] = smooth(loads);
     let level = first;
     let swing = 0;
     for (const load of rest) {
-      swing += GAIN * (Math.abs(load - level) - swing);
-      level += GAIN * (load - level);
+      swing += SMOOTHING_FACTOR * (Math.abs(load - level) - swing);
+      level += SMOOTHING_FACTOR * (load - level);
     }
-    return (level + SWINGS * swing) * (1 + headroom);
+    return (level + DEVIATION_FACTOR * swing) * (1 + headroom);
   };
 }
 
 function smooth(loads: readonly number[]): number[] {
-  const length = Math.min(SMOOTH_SECONDS, loads.length);
+  const length = Math.min(AVERAGING_SECONDS, loads.length);
   return Array.from({ length: loads.length - length + 1 }, (_, start) => {
     const together = loads.slice(start, start + length);
     return together.reduce((sum, load) => sum + load, 0) / Math.max(1, length);
--- a/packages/plan-capacity/src/index.ts
+++ b/packages/plan-capacity/src/index.ts
@@ -1,19 +1,23 @@
 /** Pure plan of how many targets each failure domain should have, plain and spot, for a demand. */
-export { forecastByLevelAndSwing, forecastByQuantile, type Forecast } from './forecast.js';
-export { default as limitFall, NEED_COUNTS_MS, type FallState } from './limit-fall.js';
+export { forecastByMeanAndDeviation, forecastByQuantile, type Forecast } from './forecast.js';
 export {
-  default as estimateNeed,
-  targetsAt,
+  default as limitScaleDown,
+  SCALE_DOWN_DELAY_MS,
+  type ScaleDownState,
+} from './limit-scale-down.js';
+export {
+  default as estimateTargetNeed,
+  targetsForUtilization,
   type ServiceLoad,
   type TargetNeed,
-  type TargetPace,
+  type TargetPerformance,
 } from './needed-targets.js';
-export { default as planDomains, pricesOf } from './plan-domains.js';
+export { default as planDomains, targetPrices } from './plan-domains.js';
 export type {
   CapacityPlan,
   CapacityPolicy,
-  CapacityQuestion,
-  Cover,
+  CapacityInputs,
+  LossCoverage,
   PlannedDomain,
   TargetCounts,
 } from './types.js';
--- a/packages/plan-capacity/src/limit-fall.test.ts
+++ b/packages/plan-capacity/src/limit-scale-down.test.ts
@@ -1,13 +1,13 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import limitFall, { NEED_COUNTS_MS, type FallState } from './limit-fall.js';
+import limitScaleDown, { SCALE_DOWN_DELAY_MS, type ScaleDownState } from './limit-scale-down.js';
 
-const START: FallState = { needed: 0, highest: 0, sinceMs: 0, isFalling: false };
+const START: ScaleDownState = { needed: 0, peakNeed: 0, sinceMs: 0, isScalingDown: false };
 
 function play(needOf: (second: number) => number, seconds: number): number[] {
   let state = START;
   return Array.from({ length: seconds }, (_, second) => {
-    state = limitFall(state, needOf(second), second * 1_000);
+    state = limitScaleDown(state, needOf(second), second * 1_000);
     return state.needed;
   });
 }
@@ -24,7 +24,7 @@
 
 test('a fall waits, and then goes down step by step', () => {
   const needs = play((second) => (second < 5 ? 40 : 10), 90);
-  assert.is(needs[4 + NEED_COUNTS_MS / 1_000 - 1], 40);
+  assert.is(needs[4 + SCALE_DOWN_DELAY_MS / 1_000 - 1], 40);
   const last = needs.at(-1) ?? 0;
   assert.ok(last >= 10 && last * 0.9 <= 10, `${last} after all`);
   needs.slice(1).forEach((need, index) => {
--- a/packages/plan-capacity/src/limit-fall.ts
+++ b/packages/plan-capacity/src/limit-scale-down.ts
@@ -5,37 +5,46 @@
  * A need counts for this long, in milliseconds: longer than the swings of the users'
  * load, which pass in 11 s, so that they order nothing.
  */
-export const NEED_COUNTS_MS = 20_000;
+export const SCALE_DOWN_DELAY_MS = 20_000;
 /** Time between two steps down, in milliseconds; a new target takes about as long to serve. */
-export const FALL_STEP_MS = 5_000;
+export const SCALE_DOWN_INTERVAL_MS = 5_000;
 /** Part of what there is that one step down takes. */
-const FALL_SHARE = 0.15;
+const MAX_SCALE_DOWN_SHARE = 0.15;
 /** A fall smaller than this part is not worth the runs that it moves. */
-const LEAST_FALL_SHARE = 0.1;
+const MIN_SCALE_DOWN_SHARE = 0.1;
 
 /** What the last look left. */
-export interface FallState {
+export interface ScaleDownState {
   /** What the plan is made for: targets, or hundredths of runs a second. */
   needed: number;
   /** The highest need since the step, which the next one may fall to. */
-  highest: number;
+  peakNeed: number;
   /** When the need last rose, or a step down was made. */
   sinceMs: Millis;
   /** True once it fell, so that the next step may follow sooner. */
-  isFalling: boolean;
+  isScalingDown: boolean;
 }
 
 /** Takes a need as it is now. */
-export default function limitFall(state: FallState, needed: number, now: Millis): FallState {
+export default function limitScaleDown(
+  state: ScaleDownState,
+  needed: number,
+  now: Millis,
+): ScaleDownState {
   if (needed >= state.needed) {
-    return { needed, highest: 0, sinceMs: now, isFalling: false };
+    return { needed, peakNeed: 0, sinceMs: now, isScalingDown: false };
   }
-  const highest = Math.max(state.highest, needed);
-  const waitMs = state.isFalling ? FALL_STEP_MS : NEED_COUNTS_MS;
+  const highest = Math.max(state.peakNeed, needed);
+  const waitMs = state.isScalingDown ? SCALE_DOWN_INTERVAL_MS : SCALE_DOWN_DELAY_MS;
   if (now - state.sinceMs < waitMs) {
-    return { ...state, highest };
+    return { ...state, peakNeed: highest };
   }
-  const fallen = Math.max(highest, Math.floor(state.needed * (1 - FALL_SHARE)));
-  const isWorth = state.needed - highest >= state.needed * LEAST_FALL_SHARE;
-  return { needed: isWorth ? fallen : state.needed, highest: 0, sinceMs: now, isFalling: isWorth };
+  const fallen = Math.max(highest, Math.floor(state.needed * (1 - MAX_SCALE_DOWN_SHARE)));
+  const isWorth = state.needed - highest >= state.needed * MIN_SCALE_DOWN_SHARE;
+  return {
+    needed: isWorth ? fallen : state.needed,
+    peakNeed: 0,
+    sinceMs: now,
+    isScalingDown: isWorth,
+  };
 }
--- a/packages/plan-capacity/src/needed-targets.ts
+++ b/packages/plan-capacity/src/needed-targets.ts
@@ -10,36 +10,39 @@
 }
 
 /** What targets were seen to do. */
-export interface TargetPace {
+export interface TargetPerformance {
   /** Milliseconds for one token of a prompt, as targets really took. */
-  readMsPerToken: number;
+  prefillMsPerToken: number;
   /** Tokens that a run holds in memory, on the average. */
   tokensPerRun: number;
 }
 
 /** Targets that one thing alone asks for, at full load. */
 export interface TargetNeed {
-  reading: number;
+  prefill: number;
   memory: number;
   slots: number;
 }
 
-const MILLISECONDS_A_SECOND = 1_000;
+const MS_PER_SECOND = 1_000;
 
 /** Gives the need by each thing; the highest decides. */
-export default function estimateNeed(
+export default function estimateTargetNeed(
   { promptTokensPerSecond, runs }: ServiceLoad,
-  { readMsPerToken, tokensPerRun }: TargetPace,
+  { prefillMsPerToken, tokensPerRun }: TargetPerformance,
   { slots, memoryTokens }: EngineTraits,
 ): TargetNeed {
   return {
-    reading: (promptTokensPerSecond * readMsPerToken) / MILLISECONDS_A_SECOND,
+    prefill: (promptTokensPerSecond * prefillMsPerToken) / MS_PER_SECOND,
     memory: (runs * tokensPerRun) / Math.max(1, memoryTokens),
     slots: runs / Math.max(1, slots),
   };
 }
 
 /** Targets that carry it where each is loaded by that part. */
-export function targetsAt(load: number, { reading, memory, slots }: TargetNeed): number {
-  return Math.ceil(Math.max(reading, memory, slots) / load);
+export function targetsForUtilization(
+  load: number,
+  { prefill, memory, slots }: TargetNeed,
+): number {
+  return Math.ceil(Math.max(prefill, memory, slots) / load);
 }
--- a/packages/plan-capacity/src/plan-domains.test.ts
+++ b/packages/plan-capacity/src/plan-domains.test.ts
@@ -1,10 +1,10 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import planDomains from './plan-domains.js';
-import type { CapacityQuestion, TargetCounts } from './types.js';
+import type { CapacityInputs, TargetCounts } from './types.js';
 
 const DOMAINS = ['a', 'b', 'c'].map((name) => ({ name }));
-const QUESTION: CapacityQuestion = {
+const QUESTION: CapacityInputs = {
   domains: DOMAINS,
   scaling: { min: 1, max: 56, bootMs: 4_000, spotPrice: 0.15, domainPrices: {} },
   policy: { load: 0.9, usesSpot: true, plainFloor: 1, lateRunsPerTargetSecond: 0.01 },
--- a/packages/plan-capacity/src/types.ts
+++ b/packages/plan-capacity/src/types.ts
@@ -11,7 +11,7 @@
 export interface PlannedDomain {
   name: string;
   /** Spot targets at most, where no more are to be had there now; undefined where more are. */
-  mostSpot?: number;
+  maxSpot?: number;
 }
 
 /** What an operator decides about the plan. */
@@ -27,7 +27,7 @@
 }
 
 /** What a plan is made for. */
-export interface CapacityQuestion {
+export interface CapacityInputs {
   domains: readonly PlannedDomain[];
   scaling: ServiceScaling;
   policy: CapacityPolicy;
@@ -38,7 +38,7 @@
 }
 
 /** Which losses a plan bears with all runs on time. */
-export type Cover =
+export type LossCoverage =
   /** A failure domain and the spot targets of another one. */
   | 'two-losses'
   /** A failure domain, or the spot targets of one. */
@@ -49,8 +49,8 @@
 export interface CapacityPlan {
   counts: ReadonlyMap<string, TargetCounts>;
   /** The same if no domain were dry. */
-  open: ReadonlyMap<string, TargetCounts>;
-  cover: Cover;
+  unconstrainedCounts: ReadonlyMap<string, TargetCounts>;
+  cover: LossCoverage;
   /** Price of a second, in plain targets at price 1. */
   pricePerSecond: number;
   /** Runs that are expected to be late or lost in a second, over all losses by their likelihood. */
