--- a/packages/order-capacity/src/call-rate-limiter.ts
+++ b/packages/order-capacity/src/call-rate-limiter.ts
@@ -1,15 +1,15 @@
-/** Bounds calls: no second holds more of them than that. */
+/** Limits the number of calls per second. */
 import type { Millis } from '@limelead/types';
 
 const SECOND_MS = 1_000;
 
-/** Remembers the calls of the last second. */
+/** Sliding-window limiter over the last second. */
 export default class CallRateLimiter {
   private readonly atMs: Millis[] = [];
 
   constructor(private readonly perSecond: number) {}
 
-  /** Takes a call now, where one may be made. */
+  /** Counts a call at this time and returns true, or returns false if the limit is reached. */
   tryAcquire(now: Millis): boolean {
     while (this.atMs[0] !== undefined && this.atMs[0] <= now - SECOND_MS) {
       this.atMs.shift();
--- a/packages/order-capacity/src/capacity-controller.ts
+++ b/packages/order-capacity/src/capacity-controller.ts
@@ -1,6 +1,6 @@
 /**
- * Orders targets while this VM holds the duty. A holder starts with what is there and what
- * every VM told of its load; what an earlier holder ordered it finds in the store.
+ * Orders targets while this VM holds the duty. A new holder starts from the present targets and the
+ * reported load; orders of earlier holders are read from the store.
  */
 import type { DecisionLog } from '@limelead/decision-log';
 import type { Duty } from '@limelead/hold-duty';
@@ -16,14 +16,14 @@
 import ServicePlanner, { type ServicePlan } from './service-plan.js';
 import type { CapacitySettings } from './settings.js';
 
-/** Pause between two looks, in milliseconds: an order goes out in the second of its cause. */
+/** Time between two planning passes; short enough to order within a second of a change. */
 const PLAN_INTERVAL_MS = 250;
-/** Longest time until an order arrives or is lost, in milliseconds: its call is given up then. */
+/** Time until an order's call is given up; the duty must last at least this long. */
 const ORDER_TIMEOUT_MS = 1_000;
-/** Part of the calls of all duties that orders may take; reports of usage need the rest. */
+/** Share of all duty calls that orders may use; usage reports need the rest. */
 const CALL_SHARE = 0.5;
 
-/** What ordering needs. */
+/** Dependencies of the capacity controller. */
 export interface CapacityControllerOptions {
   duty: Duty;
   platform: DutyPlatform;
@@ -32,14 +32,14 @@
   log: DecisionLog;
   metrics: Metrics;
   settings: CapacitySettings;
-  /** Calls of all duties that the platform takes in a second. */
+  /** Calls per second that the platform accepts for all duties together. */
   callsPerSecond: number;
   demand: DemandTracker;
   listServices(): readonly ServedService[];
   listTargets(service: string): ServiceTarget[];
 }
 
-/** A service that this system orders targets of. */
+/** A service whose targets this system orders. */
 type ScaledService = ServedService & Required<Pick<ServedService, 'engine' | 'scaling'>>;
 
 interface ServiceState {
@@ -49,10 +49,10 @@
   views: Map<string, DomainView>;
 }
 
-/** Looks, plans and orders, again and again. */
+/** Plans and orders targets at intervals. */
 export default class CapacityController {
   private readonly services = new Map<string, ServiceState>();
-  private readonly shown = new Set<string>();
+  private readonly gaugeKeys = new Set<string>();
   private readonly rate: CallRateLimiter;
   private token: number | undefined;
   private isStopped = false;
@@ -64,7 +64,7 @@
   start(): void {
     this.options.timers.after(PLAN_INTERVAL_MS, () => {
       if (!this.isStopped) {
-        this.look();
+        this.runPass();
         this.start();
       }
     });
@@ -74,14 +74,14 @@
     this.isStopped = true;
   }
 
-  private look(): void {
+  private runPass(): void {
     const { duty, listServices } = this.options;
     const token = duty.permit(ORDER_TIMEOUT_MS)?.token;
     if (token === undefined) {
       return;
     }
     if (token !== this.token) {
-      // What was ordered under another token may have been changed by another holder since.
+      // Another holder may have changed earlier orders since the last token.
       this.services.clear();
       this.token = token;
     }
@@ -90,14 +90,14 @@
     [...this.services.keys()]
       .filter((name) => !names.has(name))
       .forEach((name) => this.services.delete(name));
-    scaled.forEach((service) => this.lookAt(service));
+    scaled.forEach((service) => this.planService(service));
   }
 
-  private lookAt(service: ScaledService): void {
+  private planService(service: ScaledService): void {
     const { clock, demand, listTargets, log } = this.options;
     const { name, scaling, engine } = service;
     const now = clock.now();
-    const state = this.stateOf(name);
+    const state = this.getState(name);
     const { orders, planner } = state;
     state.views = createDomainViews(listTargets(name), scaling);
     for (const failureDomain of orders.onViews(state.views, now)) {
@@ -111,11 +111,11 @@
       views: state.views,
       isSpotUnavailable: (domain) => orders.isSpotUnavailable(domain, now),
     });
-    state.views.forEach((_, domain) => this.show(name, domain));
-    this.order(service, state, now);
+    state.views.forEach((_, domain) => this.registerGauges(name, domain));
+    this.sendOrders(service, state, now);
   }
 
-  private order({ name, scaling }: ScaledService, state: ServiceState, now: Millis): void {
+  private sendOrders({ name, scaling }: ScaledService, state: ServiceState, now: Millis): void {
     const { orders, plan, views } = state;
     if (plan === undefined) {
       return;
@@ -142,11 +142,11 @@
       { service, failureDomain, count, isSpot: kind === 'spot' },
     )();
     const outcome = E.isLeft(answer) ? 'no-answer' : answer.right;
-    this.tell(service, state, order, { outcome, token: permit.token, startedAtMs });
-    this.noteOutcome(state, order, outcome, permit.token);
+    this.logOrder(service, state, order, { outcome, token: permit.token, startedAtMs });
+    this.recordOutcome(state, order, outcome, permit.token);
   }
 
-  private noteOutcome(
+  private recordOutcome(
     { orders }: ServiceState,
     order: PlannedOrder,
     outcome: DutyAnswer | 'no-answer',
@@ -163,7 +163,7 @@
         break;
       case 'refused':
         if (order.kind === 'spot') {
-          // An outdated token is found out by the duty's own renewal.
+          // An outdated token is detected by the duty's renewal.
           orders.onSpotRefused(order, now);
         } else {
           orders.backOff(order, now, false);
@@ -177,14 +177,14 @@
     }
   }
 
-  private tell(
+  private logOrder(
     service: string,
     { plan, views }: ServiceState,
     { failureDomain, kind, count, reason }: PlannedOrder,
     sent: { outcome: string; token: number; startedAtMs: Millis },
   ): void {
     const { clock, log, metrics } = this.options;
-    const there = views.get(failureDomain)?.[kind];
+    const present = views.get(failureDomain)?.[kind];
     const { outcome, token, startedAtMs } = sent;
     metrics.count('limelead_capacity_orders_total', 1, { outcome });
     log.write('targets-ordered', {
@@ -192,8 +192,8 @@
       failureDomain,
       kind,
       count,
-      ready: there?.ready,
-      leaving: there?.leaving,
+      ready: present?.ready,
+      leaving: present?.leaving,
       reason,
       outcome,
       token,
@@ -206,7 +206,7 @@
     });
   }
 
-  private stateOf(name: string): ServiceState {
+  private getState(name: string): ServiceState {
     const known = this.services.get(name);
     if (known !== undefined) {
       return known;
@@ -220,13 +220,13 @@
     return state;
   }
 
-  /** Figures read what this VM knows when they are asked for; 0 where it does not hold the duty. */
-  private show(service: string, domain: string): void {
+  /** Registers gauges that read the current state; 0 while this VM does not hold the duty. */
+  private registerGauges(service: string, domain: string): void {
     const key = `${service} ${domain}`;
-    if (this.shown.has(key)) {
+    if (this.gaugeKeys.has(key)) {
       return;
     }
-    this.shown.add(key);
+    this.gaugeKeys.add(key);
     const { metrics, clock } = this.options;
     const state = (): ServiceState | undefined => this.services.get(service);
     const labels = (kind: TargetKind) => ({ service, failure_domain: domain, kind });
--- a/packages/order-capacity/src/demand-tracker.ts
+++ b/packages/order-capacity/src/demand-tracker.ts
@@ -1,60 +1,60 @@
 /**
- * What callers of all VMs ask of each service, second by second. VMs tell sums since they
- * started, so that a report that is lost or repeated changes nothing.
+ * Tracks the demand for each service per second over all VMs. VMs report totals since their start,
+ * so lost or repeated reports change nothing.
  */
 import type { Millis } from '@limelead/types';
 
-/** What one VM tells of one service. */
+/** Demand for one service as reported by one VM. */
 export interface ServiceDemand {
   service: string;
-  /** Requests that were admitted, and the tokens of their prompts; sums so far. */
+  /** Requests admitted and their prompt tokens; totals so far. */
   arrived: number;
   promptTokens: number;
-  /** Requests that targets have begun and not ended, and those that wait; now. */
+  /** Requests running at targets, and requests waiting; current values. */
   running: number;
   waiting: number;
-  /** Prompt tokens of runs that were begun, and milliseconds until their first pieces; sums so far. */
+  /** Prompt tokens of started runs and milliseconds until their first pieces; totals so far. */
   begunTokens: number;
   begunMs: number;
 }
 
-/** What one VM tells. */
+/** Demand report of one VM. */
 export interface DemandReport {
-  /** Names the process; sums begin anew with each. */
+  /** Id of the process; totals restart with each process. */
   incarnation: string;
   services: readonly ServiceDemand[];
 }
 
-/** What is known of a service's load. */
+/** Estimated load of one service. */
 export interface DemandEstimate {
-  /** Seconds since the first request that was told. */
+  /** Seconds since the first reported request. */
   observedSeconds: number;
   /** Prompt tokens that arrived in each of the last seconds, oldest first. */
   tokensBySecond: readonly number[];
-  /** Over the last seconds. */
+  /** Average over the last seconds. */
   runsPerSecond: number;
   tokensPerRun: number;
-  /** Runs under way and waiting now. */
+  /** Runs in progress and waiting now. */
   runs: number;
-  /** Least time for a token of a prompt that targets lately took; undefined where too few were begun. */
+  /** Best recent prefill time per prompt token; undefined if too few runs started. */
   prefillMsPerToken?: number;
 }
 
 const SECOND_MS = 1_000;
-/** Seconds of load that forecasts look at: longer than the swings of the users' load, 11 s. */
+/** Seconds of load used for forecasts; longer than the usual swings of the load. */
 export const FORECAST_WINDOW_SECONDS = 15;
-/** Seconds in which targets' best time for a token is looked for: long enough to hold a calm one. */
+/** Seconds searched for the best prefill time; long enough to include a time of low load. */
 const PREFILL_WINDOW_SECONDS = 60;
-/** Runs that a mean time for a token is taken over, at least; fewer are chance. */
+/** Minimum number of runs to average a prefill time over. */
 const MIN_PREFILL_RUNS = 8;
-/** A VM that told nothing for this long has no runs any more, in milliseconds: three reports. */
+/** Time without a report after which a VM's runs are no longer counted. */
 const REPORT_TIMEOUT_MS = 3_000;
 /**
- * A VM that is silent longer is gone, and its callers came back elsewhere, in milliseconds.
- * Until then the others' load is taken to be its too, so that lost reports shrink nothing.
+ * Time without a report after which a VM is removed. Until then the load of the others is scaled up
+ * in its place, so that lost reports do not scale down.
  */
 const VM_EXPIRY_MS = 15_000;
-/** The others' load is raised to this many times at most. */
+/** Maximum factor for scaling up the load of the other VMs. */
 const MAX_SCALE_FACTOR = 2;
 
 interface LastReport {
@@ -63,7 +63,7 @@
   services: Map<string, ServiceDemand>;
 }
 
-/** Time between two reports; what arrived is taken to have come evenly in it. */
+/** Interval between two reports; requests are spread evenly over it. */
 interface ReportInterval {
   sinceMs: Millis;
   untilMs: Millis;
@@ -83,14 +83,14 @@
   seconds: SecondTotals[];
 }
 
-/** Holds what was told. */
+/** Collects demand reports and estimates the load. */
 export default class DemandTracker {
-  private readonly told = new Map<string, LastReport>();
-  private readonly books = new Map<string, ServiceHistory>();
+  private readonly lastReports = new Map<string, LastReport>();
+  private readonly histories = new Map<string, ServiceHistory>();
 
-  /** Takes what a VM tells. */
+  /** Records a report of a VM. */
   recordReport(vm: string, { incarnation, services }: DemandReport, now: Millis): void {
-    const before = this.told.get(vm);
+    const before = this.lastReports.get(vm);
     const isSame = before?.incarnation === incarnation;
     const known = isSame ? before.services : new Map<string, ServiceDemand>();
     for (const demand of services) {
@@ -100,48 +100,54 @@
       });
       known.set(demand.service, demand);
     }
-    this.told.set(vm, { incarnation, atMs: now, services: known });
+    this.lastReports.set(vm, { incarnation, atMs: now, services: known });
   }
 
-  /** Undefined where no request of the service was told. */
+  /** Returns the estimated load; undefined before any request of the service. */
   estimate(service: string, now: Millis): DemandEstimate | undefined {
-    const book = this.books.get(service);
-    if (book === undefined) {
+    const history = this.histories.get(service);
+    if (history === undefined) {
       return undefined;
     }
-    this.forget(now);
+    this.removeExpired(now);
     const last = Math.floor(now / SECOND_MS) - 1;
-    const lately = book.seconds.filter(
+    const recent = history.seconds.filter(
       ({ second }) => second <= last && second > last - FORECAST_WINDOW_SECONDS,
     );
-    const seenSeconds = Math.max(0, last - book.firstSecond + 1);
-    const tokens = sum(lately, 'tokens');
-    const arrived = sum(lately, 'arrived');
-    const raise = this.raiseForSilent(now);
+    const observedSeconds = Math.max(0, last - history.firstSecond + 1);
+    const tokens = sum(recent, 'tokens');
+    const arrived = sum(recent, 'arrived');
+    const factor = this.silentVmFactor(now);
     return {
-      observedSeconds: seenSeconds,
-      tokensBySecond: listSeconds(lately, last, Math.min(seenSeconds, FORECAST_WINDOW_SECONDS)).map(
-        (load) => load * raise,
-      ),
+      observedSeconds: observedSeconds,
+      tokensBySecond: listSeconds(
+        recent,
+        last,
+        Math.min(observedSeconds, FORECAST_WINDOW_SECONDS),
+      ).map((load) => load * factor),
       runsPerSecond:
-        (arrived * raise) / Math.max(1, Math.min(seenSeconds, FORECAST_WINDOW_SECONDS)),
+        (arrived * factor) / Math.max(1, Math.min(observedSeconds, FORECAST_WINDOW_SECONDS)),
       tokensPerRun: tokens / Math.max(1, arrived),
-      runs: this.countRuns(service, now) * raise,
-      prefillMsPerToken: bestPace(
-        book.seconds.filter(({ second }) => second > last - PREFILL_WINDOW_SECONDS),
+      runs: this.countRuns(service, now) * factor,
+      prefillMsPerToken: bestPrefillMsPerToken(
+        history.seconds.filter(({ second }) => second > last - PREFILL_WINDOW_SECONDS),
       ),
     };
   }
 
-  private add(demand: ServiceDemand, known: ServiceDemand | undefined, told: ReportInterval): void {
-    // What a VM did before it first told is no load of this second.
+  private add(
+    demand: ServiceDemand,
+    known: ServiceDemand | undefined,
+    interval: ReportInterval,
+  ): void {
+    // Requests from before a VM's first report do not count towards this second.
     const since = known ?? demand;
     if (demand.arrived === 0) {
       return;
     }
-    const last = Math.floor(told.untilMs / SECOND_MS);
+    const last = Math.floor(interval.untilMs / SECOND_MS);
     const first = Math.max(
-      Math.floor(told.sinceMs / SECOND_MS) + 1,
+      Math.floor(interval.sinceMs / SECOND_MS) + 1,
       last - FORECAST_WINDOW_SECONDS + 1,
     );
     const seconds = Math.max(1, last - first + 1);
@@ -157,23 +163,23 @@
   }
 
   private secondAt(service: string, number: number): SecondTotals {
-    const book = this.books.get(service) ?? { firstSecond: number, seconds: [] };
-    this.books.set(service, book);
-    book.firstSecond = Math.min(book.firstSecond, number);
-    const known = book.seconds.findLast(({ second }) => second === number);
+    const history = this.histories.get(service) ?? { firstSecond: number, seconds: [] };
+    this.histories.set(service, history);
+    history.firstSecond = Math.min(history.firstSecond, number);
+    const known = history.seconds.findLast(({ second }) => second === number);
     if (known !== undefined) {
       return known;
     }
     const second = { second: number, arrived: 0, tokens: 0, begun: 0, begunTokens: 0, begunMs: 0 };
-    const later = book.seconds.filter((other) => other.second > number);
-    const earlier = book.seconds.slice(0, book.seconds.length - later.length);
-    book.seconds = [...earlier, second, ...later].slice(-PREFILL_WINDOW_SECONDS);
+    const later = history.seconds.filter((other) => other.second > number);
+    const earlier = history.seconds.slice(0, history.seconds.length - later.length);
+    history.seconds = [...earlier, second, ...later].slice(-PREFILL_WINDOW_SECONDS);
     return second;
   }
 
   private countRuns(service: string, now: Millis): number {
     let runs = 0;
-    for (const { atMs, services } of this.told.values()) {
+    for (const { atMs, services } of this.lastReports.values()) {
       const demand = services.get(service);
       if (demand !== undefined && now - atMs < REPORT_TIMEOUT_MS) {
         runs += demand.running + demand.waiting;
@@ -182,17 +188,17 @@
     return runs;
   }
 
-  private raiseForSilent(now: Millis): number {
-    const heard = [...this.told.values()].filter(
+  private silentVmFactor(now: Millis): number {
+    const reporting = [...this.lastReports.values()].filter(
       ({ atMs }) => now - atMs < REPORT_TIMEOUT_MS,
     ).length;
-    return Math.min(MAX_SCALE_FACTOR, this.told.size / Math.max(1, heard));
+    return Math.min(MAX_SCALE_FACTOR, this.lastReports.size / Math.max(1, reporting));
   }
 
-  private forget(now: Millis): void {
-    for (const [vm, { atMs }] of this.told) {
+  private removeExpired(now: Millis): void {
+    for (const [vm, { atMs }] of this.lastReports) {
       if (now - atMs >= VM_EXPIRY_MS) {
-        this.told.delete(vm);
+        this.lastReports.delete(vm);
       }
     }
   }
@@ -202,17 +208,17 @@
   return seconds.reduce((total, second) => total + second[key], 0);
 }
 
-/** Seconds in which nothing arrived stand as 0. */
+/** Lists the tokens of each second, with 0 for seconds without any. */
 function listSeconds(seconds: readonly SecondTotals[], last: number, length: number): number[] {
   const bySecond = new Map(seconds.map(({ second, tokens }) => [second, tokens]));
   return Array.from({ length }, (_, index) => bySecond.get(last - length + 1 + index) ?? 0);
 }
 
 /**
- * Runs that wait beside others take longer than the target reads, so the best mean of enough
- * runs is nearest to what a target can do.
+ * Returns the best mean prefill time over enough runs. Queued runs take longer than the target
+ * needs, so the best mean is closest to its real speed.
  */
-function bestPace(seconds: readonly SecondTotals[]): number | undefined {
+function bestPrefillMsPerToken(seconds: readonly SecondTotals[]): number | undefined {
   let best: number | undefined;
   let group = { begun: 0, tokens: 0, ms: 0 };
   for (const { begun, begunTokens, begunMs } of seconds) {
--- a/packages/order-capacity/src/domain-view.ts
+++ b/packages/order-capacity/src/domain-view.ts
@@ -1,16 +1,18 @@
-/** What is there of one service, failure domain by failure domain. */
+/** Counts the targets of one service by failure domain. */
 import type { ServiceScaling, ServiceTarget } from '@limelead/types';
 import type { TargetKind, PresentTargets } from './plan-orders.js';
 
-/** One failure domain as the store tells it. */
+/** Targets of one failure domain, as listed in the store. */
 export interface DomainView {
   plain: PresentTargets;
   spot: PresentTargets;
-  /** All spot targets of the domain leave: none is to be had there for a while. */
+  /**
+   * True while all spot targets of the domain are leaving; no new ones are available for a while.
+   */
   isReclaimed: boolean;
 }
 
-/** Looks at every target once. */
+/** Counts targets by failure domain, kind and readiness. */
 export default function createDomainViews(
   targets: readonly ServiceTarget[],
   scaling: ServiceScaling,
--- a/packages/order-capacity/src/fake-platform.fixture.ts
+++ b/packages/order-capacity/src/fake-platform.fixture.ts
@@ -1,4 +1,4 @@
-/** A platform that carries orders out, loses answers and takes spot targets away. */
+/** Fake platform that carries out orders, loses answers and reclaims spot targets. */
 import { PortFault } from '@limelead/errors';
 import type { DutyAnswer, DutyCredentials, TargetOrder } from '@limelead/ports';
 import { createManualTime } from '@limelead/stand-ins';
@@ -8,21 +8,21 @@
 export const SERVICE = 'letters';
 export const BOOT_MS = 4_000;
 
-/** One order that the platform saw. */
+/** An order as received by the platform. */
 export interface ReceivedOrder extends TargetOrder, DutyCredentials {
   atMs: number;
 }
 
-/** Creates it, with so many plain targets in each domain. */
+/** Creates the platform with this many plain targets in each domain. */
 export default function createFakePlatform(domains: string[], plain: number, isFenced: boolean) {
   const time = createManualTime();
   const targets = new Map<string, ServiceTarget>();
   const desired = new Map<string, number>();
   const orders: ReceivedOrder[] = [];
-  const dry = new Set<string>();
+  const domainsWithoutSpot = new Set<string>();
   let highestToken = 0;
   let nextId = 0;
-  /** Says what becomes of the next orders. */
+  /** Faults of the next orders. */
   const faults = { losesAnswers: false, lateMs: 0 };
 
   function add(failureDomain: string, isSpot: boolean): void {
@@ -41,12 +41,12 @@
     );
   }
 
-  /** Brings the number that is there to the number that is ordered. */
-  function settleOrders(failureDomain: string, isSpot: boolean): void {
-    const want = desired.get(`${failureDomain} ${isSpot}`) ?? 0;
-    const there = listOf(failureDomain, isSpot);
-    there.slice(want).forEach(({ id }) => targets.delete(id));
-    for (let more = there.length; more < want; more += 1) {
+  /** Adjusts the number of targets to the ordered count. */
+  function adjustTargets(failureDomain: string, isSpot: boolean): void {
+    const wanted = desired.get(`${failureDomain} ${isSpot}`) ?? 0;
+    const present = listOf(failureDomain, isSpot);
+    present.slice(wanted).forEach(({ id }) => targets.delete(id));
+    for (let more = present.length; more < wanted; more += 1) {
       add(failureDomain, isSpot);
     }
   }
@@ -56,13 +56,13 @@
       return 'refused';
     }
     highestToken = Math.max(highestToken, token);
-    if (isSpot && dry.has(failureDomain)) {
+    if (isSpot && domainsWithoutSpot.has(failureDomain)) {
       return 'refused';
     }
-    const there = listOf(failureDomain, isSpot).length;
+    const present = listOf(failureDomain, isSpot).length;
     desired.set(`${failureDomain} ${isSpot}`, count);
-    const waitMs = count > there ? BOOT_MS : 0;
-    time.timers.after(waitMs, () => settleOrders(failureDomain, isSpot));
+    const waitMs = count > present ? BOOT_MS : 0;
+    time.timers.after(waitMs, () => adjustTargets(failureDomain, isSpot));
     return 'taken';
   }
 
@@ -81,22 +81,22 @@
 
   domains.forEach((name) => {
     desired.set(`${name} false`, plain);
-    settleOrders(name, false);
+    adjustTargets(name, false);
   });
 
   return {
-    ...{ time, orders, dry, faults, targets, platform },
+    ...{ time, orders, domainsWithoutSpot, faults, targets, platform },
     count: (failureDomain: string, isSpot: boolean) => listOf(failureDomain, isSpot).length,
     total: () => [...targets.values()].filter(({ leaving }) => !leaving).length,
-    /** All spot targets of a domain get their notice, and are gone after it. */
+    /** Announces the removal of all spot targets of a domain, and removes them after the notice. */
     reclaim(failureDomain: string, noticeMs: number): void {
-      dry.add(failureDomain);
+      domainsWithoutSpot.add(failureDomain);
       for (const target of listOf(failureDomain, true)) {
         targets.set(target.id, { ...target, leaving: true, leavesInMs: noticeMs });
         time.timers.after(noticeMs, () => targets.delete(target.id));
       }
     },
-    /** Targets of a domain are away from the list for a while. */
+    /** Removes the targets of a domain from the list for a while. */
     loseDomain(failureDomain: string, forMs: number): void {
       const lost = [...targets.values()].filter((target) => target.failureDomain === failureDomain);
       lost.forEach(({ id }) => targets.delete(id));
--- a/packages/order-capacity/src/fleet.fixture.ts
+++ b/packages/order-capacity/src/fleet.fixture.ts
@@ -1,4 +1,4 @@
-/** One fleet: a platform, holders of the duty, and VMs that tell their load. */
+/** A fleet: a fake platform, duty holders, and VMs that report their load. */
 import type { Duty } from '@limelead/hold-duty';
 import type { ServedService } from '@limelead/types';
 import CapacityController from './capacity-controller.js';
@@ -6,7 +6,7 @@
 import createFakePlatform, { BOOT_MS, SERVICE } from './fake-platform.fixture.js';
 import { DEFAULT_CAPACITY, type CapacitySettings } from './settings.js';
 
-/** What a test may change. */
+/** Options that a test may change. */
 export interface FleetOptions {
   domains?: string[];
   plain?: number;
@@ -15,7 +15,7 @@
   isFenced?: boolean;
 }
 
-/** Creates everything; nothing runs before a holder is started. */
+/** Creates the fleet; nothing runs before a holder is created. */
 export default function createFleet(options: FleetOptions = {}) {
   const { domains = ['a', 'b', 'c'], plain = 28, isFenced = true } = options;
   const fake = createFakePlatform(domains, plain, isFenced);
@@ -68,24 +68,24 @@
     return { demand, capacity, state };
   }
 
-  /** Lets VMs tell a steady load for some seconds. */
+  /** Reports a steady load of the VMs for some seconds. */
   async function load(
     holders: { demand: DemandTracker }[],
     { runs, seconds, vms = 4 }: { runs: number; seconds: number; vms?: number },
   ): Promise<void> {
     for (let second = 0; second < seconds; second += 1) {
       for (let vm = 0; vm < vms; vm += 1) {
-        const told = tell(vm, runs / 4);
-        holders.forEach(({ demand }) => demand.recordReport(`vm${vm}`, told, time.clock.now()));
+        const report = createReport(vm, runs / 4);
+        holders.forEach(({ demand }) => demand.recordReport(`vm${vm}`, report, time.clock.now()));
       }
       await time.advance(1_000);
     }
   }
 
-  const sums = new Map<number, number>();
-  function tell(vm: number, runs: number) {
-    const arrived = (sums.get(vm) ?? 0) + runs;
-    sums.set(vm, arrived);
+  const arrivedByVm = new Map<number, number>();
+  function createReport(vm: number, runs: number) {
+    const arrived = (arrivedByVm.get(vm) ?? 0) + runs;
+    arrivedByVm.set(vm, arrived);
     const promptTokens = arrived * 8_000;
     const now = { running: runs * 4, waiting: 0 };
     const begun = { begunTokens: promptTokens, begunMs: promptTokens * 0.14 };
--- a/packages/order-capacity/src/index.ts
+++ b/packages/order-capacity/src/index.ts
@@ -1,4 +1,4 @@
-/** Reads demand, and orders targets by the plan while this VM holds the duty. */
+/** Tracks demand and orders targets by the capacity plan while this VM holds the duty. */
 export {
   default as CapacityController,
   type CapacityControllerOptions,
--- a/packages/order-capacity/src/plan-orders.test.ts
+++ b/packages/order-capacity/src/plan-orders.test.ts
@@ -10,19 +10,19 @@
     wanted: { plain: 1, spot: 27 },
     present: { plain: { ...NONE, ready: plain }, spot: { ...NONE, ready: spot } },
     ordered: {
-      plain: orderedPlain === undefined ? undefined : sure(orderedPlain),
-      spot: sure(27),
+      plain: orderedPlain === undefined ? undefined : confirmedOrder(orderedPlain),
+      spot: confirmedOrder(27),
     },
     isSpotUnavailable: false,
     spotRetryCount: undefined,
   };
 }
 
-function sure(count: number) {
+function confirmedOrder(count: number) {
   return { count, atMs: 9_000, isConfirmed: true };
 }
 
-test('what was ordered away counts as gone, though the list still shows it', () => {
+test('targets whose removal was ordered do not count, though the list still shows them', () => {
   const states = new Map([
     ['a', domain(28, 27, 1)],
     ['b', domain(28, 0)],
@@ -31,7 +31,7 @@
   assert.equal(planOrders(states, LIMITS), []);
 });
 
-test('what others replace may go, and no more', () => {
+test('only targets that others replace are removed', () => {
   const states = new Map([
     ['a', domain(28, 27)],
     ['b', domain(28, 0)],
--- a/packages/order-capacity/src/plan-orders.ts
+++ b/packages/order-capacity/src/plan-orders.ts
@@ -1,47 +1,46 @@
-/** Pure decision: which orders lead from what is there and was ordered to what is wanted. */
+/** Plans the orders that lead from the present and ordered targets to the wanted ones. */
 import type { TargetCounts } from '@limelead/plan-capacity';
 import type { Millis } from '@limelead/types';
 
-/** Kinds of targets. */
 export type TargetKind = keyof TargetCounts;
 
 /** Targets of one kind in one failure domain. */
 export interface PresentTargets {
-  /** Those that take work. */
+  /** Targets that accept requests. */
   ready: number;
   leaving: number;
 }
 
-/** One failure domain. */
+/** Wanted, present and ordered targets of one failure domain. */
 export interface DomainState {
   wanted: TargetCounts;
   present: Record<TargetKind, PresentTargets>;
-  /** The last order of each kind; undefined where this holder gave none that counts. */
+  /** The last valid order of each kind; undefined if this holder sent none. */
   ordered: Record<TargetKind, SentOrder | undefined>;
-  /** No spot target is to be had there now. */
+  /** True while no spot targets are available. */
   isSpotUnavailable: boolean;
-  /** Spot targets that a dry domain may be asked for now, whether it has them again. */
+  /** Spot targets to request again now in a domain without available ones. */
   spotRetryCount: number | undefined;
 }
 
-/** An order that went out. */
+/** An order that was sent. */
 export interface SentOrder {
   count: number;
   atMs: Millis;
-  /** False where no answer came: it may be done, or be done seconds later. */
+  /** False if no answer came: the order may or may not be carried out, possibly seconds later. */
   isConfirmed: boolean;
 }
 
-/** Why an order goes out. */
+/** Reason for an order. */
 export type OrderReason =
   | 'more'
   | 'fewer'
-  /** What is there does not follow the last order. */
+  /** The present targets do not match the last order. */
   | 'did-not-come'
   /** The last order got no answer. */
   | 'no-answer';
 
-/** One order to send. */
+/** An order to send. */
 export interface PlannedOrder {
   failureDomain: string;
   kind: TargetKind;
@@ -49,32 +48,34 @@
   reason: OrderReason;
 }
 
-/** What limits orders. */
+/** Limits on orders. */
 export interface OrderLimits {
   now: Millis;
-  /** Most targets of one failure domain, both kinds together. */
+  /** Maximum targets of one failure domain, both kinds together. */
   max: number;
   /** Time from an order until the new target serves. */
   bootMs: Millis;
 }
 
-/** Time until an entry of a new target is read everywhere, and late orders are done, in milliseconds. */
+/** Time until a new target's entry reaches all VMs and late orders are carried out. */
 const SETTLE_MARGIN_MS = 4_000;
-/** Pause before an order without an answer is repeated, in milliseconds; it says the same number. */
+/** Time before an unanswered order is repeated with the same count. */
 const RETRY_DELAY_MS = 1_000;
 const KINDS: readonly TargetKind[] = ['spot', 'plain'];
 
-/** Lists orders, those for more targets first. */
+/** Returns the orders to send, those for more targets first. */
 export default function planOrders(
   domains: ReadonlyMap<string, DomainState>,
   limits: OrderLimits,
 ): PlannedOrder[] {
-  const spare = new SpareTargets(domains);
+  const spareTargets = new SpareTargets(domains);
   const orders: PlannedOrder[] = [];
   for (const [failureDomain, state] of domains) {
     for (const kind of KINDS) {
-      const count = isDryOf(state, kind) ? askFor(state, limits) : aim(state, kind, spare, limits);
-      const reason = findReason(state, kind, count, limits);
+      const count = lacksSpot(state, kind)
+        ? spotRetryTarget(state, limits)
+        : nextCount(state, kind, spareTargets, limits);
+      const reason = orderReason(state, kind, count, limits);
       if (reason !== undefined) {
         orders.push({ failureDomain, kind, count, reason });
       }
@@ -83,18 +84,21 @@
   return orders.sort((a, b) => Number(a.reason === 'fewer') - Number(b.reason === 'fewer'));
 }
 
-function isDryOf({ isSpotUnavailable }: DomainState, kind: TargetKind): boolean {
+function lacksSpot({ isSpotUnavailable }: DomainState, kind: TargetKind): boolean {
   return kind === 'spot' && isSpotUnavailable;
 }
 
-/** A dry domain is asked for what it would have if it were not; else nothing is ordered there. */
-function askFor(state: DomainState, { max }: OrderLimits): number {
-  const present = presentOf(state, 'spot');
-  const most = Math.min(state.spotRetryCount ?? 0, max - presentOf(state, 'plain'));
-  return Math.max(present, most);
+/**
+ * Count to request where spot targets are unavailable: the unconstrained count during a retry,
+ * otherwise no change.
+ */
+function spotRetryTarget(state: DomainState, { max }: OrderLimits): number {
+  const present = currentCount(state, 'spot');
+  const limit = Math.min(state.spotRetryCount ?? 0, max - currentCount(state, 'plain'));
+  return Math.max(present, limit);
 }
 
-/** Targets that may go, because as many as are wanted serve without them. */
+/** Budget of targets that may be removed while enough others serve. */
 class SpareTargets {
   private left: number;
 
@@ -102,58 +106,58 @@
     this.left = 0;
     for (const { wanted, present, ordered } of domains.values()) {
       for (const kind of KINDS) {
-        // The list may still show targets that were ordered away.
+        // The list may still show targets whose removal was ordered.
         this.left += Math.min(present[kind].ready, ordered[kind]?.count ?? Infinity) - wanted[kind];
       }
     }
   }
 
-  take(most: number): number {
-    const taken = Math.max(0, Math.min(most, this.left));
-    this.left -= taken;
-    return taken;
+  take(limit: number): number {
+    const granted = Math.max(0, Math.min(limit, this.left));
+    this.left -= granted;
+    return granted;
   }
 }
 
-/** What is to be ordered now: never fewer than others replace, nor more than the bound. */
-function aim(
+/** Count to order now: removes no more than the spare targets and stays within the maximum. */
+function nextCount(
   state: DomainState,
   kind: TargetKind,
-  spare: SpareTargets,
+  spareTargets: SpareTargets,
   { max }: OrderLimits,
 ): number {
   const wanted = state.wanted[kind];
-  const present = presentOf(state, kind);
+  const present = currentCount(state, kind);
   if (wanted < present) {
-    return present - spare.take(present - wanted);
+    return present - spareTargets.take(present - wanted);
   }
-  const other = presentOf(state, kind === 'spot' ? 'plain' : 'spot');
+  const other = currentCount(state, kind === 'spot' ? 'plain' : 'spot');
   return Math.max(present, Math.min(wanted, max - other));
 }
 
-/** What was ordered last, or else what is there. */
-function presentOf({ ordered, present }: DomainState, kind: TargetKind): number {
+/** Last ordered count, or else the present count. */
+function currentCount({ ordered, present }: DomainState, kind: TargetKind): number {
   return ordered[kind]?.count ?? present[kind].ready;
 }
 
-function findReason(
+function orderReason(
   state: DomainState,
   kind: TargetKind,
   count: number,
   { now, bootMs }: OrderLimits,
 ): OrderReason | undefined {
-  const present = presentOf(state, kind);
+  const present = currentCount(state, kind);
   if (count !== present) {
     return count > present ? 'more' : 'fewer';
   }
   const last = state.ordered[kind];
-  if (last === undefined || isDryOf(state, kind)) {
+  if (last === undefined || lacksSpot(state, kind)) {
     return undefined;
   }
   const ageMs = now - last.atMs;
   if (!last.isConfirmed) {
     return ageMs >= RETRY_DELAY_MS ? 'no-answer' : undefined;
   }
-  const isOff = state.present[kind].ready !== last.count;
-  return isOff && ageMs >= bootMs + SETTLE_MARGIN_MS ? 'did-not-come' : undefined;
+  const hasDeviation = state.present[kind].ready !== last.count;
+  return hasDeviation && ageMs >= bootMs + SETTLE_MARGIN_MS ? 'did-not-come' : undefined;
 }
--- a/packages/order-capacity/src/service-order-state.ts
+++ b/packages/order-capacity/src/service-order-state.ts
@@ -1,21 +1,21 @@
-/** What this holder ordered for one service, and what it was told of it. */
+/** State of this holder's orders for one service. */
 import type { Millis } from '@limelead/types';
 import type { DomainView } from './domain-view.js';
 import type { DomainState, SentOrder, TargetKind, PlannedOrder } from './plan-orders.js';
 import type { ServicePlan } from './service-plan.js';
 
-/** Time between two questions for spot targets at a dry domain, in milliseconds. */
+/** Time between two retries for spot targets where they are unavailable. */
 const SPOT_RETRY_MS = 1_000;
 /**
- * A domain counts as dry for this long after it refused, in milliseconds, or until it gives:
- * asked at once, plain targets elsewhere would come and go.
+ * Time after a refusal for which spot targets count as unavailable, unless an order succeeds.
+ * Shorter times would make plain targets elsewhere come and go.
  */
 const SPOT_UNAVAILABLE_MS = 5_000;
-/** Time after a notice in which the platform surely takes targets away, in milliseconds. */
+/** Time after a notice by which the platform has reclaimed the targets. */
 const SPOT_RECLAIM_MS = 2_000;
-/** Time after which a refused or unheard order may be given again, in milliseconds. */
+/** Time before a refused or unanswered order may be repeated. */
 const ORDER_BACKOFF_MS = 1_000;
-/** Time after which an order that does not hold is tried again, in milliseconds: the configuration may have changed. */
+/** Time before an invalid order is tried again, since the configuration may have changed. */
 const INVALID_ORDER_BACKOFF_MS = 10_000;
 
 interface DomainOrders {
@@ -27,11 +27,14 @@
   isReclaimed: boolean;
 }
 
-/** Holds it for as long as this VM holds the duty. */
+/** Tracks orders for as long as this VM holds the duty. */
 export default class ServiceOrderState {
   private readonly domains = new Map<string, DomainOrders>();
 
-  /** Takes what is there; gives the domains whose spot targets are taken away now. */
+  /**
+   * Updates the state with the present targets. Returns the domains whose spot targets are newly
+   * reclaimed.
+   */
   onViews(views: ReadonlyMap<string, DomainView>, now: Millis): string[] {
     const reclaimed: string[] = [];
     for (const [name, { isReclaimed }] of views) {
@@ -39,7 +42,7 @@
       if (isReclaimed && !domain.isReclaimed) {
         domain.spotUnavailableUntilMs = now + SPOT_UNAVAILABLE_MS;
         domain.retrySpotFromMs = now + SPOT_RECLAIM_MS;
-        // What was ordered is not what comes: the platform takes it away.
+        // The platform reclaims these targets, so the last order no longer applies.
         domain.ordered.spot = undefined;
         reclaimed.push(name);
       }
@@ -52,12 +55,14 @@
     return this.at(name).spotUnavailableUntilMs > now;
   }
 
-  /** The last number that was ordered; undefined where this holder ordered none. */
+  /** Returns the last ordered count; undefined if this holder ordered none. */
   lastOrderedCount(name: string, kind: TargetKind): number | undefined {
     return this.at(name).ordered[kind]?.count;
   }
 
-  /** Whether an order may go out: one at a time for each domain, so that they keep their order. */
+  /**
+   * Whether an order may be sent; each domain has at most one in flight, to preserve their order.
+   */
   canOrder(name: string, now: Millis): boolean {
     const { isSending, backoffUntilMs } = this.at(name);
     return !isSending && backoffUntilMs <= now;
@@ -89,12 +94,12 @@
     this.at(failureDomain).isSending = true;
   }
 
-  /** The platform took it, or gave no answer. */
-  onOrdered({ failureDomain, kind, count }: PlannedOrder, now: Millis, isSure: boolean): void {
+  /** Records that the platform accepted the order (`isConfirmed`) or gave no answer. */
+  onOrdered({ failureDomain, kind, count }: PlannedOrder, now: Millis, isConfirmed: boolean): void {
     const domain = this.at(failureDomain);
     domain.isSending = false;
-    domain.ordered[kind] = { count, atMs: now, isConfirmed: isSure };
-    if (kind === 'spot' && isSure) {
+    domain.ordered[kind] = { count, atMs: now, isConfirmed: isConfirmed };
+    if (kind === 'spot' && isConfirmed) {
       domain.spotUnavailableUntilMs = -Infinity;
     }
   }
--- a/packages/order-capacity/src/service-plan.ts
+++ b/packages/order-capacity/src/service-plan.ts
@@ -1,4 +1,4 @@
-/** What one service should have in each failure domain, from what is known of its load. */
+/** Plans the targets of one service in each failure domain from its load. */
 import {
   estimateTargetNeed,
   forecastByQuantile,
@@ -15,24 +15,24 @@
 import type { DomainView } from './domain-view.js';
 import type { CapacitySettings } from './settings.js';
 
-/** Hundredths of runs, which fall as whole numbers do. */
+/** Scales runs per second to hundredths, since the scale-down limit works on whole numbers. */
 const RUNS_SCALE = 100;
-/** Seconds of load before which a forecast would follow chance. */
+/** Minimum seconds of observed load for a forecast. */
 const MIN_OBSERVED_SECONDS = 5;
-/** Tokens that a run holds beside its prompt, as a part of it: what it has written. */
+/** Generated tokens that a run holds in memory, as a share of its prompt. */
 const GENERATED_TOKEN_SHARE = 0.2;
 
-/** A plan with what it came from. */
+/** A capacity plan with the forecast that it is based on. */
 export interface ServicePlan extends CapacityPlan {
-  /** Prompt tokens a second that are forecast; 0 where too little is known. */
+  /** Forecast prompt tokens per second; 0 if too little is known. */
   forecast: number;
-  /** Targets that carry the forecast; 0 where too little is known. */
+  /** Targets that carry the forecast; 0 if too little is known. */
   needed: number;
-  /** False while the plan only keeps what is there. */
+  /** False while the load is unknown and the plan only keeps the present targets. */
   isLoadKnown: boolean;
 }
 
-/** What a plan is made from. */
+/** Inputs of one planning pass. */
 export interface PlanInputs {
   now: Millis;
   scaling: ServiceScaling;
@@ -49,44 +49,44 @@
   isScalingDown: false,
 };
 
-/** Remembers what a plan may not forget from one look to the next. */
+/** Plans one service and keeps state between planning passes. */
 export default class ServicePlanner {
   private need = INITIAL_STATE;
   private runs = INITIAL_STATE;
   private startedAtMs: Millis | undefined;
   private readMsPerToken: number | undefined;
   private isLoadKnown = false;
-  /** Most targets that were seen in each failure domain, until the load is known. */
-  private readonly seen = new Map<string, TargetCounts>();
+  /** Highest target counts seen in each failure domain, until the load is known. */
+  private readonly highestCounts = new Map<string, TargetCounts>();
   /** Domains whose plain targets this holder replaces by spot ones. */
-  private readonly swapped = new Set<string>();
+  private readonly switchedToSpot = new Set<string>();
 
   constructor(private readonly settings: CapacitySettings) {}
 
-  /** Until the load is known the plan keeps as many targets as there are, or more. */
-  plan(facts: PlanInputs): ServicePlan {
-    const forecast = this.forecast(facts);
-    this.noteKnown(facts);
-    const planned = this.planFor(facts);
-    const told = { forecast, needed: this.need.needed, isLoadKnown: this.isLoadKnown };
+  /** Returns the plan. Until the load is known, it keeps at least the present targets. */
+  plan(inputs: PlanInputs): ServicePlan {
+    const forecast = this.forecast(inputs);
+    this.updateLoadKnown(inputs);
+    const planned = this.planFor(inputs);
+    const details = { forecast, needed: this.need.needed, isLoadKnown: this.isLoadKnown };
     if (this.isLoadKnown) {
-      return { ...planned, ...told };
+      return { ...planned, ...details };
     }
     const counts = new Map(
-      [...this.keepSeen(facts)].map(([name, { plain, spot }]): [string, TargetCounts] => {
+      [...this.keepHighestCounts(inputs)].map(([name, { plain, spot }]): [string, TargetCounts] => {
         const wanted = planned.counts.get(name) ?? { plain: 0, spot: 0 };
         return [name, { plain: Math.max(plain, wanted.plain), spot: Math.max(spot, wanted.spot) }];
       }),
     );
-    return { ...planned, ...told, counts };
+    return { ...planned, ...details, counts };
   }
 
   /**
-   * A new holder may order fewer once it saw all the load that forecasts look at, and only
-   * after as long as a need counts: a change of holder in a lull lowers nothing.
-   * Known once, it stays known: at night too few runs begin to tell how fast targets read.
+   * Marks the load as known once the forecast window is filled and the scale-down delay has passed,
+   * so that a change of holder during low load does not scale down. It then stays known, because at
+   * night too few runs start to measure the prefill time.
    */
-  private noteKnown({ demand, now }: PlanInputs): void {
+  private updateLoadKnown({ demand, now }: PlanInputs): void {
     this.startedAtMs ??= now;
     this.isLoadKnown ||=
       this.readMsPerToken !== undefined &&
@@ -94,7 +94,7 @@
       now - this.startedAtMs >= SCALE_DOWN_DELAY_MS;
   }
 
-  /** Gives the prompt tokens a second that are forecast, and takes the need for them. */
+  /** Returns the forecast prompt tokens per second and updates the planned need. */
   private forecast({ demand, engine, now }: PlanInputs): number {
     this.readMsPerToken = demand?.prefillMsPerToken ?? this.readMsPerToken;
     if (
@@ -115,7 +115,7 @@
       engine,
     );
     this.need = limitScaleDown(this.need, targetsForUtilization(load, need), now);
-    // The reserve is weighed against late runs; a swing of the runs may not swing it.
+    // Late runs determine the reserve, so swings of the runs are smoothed as well.
     this.runs = limitScaleDown(this.runs, Math.ceil(demand.runsPerSecond * RUNS_SCALE), now);
     return forecast;
   }
@@ -124,7 +124,7 @@
     return planDomains({
       domains: [...views].map(([name, { spot }]) => ({
         name,
-        mostSpot: isSpotUnavailable(name) ? spot.ready : undefined,
+        maxSpot: isSpotUnavailable(name) ? spot.ready : undefined,
       })),
       scaling,
       policy: this.settings,
@@ -134,27 +134,29 @@
   }
 
   /**
-   * As many as were seen. Where there are only plain ones, spot ones replace them; where an
-   * earlier holder already ordered spot ones, nobody knows here which of them replace others.
+   * Keeps the highest counts seen. Domains with only plain targets are switched to spot; if an
+   * earlier holder already ordered spot targets, it is unknown which plain ones they replace.
    */
-  private keepSeen({ views, scaling }: PlanInputs): Map<string, TargetCounts> {
+  private keepHighestCounts({ views, scaling }: PlanInputs): Map<string, TargetCounts> {
     const { usesSpot, plainFloor } = this.settings;
-    const maySpot = usesSpot && (scaling.spotPrice ?? 1) < 1;
+    const canUseSpot = usesSpot && (scaling.spotPrice ?? 1) < 1;
     const counts = new Map<string, TargetCounts>();
     for (const [name, { plain, spot }] of views) {
-      const known = this.seen.get(name) ?? { plain: 0, spot: 0 };
-      const spotThere = this.swapped.has(name) ? 0 : spot.ready + spot.leaving;
-      const most = {
+      const known = this.highestCounts.get(name) ?? { plain: 0, spot: 0 };
+      const spotPresent = this.switchedToSpot.has(name) ? 0 : spot.ready + spot.leaving;
+      const highest = {
         plain: Math.min(scaling.max, Math.max(known.plain, plain.ready)),
-        spot: Math.max(known.spot, spotThere),
+        spot: Math.max(known.spot, spotPresent),
       };
-      this.seen.set(name, most);
-      if (maySpot && most.spot === 0 && most.plain > plainFloor) {
-        this.swapped.add(name);
+      this.highestCounts.set(name, highest);
+      if (canUseSpot && highest.spot === 0 && highest.plain > plainFloor) {
+        this.switchedToSpot.add(name);
       }
       counts.set(
         name,
-        this.swapped.has(name) ? { plain: plainFloor, spot: most.plain - plainFloor } : most,
+        this.switchedToSpot.has(name)
+          ? { plain: plainFloor, spot: highest.plain - plainFloor }
+          : highest,
       );
     }
     return counts;
--- a/packages/order-capacity/src/settings.ts
+++ b/packages/order-capacity/src/settings.ts
@@ -1,41 +1,41 @@
-/** Settings of capacity: their units, defaults and bounds. */
+/** Capacity settings with their defaults and bounds. */
 import type { CapacityPolicy } from '@limelead/plan-capacity';
 import * as t from 'io-ts';
 
 /** Settings that an operator may change. */
 export interface CapacitySettings extends CapacityPolicy {
-  /** Part of the forecast that is added to it; 0.1 is a tenth more. */
+  /** Share of the forecast that is added to it; 0.1 adds a tenth. */
   headroom: number;
 }
 
-/** What holds where an operator decides nothing. */
+/** Defaults of the settings. */
 export const DEFAULT_CAPACITY: CapacitySettings = {
-  // The reserve for lost domains carries a jump of the load too: both seldom meet.
+  // The reserve for lost domains also covers jumps of the load.
   headroom: 0,
-  // Runs that read beside each other wait; at nine tenths they still catch up with a swing.
+  // Leaves time for runs that wait during a swing of the load to catch up.
   load: 0.9,
-  // When a domain's spot targets are taken away, copies of runs go with those that keep them.
+  // A reclaimed domain can lose runs together with their replicas.
   usesSpot: false,
-  // A service is never without any target, whatever becomes of its spot ones.
+  // Keeps at least one target when all spot targets are reclaimed.
   plainFloor: 1,
-  // A caller who has to come back costs as much as a target in 100 s.
+  // One late run costs as much as 100 s of a plain target.
   lateRunsPerTargetSecond: 0.01,
 };
 
-/** A number in its bounds; others are mistakes of unit. */
-function boundedNumber(least: number, most: number): t.Type<number> {
+/** Codec for a number within bounds; other values are probably mistakes of unit. */
+function boundedNumber(min: number, max: number): t.Type<number> {
   return new t.Type<number>(
-    `a number from ${least} to ${most}`,
-    (value): value is number => typeof value === 'number' && value >= least && value <= most,
+    `a number from ${min} to ${max}`,
+    (value): value is number => typeof value === 'number' && value >= min && value <= max,
     (value, context) =>
-      typeof value === 'number' && value >= least && value <= most
+      typeof value === 'number' && value >= min && value <= max
         ? t.success(value)
         : t.failure(value, context),
     t.identity,
   );
 }
 
-/** Checks the settings; what is left out keeps the product's default. */
+/** Codec for the settings; omitted ones keep their defaults. */
 export const capacityCodec = t.partial({
   headroom: boundedNumber(0, 3),
   load: boundedNumber(0.05, 1),
@@ -44,7 +44,7 @@
   lateRunsPerTargetSecond: boundedNumber(0.000_001, 1_000),
 });
 
-/** Fills in the defaults. */
+/** Returns the settings with defaults for omitted ones. */
 export function withCapacityDefaults(
   settings: t.TypeOf<typeof capacityCodec> = {},
 ): CapacitySettings {
--- a/packages/plan-capacity/src/compare-strategies.fixture.ts
+++ b/packages/plan-capacity/src/compare-strategies.fixture.ts
@@ -1,4 +1,4 @@
-/** Plays a load with losses against ways to order targets, and counts what each costs. */
+/** Simulates a load with losses under different order strategies and totals their costs. */
 import type { Forecast } from './forecast.js';
 import limitScaleDown, { type ScaleDownState } from './limit-scale-down.js';
 import planDomains, { targetPrices } from './plan-domains.js';
@@ -16,15 +16,15 @@
 const BOOT_SECONDS = 6;
 const WINDOW_SECONDS = 15;
 const RUNS_PER_SECOND = 18;
-/** Targets that one run of a second keeps busy for a second. */
+/** Target seconds that one run uses. */
 const TARGET_SECONDS_PER_RUN = 1.1;
-/** Seconds of work that may wait until runs are late. */
+/** Backlog in seconds above which runs are late. */
 const MAX_BACKLOG_SECONDS = 3;
 
-/** Targets of each domain for a need. */
+/** Returns the targets of each domain for a need. */
 export type OrderStrategy = (needed: number) => ReadonlyMap<string, TargetCounts>;
 
-/** What a way cost. */
+/** Total cost of a strategy. */
 export interface StrategyCost {
   price: number;
   targetSeconds: number;
@@ -45,7 +45,7 @@
   }).counts;
 }
 
-/** The ways that were weighed. */
+/** The strategies to compare. */
 export const STRATEGIES: Readonly<Record<string, OrderStrategy>> = {
   'keep all plain': () => evenly(28, 0),
   'cheapest plain': (needed) => {
@@ -61,7 +61,7 @@
   planned: (needed) => planWith({}, needed),
 };
 
-/** Numbers in [0, 1) from a seed. */
+/** Creates a seeded random number generator for [0, 1). */
 function createRandom(seed: number): () => number {
   let state = seed;
   return () => {
@@ -70,7 +70,10 @@
   };
 }
 
-/** Runs of each second: a wave, clumps of three, and now and then a jump of some seconds. */
+/**
+ * Returns the runs of each second: a wave in clumps of three, with occasional jumps of a few
+ * seconds.
+ */
 export function generateLoad(seed: number): number[] {
   const random = createRandom(seed);
   let jumpUntil = 0;
@@ -90,33 +93,36 @@
   });
 }
 
-/** Each domain in its turn is down for a second of every six, and one loses its spot targets every 40 s. */
+/**
+ * Returns the capacity that remains: the domains in turn fail for one second of every six, and one
+ * loses its spot targets every 40 s.
+ */
 function capacityLeft(counts: ReadonlyMap<string, TargetCounts>, second: number): number {
   const down = second % 6 === 0 ? DOMAINS[(second / 6) % 3] : undefined;
-  const dry = second % 40 < 10 ? DOMAINS[Math.floor(second / 40) % 3] : undefined;
+  const withoutSpot = second % 40 < 10 ? DOMAINS[Math.floor(second / 40) % 3] : undefined;
   let left = 0;
   for (const [name, { plain, spot }] of counts) {
-    left += name === down ? 0.1 * (plain + spot) : plain + (name === dry ? 0 : spot);
+    left += name === down ? 0.1 * (plain + spot) : plain + (name === withoutSpot ? 0 : spot);
   }
   return left;
 }
 
-/** Plays one load. */
+/** Simulates one load. */
 export function simulateStrategy(
-  way: OrderStrategy,
+  strategy: OrderStrategy,
   forecast: Forecast,
   seed: number,
 ): StrategyCost {
   const loads = generateLoad(seed);
   const cost: StrategyCost = { price: 0, targetSeconds: 0, lateRuns: 0, orders: 0 };
   const ordered: ReadonlyMap<string, TargetCounts>[] = [];
-  let fall: ScaleDownState = { needed: 0, peakNeed: 0, sinceMs: 0, isScalingDown: false };
+  let scaleDown: ScaleDownState = { needed: 0, peakNeed: 0, sinceMs: 0, isScalingDown: false };
   let backlog = 0;
   loads.forEach((load, second) => {
     const seen = loads.slice(Math.max(0, second - WINDOW_SECONDS), second);
     const needed = Math.ceil((forecast(seen) * TARGET_SECONDS_PER_RUN) / POLICY.load);
-    fall = limitScaleDown(fall, needed, second * 1_000);
-    const counts = second < WINDOW_SECONDS ? evenly(28, 0) : way(fall.needed);
+    scaleDown = limitScaleDown(scaleDown, needed, second * 1_000);
+    const counts = second < WINDOW_SECONDS ? evenly(28, 0) : strategy(scaleDown.needed);
     cost.orders += countOrders(ordered.at(-1), counts);
     ordered.push(counts);
     const serving = ordered[Math.max(0, second - BOOT_SECONDS)] ?? counts;
--- a/packages/plan-capacity/src/compare-strategies.test.ts
+++ b/packages/plan-capacity/src/compare-strategies.test.ts
@@ -1,4 +1,4 @@
-/** The forecasts and ways that the design note compares; LIMELEAD_TABLE=1 prints its tables. */
+/** Compares the forecasts and strategies of the design note; LIMELEAD_TABLE=1 prints its tables. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
@@ -12,10 +12,10 @@
 const SEEDS = [11, 12, 13];
 const HEADROOM = 0;
 
-function playAll(way: OrderStrategy, forecast: Forecast): StrategyCost {
+function simulateAll(strategy: OrderStrategy, forecast: Forecast): StrategyCost {
   const total: StrategyCost = { price: 0, targetSeconds: 0, lateRuns: 0, orders: 0 };
   for (const seed of SEEDS) {
-    const cost = simulateStrategy(way, forecast, seed);
+    const cost = simulateStrategy(strategy, forecast, seed);
     total.price += cost.price;
     total.targetSeconds += cost.targetSeconds;
     total.lateRuns += cost.lateRuns;
@@ -24,23 +24,23 @@
   return total;
 }
 
-function show(name: string, { price, targetSeconds, lateRuns, orders }: StrategyCost): void {
+function printRow(name: string, { price, targetSeconds, lateRuns, orders }: StrategyCost): void {
   if (process.env.LIMELEAD_TABLE !== undefined) {
     const cells = [price, targetSeconds, lateRuns, orders].map((figure) => Math.round(figure));
     process.stdout.write(`| ${[name, ...cells].join(' | ')} |\n`);
   }
 }
 
-const plan = STRATEGIES['planned'] as OrderStrategy;
+const plannedStrategy = STRATEGIES['planned'] as OrderStrategy;
 
-test('the planned way costs a third of keeping all plain, and makes no more runs late', () => {
+test('the planned strategy costs less than a third of keeping all plain, with no more late runs', () => {
   const costs = new Map(
-    Object.entries(STRATEGIES).map(([name, way]) => [
+    Object.entries(STRATEGIES).map(([name, strategy]) => [
       name,
-      playAll(way, forecastByQuantile(HEADROOM)),
+      simulateAll(strategy, forecastByQuantile(HEADROOM)),
     ]),
   );
-  costs.forEach((cost, name) => show(name, cost));
+  costs.forEach((cost, name) => printRow(name, cost));
   const planned = costs.get('planned');
   const kept = costs.get('keep all plain');
   assert.ok(planned !== undefined && kept !== undefined);
@@ -50,12 +50,12 @@
   assert.ok(cheapest !== undefined && cheapest.lateRuns > planned.lateRuns);
 });
 
-test('the quantile orders no more often than level and swing', () => {
-  const byQuantile = playAll(plan, forecastByQuantile(HEADROOM));
-  const bySwing = playAll(plan, forecastByMeanAndDeviation(HEADROOM));
-  show('quantile', byQuantile);
-  show('level and swing', bySwing);
-  assert.ok(byQuantile.orders <= bySwing.orders, `${byQuantile.orders}, ${bySwing.orders}`);
+test('the quantile forecast orders no more often than mean and deviation', () => {
+  const byQuantile = simulateAll(plannedStrategy, forecastByQuantile(HEADROOM));
+  const byDeviation = simulateAll(plannedStrategy, forecastByMeanAndDeviation(HEADROOM));
+  printRow('quantile', byQuantile);
+  printRow('level and swing', byDeviation);
+  assert.ok(byQuantile.orders <= byDeviation.orders, `${byQuantile.orders}, ${byDeviation.orders}`);
 });
 
 test.run();
--- a/packages/plan-capacity/src/forecast.ts
+++ b/packages/plan-capacity/src/forecast.ts
@@ -1,23 +1,20 @@
-/**
- * Two pure forecasts of a load from its last seconds, each with room for what nobody
- * foresees. `docs/design/05-capacity.md` compares them.
- */
+/** Load forecasts from the last seconds of load. */
 
-/** Gives the load to be ready for; the last seconds stand oldest first. */
+/** Returns the load to be prepared for, given the load of each second, oldest first. */
 export type Forecast = (loads: readonly number[]) => number;
 
-/** Seconds that are taken together: runs that come within them may wait for each other. */
+/** Number of seconds averaged together; runs that arrive within them may wait for each other. */
 const AVERAGING_SECONDS = 3;
-/** Part of the seconds that may lie above the forecast before its headroom. */
+/** Share of the seconds whose load may exceed the forecast before headroom. */
 const EXCEEDED_SHARE = 0.1;
-/** Weight of the newest second in level and swing; 0.2 remembers some ten seconds. */
+/** Weight of the newest second in the moving mean and deviation. */
 const SMOOTHING_FACTOR = 0.2;
-/** Swings above the level: a wave's peak lies about 1.6 mean swings above its level. */
+/** Mean deviations added to the mean; the peak of a wave lies about 1.6 above it. */
 const DEVIATION_FACTOR = 2;
 
 /**
- * The load that nine seconds of ten stay below, times the headroom.
- * @param headroom 0.25: a quarter more than seen
+ * Forecasts the load that nine of ten seconds stay below, plus headroom.
+ * @param headroom share to add, such as 0.25 for a quarter more
  */
 export function forecastByQuantile(headroom: number): Forecast {
   return (loads) => {
@@ -27,24 +24,24 @@
   };
 }
 
-/** A moving level and two moving swings, times the headroom. */
+/** Forecasts the moving mean plus two moving deviations, plus headroom. */
 export function forecastByMeanAndDeviation(headroom: number): Forecast {
   return (loads) => {
     const [first = 0, ...rest] = smooth(loads);
-    let level = first;
-    let swing = 0;
+    let mean = first;
+    let deviation = 0;
     for (const load of rest) {
-      swing += SMOOTHING_FACTOR * (Math.abs(load - level) - swing);
-      level += SMOOTHING_FACTOR * (load - level);
+      deviation += SMOOTHING_FACTOR * (Math.abs(load - mean) - deviation);
+      mean += SMOOTHING_FACTOR * (load - mean);
     }
-    return (level + DEVIATION_FACTOR * swing) * (1 + headroom);
+    return (mean + DEVIATION_FACTOR * deviation) * (1 + headroom);
   };
 }
 
 function smooth(loads: readonly number[]): number[] {
   const length = Math.min(AVERAGING_SECONDS, loads.length);
   return Array.from({ length: loads.length - length + 1 }, (_, start) => {
-    const together = loads.slice(start, start + length);
-    return together.reduce((sum, load) => sum + load, 0) / Math.max(1, length);
+    const averaged = loads.slice(start, start + length);
+    return averaged.reduce((sum, load) => sum + load, 0) / Math.max(1, length);
   });
 }
--- a/packages/plan-capacity/src/index.ts
+++ b/packages/plan-capacity/src/index.ts
@@ -1,4 +1,6 @@
-/** Pure plan of how many targets each failure domain should have, plain and spot, for a demand. */
+/**
+ * Plans how many plain and spot targets each failure domain needs for a load; free of side effects.
+ */
 export { forecastByMeanAndDeviation, forecastByQuantile, type Forecast } from './forecast.js';
 export {
   default as limitScaleDown,
--- a/packages/plan-capacity/src/limit-scale-down.ts
+++ b/packages/plan-capacity/src/limit-scale-down.ts
@@ -1,31 +1,31 @@
-/** Pure hysteresis: what is needed rises at once and falls slowly. */
+/** Scale-down hysteresis: the planned need rises at once and falls slowly. */
 import type { Millis } from '@limelead/types';
 
 /**
- * A need counts for this long, in milliseconds: longer than the swings of the users'
- * load, which pass in 11 s, so that they order nothing.
+ * Time that a higher need keeps the plan up; long enough that periodic swings of the load do not
+ * cause scale-downs.
  */
 export const SCALE_DOWN_DELAY_MS = 20_000;
-/** Time between two steps down, in milliseconds; a new target takes about as long to serve. */
+/** Time between two scale-down steps; about the time a new target takes to serve. */
 export const SCALE_DOWN_INTERVAL_MS = 5_000;
-/** Part of what there is that one step down takes. */
+/** Maximum share of the planned need removed in one step. */
 const MAX_SCALE_DOWN_SHARE = 0.15;
-/** A fall smaller than this part is not worth the runs that it moves. */
+/** Decreases below this share of the planned need are not worth moving runs for. */
 const MIN_SCALE_DOWN_SHARE = 0.1;
 
-/** What the last look left. */
+/** State between two calls. */
 export interface ScaleDownState {
-  /** What the plan is made for: targets, or hundredths of runs a second. */
+  /** Need that the plan uses, such as targets. */
   needed: number;
-  /** The highest need since the step, which the next one may fall to. */
+  /** Highest need since the last step; the next step does not go below it. */
   peakNeed: number;
-  /** When the need last rose, or a step down was made. */
+  /** When the need last rose or the last step was made. */
   sinceMs: Millis;
-  /** True once it fell, so that the next step may follow sooner. */
+  /** True after a step down, so that the next step may follow sooner. */
   isScalingDown: boolean;
 }
 
-/** Takes a need as it is now. */
+/** Updates the state with the current need. */
 export default function limitScaleDown(
   state: ScaleDownState,
   needed: number,
@@ -34,17 +34,17 @@
   if (needed >= state.needed) {
     return { needed, peakNeed: 0, sinceMs: now, isScalingDown: false };
   }
-  const highest = Math.max(state.peakNeed, needed);
+  const peakNeed = Math.max(state.peakNeed, needed);
   const waitMs = state.isScalingDown ? SCALE_DOWN_INTERVAL_MS : SCALE_DOWN_DELAY_MS;
   if (now - state.sinceMs < waitMs) {
-    return { ...state, peakNeed: highest };
+    return { ...state, peakNeed };
   }
-  const fallen = Math.max(highest, Math.floor(state.needed * (1 - MAX_SCALE_DOWN_SHARE)));
-  const isWorth = state.needed - highest >= state.needed * MIN_SCALE_DOWN_SHARE;
+  const reduced = Math.max(peakNeed, Math.floor(state.needed * (1 - MAX_SCALE_DOWN_SHARE)));
+  const isWorthwhile = state.needed - peakNeed >= state.needed * MIN_SCALE_DOWN_SHARE;
   return {
-    needed: isWorth ? fallen : state.needed,
+    needed: isWorthwhile ? reduced : state.needed,
     peakNeed: 0,
     sinceMs: now,
-    isScalingDown: isWorth,
+    isScalingDown: isWorthwhile,
   };
 }
--- a/packages/plan-capacity/src/needed-targets.ts
+++ b/packages/plan-capacity/src/needed-targets.ts
@@ -1,23 +1,26 @@
-/** Pure estimate of how many targets carry a load, by the scarcest of what they have. */
+/** Estimates how many targets carry a load, by their scarcest resource. */
 import type { EngineTraits } from '@limelead/types';
 
-/** A load as it is, or as it is forecast. */
+/** Current or forecast load. */
 export interface ServiceLoad {
-  /** Tokens of prompts that arrive in a second. */
+  /** Prompt tokens that arrive each second. */
   promptTokensPerSecond: number;
-  /** Runs under way and waiting; their copies are made only where there is room. */
+  /**
+   * Runs in progress and waiting. Replicas are not counted, since they are only made where memory
+   * is free.
+   */
   runs: number;
 }
 
-/** What targets were seen to do. */
+/** Measured performance of the targets. */
 export interface TargetPerformance {
-  /** Milliseconds for one token of a prompt, as targets really took. */
+  /** Milliseconds per prompt token, as measured. */
   prefillMsPerToken: number;
-  /** Tokens that a run holds in memory, on the average. */
+  /** Average number of tokens that a run holds in memory. */
   tokensPerRun: number;
 }
 
-/** Targets that one thing alone asks for, at full load. */
+/** Number of fully used targets that each resource alone would need. */
 export interface TargetNeed {
   prefill: number;
   memory: number;
@@ -26,7 +29,7 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** Gives the need by each thing; the highest decides. */
+/** Estimates the need by each resource; the highest one decides. */
 export default function estimateTargetNeed(
   { promptTokensPerSecond, runs }: ServiceLoad,
   { prefillMsPerToken, tokensPerRun }: TargetPerformance,
@@ -39,7 +42,7 @@
   };
 }
 
-/** Targets that carry it where each is loaded by that part. */
+/** Returns the number of targets that carry the load at this utilization. */
 export function targetsForUtilization(
   load: number,
   { prefill, memory, slots }: TargetNeed,
--- a/packages/plan-capacity/src/plan-domains.ts
+++ b/packages/plan-capacity/src/plan-domains.ts
@@ -1,21 +1,19 @@
 /**
- * Pure plan of the targets of each failure domain. Every split of the need into plain and
- * spot that bears two losses, one or none is priced, and the late runs that it leaves are
- * priced with it; the cheapest sum is taken.
+ * Plans the targets of each failure domain. It prices every split into plain and spot targets that
+ * tolerates two losses, one loss or none, adds the cost of the expected late runs, and selects the
+ * cheapest.
  */
 import type { CapacityPlan, CapacityInputs, LossCoverage, TargetCounts } from './types.js';
 
-/*
- * Likelihoods are parts of all time. They weigh the price of a reserve against the runs
- * that go without it; a wrong one costs a little money or a few runs, never correctness.
+/**
+ * Share of time that one failure domain is down. Probabilities affect only the price of a reserve,
+ * never correctness.
  */
-
-/** One failure domain is down: some seconds of every few minutes on the users' worst days. */
 const DOMAIN_DOWN_PROBABILITY = 0.03;
-/** The spot targets of one failure domain are away: a notice, the time until new ones serve. */
+/** Share of time that the spot targets of one failure domain are reclaimed or not yet replaced. */
 const SPOT_RECLAIMED_PROBABILITY = 0.1;
 
-/** A plan without what it would be if no domain were dry. */
+/** A priced plan before `unconstrainedCounts` is added. */
 type PricedPlan = Omit<CapacityPlan, 'unconstrainedCounts'>;
 
 const NO_PLAN: PricedPlan = {
@@ -23,40 +21,39 @@
 };
 const COVERS: readonly LossCoverage[] = ['two-losses', 'one-loss', 'none'];
 
-/** The numbers of each failure domain, in order, for one split. */
+/** Target counts of each failure domain, in order, for one split. */
 interface Candidate {
   cover: LossCoverage;
   counts: TargetCounts[];
 }
 
 /**
- * Takes the split whose price and late runs together cost least. Dry domains have no say in
- * the split, since they are dry for some seconds only; what they can't give is ordered
- * elsewhere.
+ * Selects the split with the lowest price including late runs. Missing spot capacity does not
+ * affect the split, since it is short-lived; the missing targets are planned in other domains.
  */
-export default function planDomains(question: CapacityInputs): CapacityPlan {
-  const open = planUnconstrained(question);
-  return { ...moveMissingSpot(question, open), unconstrainedCounts: open.counts };
+export default function planDomains(inputs: CapacityInputs): CapacityPlan {
+  const unconstrained = planUnconstrained(inputs);
+  return { ...moveMissingSpot(inputs, unconstrained), unconstrainedCounts: unconstrained.counts };
 }
 
-function planUnconstrained(question: CapacityInputs): PricedPlan {
-  const candidates = listCandidates(question);
-  const plans = candidates.map((candidate) => toPlan(question, candidate));
-  return selectCheapest(question, plans);
+function planUnconstrained(inputs: CapacityInputs): PricedPlan {
+  const candidates = listCandidates(inputs);
+  const plans = candidates.map((candidate) => toPlan(inputs, candidate));
+  return selectCheapest(inputs, plans);
 }
 
-function selectCheapest(question: CapacityInputs, plans: PricedPlan[]): PricedPlan {
+function selectCheapest(inputs: CapacityInputs, plans: PricedPlan[]): PricedPlan {
   const [first, ...rest] = plans;
   if (first === undefined) {
     return NO_PLAN;
   }
   return rest.reduce(
-    (best, plan) => (totalCost(question, plan) < totalCost(question, best) ? plan : best),
+    (best, plan) => (totalCost(inputs, plan) < totalCost(inputs, best) ? plan : best),
     first,
   );
 }
 
-/** Price of one target and second: plain 1, times what the failure domain asks. */
+/** Returns the price of a target per second by kind, in units of a plain target at price 1. */
 export function targetPrices(
   { scaling }: Pick<CapacityInputs, 'scaling'>,
   domain: string,
@@ -69,40 +66,45 @@
   return plan.pricePerSecond + plan.lateRunsPerSecond / policy.lateRunsPerTargetSecond;
 }
 
-function listCandidates(question: CapacityInputs): Candidate[] {
-  const { domains, needed, policy } = question;
+function listCandidates(inputs: CapacityInputs): Candidate[] {
+  const { domains, needed, policy } = inputs;
   if (domains.length === 0) {
     return [];
   }
   return COVERS.flatMap((cover) => {
-    const covering = maxPlainForCoverage(cover, needed, domains.length);
-    const mostPlain = Math.min(covering, question.scaling.max);
-    const least = Math.min(policy.plainFloor, mostPlain);
-    const length = mostPlain - least + 1;
-    return Array.from({ length }, (_, step) => toCandidate(question, cover, least + step));
+    const plainAlone = maxPlainForCoverage(cover, needed, domains.length);
+    const maxPlain = Math.min(plainAlone, inputs.scaling.max);
+    const minPlain = Math.min(policy.plainFloor, maxPlain);
+    const length = maxPlain - minPlain + 1;
+    return Array.from({ length }, (_, step) => toCandidate(inputs, cover, minPlain + step));
   });
 }
 
-/** Plain targets of each failure domain that bear the losses without any spot target. */
+/**
+ * Returns the plain targets of each failure domain that tolerate the losses without any spot
+ * target.
+ */
 function maxPlainForCoverage(cover: LossCoverage, needed: number, domains: number): number {
-  const left = cover === 'none' ? domains : Math.max(1, domains - 1);
-  return Math.ceil(needed / left);
+  const remaining = cover === 'none' ? domains : Math.max(1, domains - 1);
+  return Math.ceil(needed / remaining);
 }
 
-function toCandidate(question: CapacityInputs, cover: LossCoverage, plain: number): Candidate {
-  const { domains, needed, policy, scaling } = question;
-  const maySpot = policy.usesSpot && scaling.spotPrice !== undefined;
-  const spot = maySpot ? spotForCoverage(cover, { needed, plain, domains: domains.length }) : 0;
-  return { cover, counts: domains.map(() => clampToBounds({ plain, spot }, question)) };
+function toCandidate(inputs: CapacityInputs, cover: LossCoverage, plain: number): Candidate {
+  const { domains, needed, policy, scaling } = inputs;
+  const canUseSpot = policy.usesSpot && scaling.spotPrice !== undefined;
+  const spot = canUseSpot ? spotForCoverage(cover, { needed, plain, domains: domains.length }) : 0;
+  return { cover, counts: domains.map(() => clampToBounds({ plain, spot }, inputs)) };
 }
 
-/** Spot targets of each failure domain that bear the losses beside so many plain ones. */
+/**
+ * Returns the spot targets of each failure domain that tolerate the losses beside these plain ones.
+ */
 function spotForCoverage(
   cover: LossCoverage,
   { needed, plain, domains }: { needed: number; plain: number; domains: number },
 ): number {
-  const perDomain = (missing: number, left: number): number =>
-    left <= 0 ? 0 : Math.max(0, Math.ceil(missing / left));
+  const perDomain = (missing: number, remaining: number): number =>
+    remaining <= 0 ? 0 : Math.max(0, Math.ceil(missing / remaining));
   if (cover === 'none') {
     return perDomain(needed - domains * plain, domains);
   }
@@ -115,62 +117,62 @@
   return Math.max(oneLoss, perDomain(needed - (domains - 1) * plain, domains - 2));
 }
 
-/** What dry domains can't give is ordered in the others. */
-function moveMissingSpot(question: CapacityInputs, plan: PricedPlan): PricedPlan {
-  const { domains } = question;
-  const open = domains.filter(({ maxSpot }) => maxSpot === undefined).length;
-  const given = domains.map(({ name, maxSpot = Infinity }) => {
+/** Moves spot targets that are unavailable in their domain to the others. */
+function moveMissingSpot(inputs: CapacityInputs, plan: PricedPlan): PricedPlan {
+  const { domains } = inputs;
+  const unconstrained = domains.filter(({ maxSpot }) => maxSpot === undefined).length;
+  const available = domains.map(({ name, maxSpot = Infinity }) => {
     const { plain, spot } = plan.counts.get(name) ?? { plain: 0, spot: 0 };
     return { plain, spot: Math.min(spot, maxSpot), missing: Math.max(0, spot - maxSpot) };
   });
-  const missing = given.reduce((sum, domain) => sum + domain.missing, 0);
+  const missing = available.reduce((sum, domain) => sum + domain.missing, 0);
   if (missing === 0) {
     return plan;
   }
-  if (open === 0) {
-    return fillWithPlain(question, plan.cover, given);
+  if (unconstrained === 0) {
+    return fillWithPlain(inputs, plan.cover, available);
   }
-  const extra = Math.ceil(missing / open);
-  const counts = given.map(({ plain, spot }, index) => {
-    const isOpen = domains[index]?.maxSpot === undefined;
-    return clampToBounds({ plain, spot: spot + (isOpen ? extra : 0) }, question);
+  const extra = Math.ceil(missing / unconstrained);
+  const counts = available.map(({ plain, spot }, index) => {
+    const hasSpot = domains[index]?.maxSpot === undefined;
+    return clampToBounds({ plain, spot: spot + (hasSpot ? extra : 0) }, inputs);
   });
-  return toPlan(question, { cover: plan.cover, counts });
+  return toPlan(inputs, { cover: plan.cover, counts });
 }
 
 /**
- * Where all domains are dry, plain targets come in for the spot ones: as many in the emptiest
- * domains as cost less than the runs that would be late without them.
+ * If no domain has spot targets available, adds plain targets to the emptiest domains while they
+ * cost less than the late runs that they prevent.
  */
 function fillWithPlain(
-  question: CapacityInputs,
+  inputs: CapacityInputs,
   cover: LossCoverage,
-  given: readonly TargetCounts[],
+  available: readonly TargetCounts[],
 ): PricedPlan {
-  const most = Math.min(question.scaling.max, question.needed);
-  const plans = Array.from({ length: most + 1 }, (_, level) =>
-    toPlan(question, {
+  const maxPerDomain = Math.min(inputs.scaling.max, inputs.needed);
+  const plans = Array.from({ length: maxPerDomain + 1 }, (_, level) =>
+    toPlan(inputs, {
       cover,
-      counts: given.map(({ plain, spot }) =>
-        clampToBounds({ plain: Math.max(plain, level - spot), spot }, question),
+      counts: available.map(({ plain, spot }) =>
+        clampToBounds({ plain: Math.max(plain, level - spot), spot }, inputs),
       ),
     }),
   );
-  return selectCheapest(question, plans);
+  return selectCheapest(inputs, plans);
 }
 
-/** Holds the sum between the bounds; spot targets give way first, plain ones fill up. */
+/** Keeps the total between the bounds: reduces spot targets first and fills up with plain ones. */
 function clampToBounds({ plain, spot }: TargetCounts, { scaling }: CapacityInputs): TargetCounts {
-  const heldPlain = Math.min(plain, scaling.max);
-  const heldSpot = Math.min(spot, scaling.max - heldPlain);
-  const missing = Math.max(0, scaling.min - heldPlain - heldSpot);
-  return { plain: heldPlain + missing, spot: heldSpot };
+  const boundedPlain = Math.min(plain, scaling.max);
+  const boundedSpot = Math.min(spot, scaling.max - boundedPlain);
+  const missing = Math.max(0, scaling.min - boundedPlain - boundedSpot);
+  return { plain: boundedPlain + missing, spot: boundedSpot };
 }
 
-function toPlan(question: CapacityInputs, { cover, counts }: Candidate): PricedPlan {
-  const { domains } = question;
+function toPlan(inputs: CapacityInputs, { cover, counts }: Candidate): PricedPlan {
+  const { domains } = inputs;
   const pricePerSecond = domains.reduce((sum, { name }, index) => {
-    const price = targetPrices(question, name);
+    const price = targetPrices(inputs, name);
     const { plain, spot } = counts[index] ?? { plain: 0, spot: 0 };
     return sum + plain * price.plain + spot * price.spot;
   }, 0);
@@ -180,27 +182,30 @@
     ),
     cover,
     pricePerSecond,
-    lateRunsPerSecond: question.runsPerSecond * expectedLateShare(question.needed, counts),
+    lateRunsPerSecond: inputs.runsPerSecond * expectedLateShare(inputs.needed, counts),
   };
 }
 
-/** Part of the runs that is late, over all losses by their likelihood. */
+/** Returns the expected share of late runs, over all losses by probability. */
 export function expectedLateShare(needed: number, counts: readonly TargetCounts[]): number {
   const total = counts.reduce((sum, { plain, spot }) => sum + plain + spot, 0);
-  const lateShare = (left: number): number => (needed <= 0 ? 0 : Math.max(0, 1 - left / needed));
+  const lateShare = (remaining: number): number =>
+    needed <= 0 ? 0 : Math.max(0, 1 - remaining / needed);
   return counts.reduce((sum, down, index) => {
     const afterDown = total - down.plain - down.spot;
-    const one =
+    const oneLoss =
       DOMAIN_DOWN_PROBABILITY * lateShare(afterDown) +
       SPOT_RECLAIMED_PROBABILITY * lateShare(total - down.spot);
-    const two = counts.reduce(
-      (pairs, away, other) =>
+    const twoLosses = counts.reduce(
+      (pairs, reclaimed, other) =>
         other === index
           ? pairs
           : pairs +
-            DOMAIN_DOWN_PROBABILITY * SPOT_RECLAIMED_PROBABILITY * lateShare(afterDown - away.spot),
+            DOMAIN_DOWN_PROBABILITY *
+              SPOT_RECLAIMED_PROBABILITY *
+              lateShare(afterDown - reclaimed.spot),
       0,
     );
-    return sum + one + two;
+    return sum + oneLoss + twoLosses;
   }, lateShare(total));
 }
--- a/packages/plan-capacity/src/types.ts
+++ b/packages/plan-capacity/src/types.ts
@@ -1,4 +1,4 @@
-/** Shapes of the plan of capacity. */
+/** Types of the capacity plan. */
 import type { ServiceScaling } from '@limelead/types';
 
 /** Targets of one failure domain, by kind. */
@@ -7,52 +7,52 @@
   spot: number;
 }
 
-/** What a failure domain can have. */
+/** A failure domain to plan for. */
 export interface PlannedDomain {
   name: string;
-  /** Spot targets at most, where no more are to be had there now; undefined where more are. */
+  /** Maximum spot targets while no more are available; undefined if there is no limit. */
   maxSpot?: number;
 }
 
-/** What an operator decides about the plan. */
+/** Operator settings that shape the plan. */
 export interface CapacityPolicy {
-  /** Part of a target's time that work may take at the forecast; the rest keeps waiting short. */
+  /** Utilization of a target at the forecast load, 0 to 1; the rest keeps queues short. */
   load: number;
-  /** False where nothing may run on targets that can be taken away. */
+  /** False if no spot targets may be used. */
   usesSpot: boolean;
-  /** Fewest plain targets of one failure domain. */
+  /** Minimum plain targets in each failure domain. */
   plainFloor: number;
-  /** Runs that may be late or lost for one second of a plain target saved. */
+  /** Number of late or lost runs that is as costly as one second of a plain target. */
   lateRunsPerTargetSecond: number;
 }
 
-/** What a plan is made for. */
+/** Inputs of a plan. */
 export interface CapacityInputs {
   domains: readonly PlannedDomain[];
   scaling: ServiceScaling;
   policy: CapacityPolicy;
-  /** Targets that carry the forecast at the policy's load. */
+  /** Targets that carry the forecast load at the policy's utilization. */
   needed: number;
-  /** Runs that arrive in a second, by the forecast. */
+  /** Forecast number of runs that arrive each second. */
   runsPerSecond: number;
 }
 
-/** Which losses a plan bears with all runs on time. */
+/** Losses that a plan tolerates with all runs on time. */
 export type LossCoverage =
-  /** A failure domain and the spot targets of another one. */
+  /** One failure domain, and the spot targets of another one. */
   | 'two-losses'
-  /** A failure domain, or the spot targets of one. */
+  /** One failure domain, or the spot targets of one. */
   | 'one-loss'
   | 'none';
 
-/** What is ordered, and why. */
+/** Planned targets of each failure domain, with their price and coverage. */
 export interface CapacityPlan {
   counts: ReadonlyMap<string, TargetCounts>;
-  /** The same if no domain were dry. */
+  /** Counts as planned if spot targets were available in all domains. */
   unconstrainedCounts: ReadonlyMap<string, TargetCounts>;
   cover: LossCoverage;
-  /** Price of a second, in plain targets at price 1. */
+  /** Price per second, in units of a plain target at price 1. */
   pricePerSecond: number;
-  /** Runs that are expected to be late or lost in a second, over all losses by their likelihood. */
+  /** Expected late or lost runs per second, over all losses by probability. */
   lateRunsPerSecond: number;
 }
