--- a/packages/judge-version/src/proportion-test.ts
+++ b/packages/judge-version/src/proportion-test.ts
@@ -1,48 +1,49 @@
-/** Compares the parts of bad answers of late, once there are enough of them. */
+/** Compares the recent shares of bad answers once there are enough answers. */
 import {
   findSlowBucket,
-  readFailures,
-  readSlow,
-  type BadCause,
+  failureProportion,
+  slowProportion,
+  type BadVersionCause,
   type Proportion,
-  type RouteLook,
+  type RouteSample,
   type RouteTest,
 } from './route-test.js';
-import { createSums, type Sums } from './sums.js';
+import { createCounts, type OutcomeCounts } from './outcome-counts.js';
 
-/** Answers of the version under trial below which nothing is said. */
-const LEAST_ANSWERS = 20;
-/** Standard errors between the two parts from which on the version is bad. */
-const BAD_AT = 4;
-/** Least rise of the part of bad answers that counts. */
-const LEAST_RISE = 0.1;
+/** Minimum number of answers on each side of a comparison. */
+const MIN_ANSWERS = 20;
+/** Difference between the shares, in standard errors, at which the version is bad. */
+const MIN_STANDARD_ERRORS = 4;
+/** Minimum increase of the share of bad answers. */
+const MIN_INCREASE = 0.1;
 
-/** Judges one route. */
+/** Judges one route by a two-proportion test. */
 export default class ProportionTest implements RouteTest {
-  private readonly late: Sums = createSums();
+  private readonly recent: OutcomeCounts = createCounts();
 
-  take({ fresh, baseline, kept }: RouteLook): BadCause | undefined {
-    this.late.good = this.late.good * kept + fresh.good;
-    this.late.bad = this.late.bad * kept + fresh.bad;
+  evaluate({ fresh, baseline, decayFactor }: RouteSample): BadVersionCause | undefined {
+    this.recent.good = this.recent.good * decayFactor + fresh.good;
+    this.recent.bad = this.recent.bad * decayFactor + fresh.bad;
     fresh.times.forEach((answers, bucket) => {
-      this.late.times[bucket] = (this.late.times[bucket] ?? 0) * kept + answers;
+      this.recent.times[bucket] = (this.recent.times[bucket] ?? 0) * decayFactor + answers;
     });
-    if (isHigher(readFailures(this.late), readFailures(baseline))) {
+    if (isHigher(failureProportion(this.recent), failureProportion(baseline))) {
       return 'failures';
     }
     const slow = findSlowBucket(baseline);
-    return slow !== undefined && isHigher(readSlow(this.late, slow), readSlow(baseline, slow))
+    return slow !== undefined &&
+      isHigher(slowProportion(this.recent, slow), slowProportion(baseline, slow))
       ? 'times'
       : undefined;
   }
 }
 
 function isHigher(trial: Proportion, inForce: Proportion): boolean {
-  if (trial.trials < LEAST_ANSWERS || inForce.trials < LEAST_ANSWERS) {
+  if (trial.trials < MIN_ANSWERS || inForce.trials < MIN_ANSWERS) {
     return false;
   }
-  const rise = trial.events / trial.trials - inForce.events / inForce.trials;
+  const increase = trial.events / trial.trials - inForce.events / inForce.trials;
   const pooled = (trial.events + inForce.events) / (trial.trials + inForce.trials);
   const error = Math.sqrt(pooled * (1 - pooled) * (1 / trial.trials + 1 / inForce.trials));
-  return rise > LEAST_RISE && rise > BAD_AT * error;
+  return increase > MIN_INCREASE && increase > MIN_STANDARD_ERRORS * error;
 }
--- a/packages/judge-version/src/sequential-test.ts
+++ b/packages/judge-version/src/sequential-test.ts
@@ -1,60 +1,61 @@
 /**
- * A sequential probability ratio test that begins anew whenever the version looks like
- * the one in force: a version that turns bad late is found as soon as one that was bad
- * from the start.
+ * Sequential probability logRatio test that restarts whenever the version looks like the baseline, so
+ * that a version that turns bad late is found as quickly as one that is bad from the start.
  */
 import {
   findSlowBucket,
-  readFailures,
-  readSlow,
-  type BadCause,
+  failureProportion,
+  slowProportion,
+  type BadVersionCause,
   type Proportion,
-  type RouteLook,
+  type RouteSample,
   type RouteTest,
 } from './route-test.js';
 
-/** Least rise of the part of bad answers that is looked for; smaller ones callers hardly notice. */
-const RISE = 0.15;
-/** A bad version has at least this many times the bad answers of the one in force. */
-const RISE_FACTOR = 2.2;
-/** Rates nearer to 0 or 1 would let a single answer decide. */
-const LEAST_RATE = 0.02;
-const MOST_RATE = 0.9;
+/** Increase of the share of bad answers to detect; callers hardly notice smaller ones. */
+const MIN_INCREASE = 0.15;
+/** A bad version has at least this many times the baseline's share of bad answers. */
+const MIN_INCREASE_FACTOR = 2.2;
+/** Limits on rates, so that a single answer never decides. */
+const MIN_RATE = 0.02;
+const MAX_RATE = 0.9;
+/** Log-likelihood logRatio of bad against good at which the version is bad. */
+const MIN_LOG_LIKELIHOOD_RATIO = 8;
 /**
- * Logarithm of how many times likelier a bad version has to be than a good one. The
- * table of `docs/design/06-roll-outs.md` says what it costs and what it brings.
+ * Standard errors added to the baseline's rate, so that few answers do not give a low rate by
+ * chance.
  */
-const BAD_AT = 8;
-/** Added to a rate of few answers in force, as standard errors, so that chance makes no low rate. */
-const CAUTION = 1;
+const BASELINE_MARGIN = 1;
 
-/** Judges one route. */
+/** Judges one route by a sequential test. */
 export default class SequentialTest implements RouteTest {
-  private readonly ratios: Record<BadCause, number> = { failures: 0, times: 0 };
+  private readonly logRatios: Record<BadVersionCause, number> = { failures: 0, times: 0 };
 
-  take({ fresh, baseline }: RouteLook): BadCause | undefined {
-    this.add('failures', readFailures(fresh), readFailures(baseline));
+  evaluate({ fresh, baseline }: RouteSample): BadVersionCause | undefined {
+    this.add('failures', failureProportion(fresh), failureProportion(baseline));
     const slowBucket = findSlowBucket(baseline);
     if (slowBucket !== undefined) {
-      this.add('times', readSlow(fresh, slowBucket), readSlow(baseline, slowBucket));
+      this.add('times', slowProportion(fresh, slowBucket), slowProportion(baseline, slowBucket));
     }
-    return (['failures', 'times'] as const).find((cause) => this.ratios[cause] >= BAD_AT);
+    return (['failures', 'times'] as const).find(
+      (cause) => this.logRatios[cause] >= MIN_LOG_LIKELIHOOD_RATIO,
+    );
   }
 
-  private add(cause: BadCause, { events, trials }: Proportion, inForce: Proportion): void {
-    const good = clamp(readCautiousRate(inForce));
-    const bad = clamp(Math.max(good * RISE_FACTOR, good + RISE));
-    const ratio =
+  private add(cause: BadVersionCause, { events, trials }: Proportion, baseline: Proportion): void {
+    const good = clamp(upperBaselineRate(baseline));
+    const bad = clamp(Math.max(good * MIN_INCREASE_FACTOR, good + MIN_INCREASE));
+    const logRatio =
       events * Math.log(bad / good) + (trials - events) * Math.log((1 - bad) / (1 - good));
-    this.ratios[cause] = Math.max(0, this.ratios[cause] + ratio);
+    this.logRatios[cause] = Math.max(0, this.logRatios[cause] + logRatio);
   }
 }
 
-function readCautiousRate({ events, trials }: Proportion): number {
+function upperBaselineRate({ events, trials }: Proportion): number {
   const rate = (events + 1) / (trials + 2);
-  return rate + CAUTION * Math.sqrt((rate * (1 - rate)) / (trials + 2));
+  return rate + BASELINE_MARGIN * Math.sqrt((rate * (1 - rate)) / (trials + 2));
 }
 
 function clamp(rate: number): number {
-  return Math.min(MOST_RATE, Math.max(LEAST_RATE, rate));
+  return Math.min(MAX_RATE, Math.max(MIN_RATE, rate));
 }
