--- a/packages/forward-request/src/attempt-budget.test.ts
+++ b/packages/forward-request/src/attempt-budget.test.ts
@@ -1,5 +1,5 @@
 import createDecisionLog from '@limelead/decision-log';
-import { RetrySpender } from '@limelead/spend-retries';
+import { RetryBudgetTracker } from '@limelead/spend-retries';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import AttemptBudget from './attempt-budget.js';
@@ -15,7 +15,7 @@
       done();
     },
   });
-  const retryBudget = new RetrySpender({ ratio: 0, slack: 2.5, windowMs: 10_000 });
+  const retryBudget = new RetryBudgetTracker({ ratio: 0, slack: 2.5, windowMs: 10_000 });
   const budget = new AttemptBudget(
     { clock, log, countVms: () => 1, retryBudgetOf: () => retryBudget },
     { service: 'briefs', request: { requestId: 'r1' } },
@@ -54,14 +54,14 @@
     assert.ok(budget.trySpend());
     budget.recordAttempt()();
   }
-  assert.is(retryBudget.remaining(0, 1), 2);
+  assert.is(retryBudget.countOwnAvailable(0, 1), 2);
   budget.trySpend();
   budget.recordAttempt();
   for (let attempt = 0; attempt < 10; attempt += 1) {
     assert.ok(budget.trySpend());
     budget.recordAttempt()();
   }
-  assert.is(retryBudget.remaining(0, 1), 2);
+  assert.is(retryBudget.countOwnAvailable(0, 1), 2);
 });
 
 test.run();
--- a/packages/forward-request/src/attempt-budget.ts
+++ b/packages/forward-request/src/attempt-budget.ts
@@ -48,12 +48,12 @@
     this.arrivedAttempts += 1;
     this.attempts += 1;
     if (this.attempts === 1) {
-      this.retryBudget.noteFirstSend(this.context.clock.now());
+      this.retryBudget.recordFirstAttempt(this.context.clock.now());
     }
     return () => {
       this.arrivedAttempts -= 1;
       if (wasPaid) {
-        this.retryBudget.giveBack(this.context.clock.now());
+        this.retryBudget.refund(this.context.clock.now());
       }
     };
   }
--- a/packages/forward-request/src/context.ts
+++ b/packages/forward-request/src/context.ts
@@ -4,7 +4,7 @@
 import type { Metrics } from '@limelead/metrics';
 import type { RequestGuard } from '@limelead/quarantine-requests';
 import type { RouteTable } from '@limelead/route-requests';
-import type { RetrySpender } from '@limelead/spend-retries';
+import type { RetryBudgetTracker } from '@limelead/spend-retries';
 import type { TargetConnections } from '@limelead/target-connections';
 import type { TargetDirectory } from '@limelead/track-service-targets';
 import type { AskTarget, Clock, Millis, Timers } from '@limelead/types';
@@ -50,7 +50,7 @@
   readKnowledgeAgeMs(): Millis;
   /** Source of the current configuration: "store" or the address of a peer. */
   readConfigurationSource(): string | undefined;
-  retryBudgetOf(service: string): RetrySpender;
+  retryBudgetOf(service: string): RetryBudgetTracker;
   /** Number of VMs that share the retry budget, including this one. */
   countVms(): number;
 }
--- a/packages/forward-request/src/forwarding.fixture.ts
+++ b/packages/forward-request/src/forwarding.fixture.ts
@@ -5,7 +5,7 @@
 import createMetrics from '@limelead/metrics';
 import { createLoneGuard } from '@limelead/quarantine-requests';
 import compileRoutes from '@limelead/route-requests';
-import { RetrySpender } from '@limelead/spend-retries';
+import { RetryBudgetTracker } from '@limelead/spend-retries';
 import { TargetConnections } from '@limelead/target-connections';
 import { Backpressure, readDirectives } from '@limelead/track-backpressure';
 import { TargetDirectory } from '@limelead/track-service-targets';
@@ -196,7 +196,7 @@
   askTarget: AskTarget = askNobody;
   private readonly servers: Server[] = [];
   private readonly behaviours = new Map<string, Behaviour>();
-  private readonly spender = new RetrySpender({ ratio: 1, slack: 100, windowMs: 10_000 });
+  private readonly spender = new RetryBudgetTracker({ ratio: 1, slack: 100, windowMs: 10_000 });
 
   private constructor() {
     const log = createDecisionLog({ vm: 'test', clock, output: (_, done) => done() });
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -120,10 +120,10 @@
     this.noteMisdirected = createLineLimit(this.log, steadyClock, 'request-misdirected');
     this.locality = createLocality({ ...settings, prices: settings.localityPrices });
     this.retries = new RetryBudgets({
-      budget: settings.retryBudget,
+      limits: settings.retryBudget,
       clock: steadyClock,
       countVms: () => this.countVms(),
-      onShort: (service) => this.exchange?.wantRepeats(service),
+      onLow: (service) => this.exchange?.wantRepeats(service),
     });
     this.directory = new TargetDirectory(steadyClock, {
       onNotice: (notice) => this.onNotice(notice),
@@ -267,7 +267,7 @@
   /** Takes over new settings; addresses stay as they are until the next start. */
   reload(settings: GatewaySettings): void {
     this.settings = settings;
-    this.retries.change(settings.retryBudget);
+    this.retries.changeLimits(settings.retryBudget);
     this.log.write('settings-reloaded', { failureDomain: settings.failureDomain });
   }
 
@@ -347,7 +347,7 @@
       readRouteTable: () => this.knowledge.routes,
       readKnowledgeAgeMs: () => this.knowledgeAgeMs,
       readConfigurationSource: () => this.knowledge.configurationSource,
-      retryBudgetOf: (service) => this.retries.of(service),
+      retryBudgetOf: (service) => this.retries.forService(service),
       countVms: () => this.countVms(),
     };
   }
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -2,7 +2,7 @@
 import type { CapacitySettings } from '@limelead/order-capacity';
 import type { LocalityPrices } from '@limelead/locality';
 import type { RollOutBounds } from '@limelead/run-roll-outs';
-import type { RetryBudget } from '@limelead/spend-retries';
+import type { RetryBudgetLimits } from '@limelead/spend-retries';
 import type { Address } from '@limelead/types';
 
 /** Calls to the platform that only one VM at a time may make, and the bounds on them. */
@@ -41,7 +41,7 @@
   configurationWithinMs: number;
   /** Time between the request to stop and the kill, in milliseconds. */
   stopGraceMs: number;
-  retryBudget: RetryBudget;
+  retryBudget: RetryBudgetLimits;
   rollOut: RollOutBounds;
   /** Region of this VM; undefined where nothing tells of regions. */
   region?: string;
--- a/packages/http-front-door/src/http-front-door.test.ts
+++ b/packages/http-front-door/src/http-front-door.test.ts
@@ -15,7 +15,7 @@
 import createMetrics from '@limelead/metrics';
 import { createLoneGuard } from '@limelead/quarantine-requests';
 import compileRoutes, { type RouteTable } from '@limelead/route-requests';
-import { RetrySpender } from '@limelead/spend-retries';
+import { RetryBudgetTracker } from '@limelead/spend-retries';
 import { TargetConnections } from '@limelead/target-connections';
 import { TargetDirectory } from '@limelead/track-service-targets';
 import {
@@ -231,7 +231,7 @@
       readRouteTable: () => this.table,
       readKnowledgeAgeMs: () => 0,
       readConfigurationSource: () => 'store',
-      retryBudgetOf: () => new RetrySpender({ ratio: 1, slack: 10, windowMs: 1_000 }),
+      retryBudgetOf: () => new RetryBudgetTracker({ ratio: 1, slack: 10, windowMs: 1_000 }),
       countVms: () => 1,
     };
   }
--- a/packages/measure/src/experiments/front-door.ts
+++ b/packages/measure/src/experiments/front-door.ts
@@ -18,7 +18,7 @@
 import createMetrics from '@limelead/metrics';
 import { createLoneGuard } from '@limelead/quarantine-requests';
 import compileRoutes from '@limelead/route-requests';
-import { RetrySpender } from '@limelead/spend-retries';
+import { RetryBudgetTracker } from '@limelead/spend-retries';
 import { TargetConnections } from '@limelead/target-connections';
 import { TargetDirectory } from '@limelead/track-service-targets';
 import {
@@ -161,7 +161,7 @@
       idleTimeoutMs: 9_000,
     },
   });
-  const spender = new RetrySpender({ ratio: 1, slack: 1e6, windowMs: 10_000 });
+  const spender = new RetryBudgetTracker({ ratio: 1, slack: 1e6, windowMs: 10_000 });
   const locality = createLocality({ failureDomain: 'd1', regionOf: {} });
   return {
     ...shared,
--- a/packages/run-roll-outs/src/version-trial.ts
+++ b/packages/run-roll-outs/src/version-trial.ts
@@ -9,7 +9,7 @@
   type RouteTest,
   type SendOutcome,
 } from '@limelead/judge-version';
-import { RetrySpender } from '@limelead/spend-retries';
+import { RetryBudgetTracker } from '@limelead/spend-retries';
 import type { Clock, Millis, Random } from '@limelead/types';
 import { shareOfMove } from './plan-step.js';
 import type {
@@ -65,7 +65,7 @@
   private readonly book = new EvidenceBook();
   private readonly told = new Map<string, Told>();
   private readonly judge: VersionJudge;
-  private readonly spender: RetrySpender;
+  private readonly spender: RetryBudgetTracker;
   /** What the VM that knows most gathered. */
   private gathered: RouteSums[] = [];
   private gatheredAtMs: Millis | undefined;
@@ -82,7 +82,7 @@
     const { bounds, clock, random, isLate, standing, createTest } = options;
     this.beganAtMs = clock.now();
     this.judge = new VersionJudge(createTest);
-    this.spender = new RetrySpender({
+    this.spender = new RetryBudgetTracker({
       ratio: bounds.exposureShare * TRIAL_PART,
       slack: isLate ? 0 : bounds.exposureSlack * TRIAL_PART,
       windowMs: Math.max(1, standing.order.durationMs) * WINDOW_FACTOR,
@@ -152,7 +152,7 @@
       return false;
     }
     if (this.knownStep === 'trial') {
-      return this.spender.left(this.now, this.options.countVms()) >= 1;
+      return this.spender.countAvailable(this.now, this.options.countVms()) >= 1;
     }
     const { random, bounds } = this.options;
     return (
@@ -164,7 +164,7 @@
 
   /** A request was sent to the service. */
   noteSent(isTrial: boolean): void {
-    this.spender.noteFirstSend(this.now);
+    this.spender.recordFirstAttempt(this.now);
     if (isTrial) {
       this.spender.trySpend(this.now, this.options.countVms());
     }
--- a/packages/spend-retries/src/index.ts
+++ b/packages/spend-retries/src/index.ts
@@ -6,5 +6,5 @@
  */
 export { default as RetryBudgets } from './retry-budgets.js';
 export type { RetryBudgetsOptions } from './retry-budgets.js';
-export { default as RetrySpender } from './retry-spender.js';
-export type { RetryBudget } from './retry-spender.js';
+export { default as RetryBudgetTracker } from './retry-budget-tracker.js';
+export type { RetryBudgetLimits } from './retry-budget-tracker.js';
--- a/packages/spend-retries/src/retry-spender.test.ts
+++ b/packages/spend-retries/src/retry-budget-tracker.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { RetrySpender } from './index.js';
+import { RetryBudgetTracker } from './index.js';
 
 const budget = { ratio: 0.5, slack: 20, windowMs: 1_000 };
 
@@ -13,13 +13,13 @@
   });
   fc.assert(
     fc.property(fc.array(arrival, { maxLength: 300 }), (arrivals) => {
-      const vms = [0, 1, 2].map(() => new RetrySpender(budget));
+      const vms = [0, 1, 2].map(() => new RetryBudgetTracker(budget));
       const first: number[] = [];
       const repeated: number[] = [];
       let now = 0;
       for (const { gapMs, vm, repeats } of arrivals) {
         now += gapMs;
-        vms[vm]!.noteFirstSend(now);
+        vms[vm]!.recordFirstAttempt(now);
         first.push(now);
         for (let index = 0; index < repeats; index += 1) {
           if (vms[vm]!.trySpend(now, vms.length)) {
@@ -46,14 +46,14 @@
   });
   fc.assert(
     fc.property(fc.array(arrival, { minLength: 50, maxLength: 300 }), (arrivals) => {
-      const vms = [0, 1, 2, 3].map(() => new RetrySpender(budget));
+      const vms = [0, 1, 2, 3].map(() => new RetryBudgetTracker(budget));
       const first: number[] = [];
       const repeated: number[] = [];
       let now = 0;
       for (const { gapMs, vm, isFirst, repeats } of arrivals) {
         now += gapMs;
         if (isFirst) {
-          vms[vm]!.noteFirstSend(now);
+          vms[vm]!.recordFirstAttempt(now);
           first.push(now);
         }
         for (let index = 0; index < repeats; index += 1) {
@@ -76,16 +76,16 @@
 });
 
 test('an own part and a borrowed part that make one repeat together pay for it', () => {
-  const spender = new RetrySpender({ ratio: 0, slack: 0.75, windowMs: 1_000 });
-  assert.is(spender.remaining(0, 1), 0.75 * 0.8);
+  const spender = new RetryBudgetTracker({ ratio: 0, slack: 0.75, windowMs: 1_000 });
+  assert.is(spender.countOwnAvailable(0, 1), 0.75 * 0.8);
   spender.borrow(0, 0.5);
   assert.ok(spender.trySpend(0, 1));
-  assert.ok(Math.abs(spender.remaining(0, 1) - 0.1) < 1e-9);
+  assert.ok(Math.abs(spender.countOwnAvailable(0, 1) - 0.1) < 1e-9);
   assert.not(spender.trySpend(0, 1));
 });
 
 test('a spent budget comes back as its window passes', () => {
-  const spender = new RetrySpender(budget);
+  const spender = new RetryBudgetTracker(budget);
   while (spender.trySpend(0, 1));
   assert.not(spender.trySpend(500, 1));
   assert.ok(spender.trySpend(2_100, 1));
--- a/packages/spend-retries/src/retry-spender.ts
+++ b/packages/spend-retries/src/retry-budget-tracker.ts
@@ -4,21 +4,21 @@
 /** Buckets that a window is counted in; the window is rounded up by one of them. */
 const BUCKETS = 20;
 /** Part of the budget that is left unspent, since several VMs count for themselves. */
-const SAFETY = 0.8;
+const USABLE_SHARE = 0.8;
 /** With fewer repeats left than this, a VM asks its peers for some of theirs. */
-const LOW_REPEATS = 1;
+const LOW_RETRIES = 1;
 /** Smallest part of a repeat that is lent; less is not worth a message. */
-const LEAST_LOAN = 0.25;
+const MIN_LENT_RETRIES = 0.25;
 /** What sums of parts may lack of a whole repeat by rounding. */
-const ROUNDING = 1e-9;
+const ROUNDING_TOLERANCE = 1e-9;
 /**
  * Part of a window in which borrowed repeats have to be spent, since their lender
  * counted them already. A shorter time would waste them.
  */
-const LOAN_SHARE = 0.5;
+const BORROWED_TTL_SHARE = 0.5;
 
 /** What all VMs together may spend. */
-export interface RetryBudget {
+export interface RetryBudgetLimits {
   /** Repeats allowed for each first send. */
   ratio: number;
   /** Repeats allowed on top, in any window. */
@@ -28,35 +28,35 @@
 
 interface Bucket {
   startMs: Millis;
-  firstSends: number;
+  firstAttempts: number;
   /** Repeats spent or lent. */
-  repeats: number;
+  retries: number;
 }
 
-interface Loan {
-  repeats: number;
-  untilMs: Millis;
+interface BorrowedRetries {
+  retries: number;
+  expiresAtMs: Millis;
 }
 
 /** Counts one VM's sends to one service. */
-export default class RetrySpender {
+export default class RetryBudgetTracker {
   private readonly buckets: Bucket[] = [];
-  private loans: Loan[] = [];
+  private borrowed: BorrowedRetries[] = [];
 
-  /** @param onShort called when few repeats or none are left */
+  /** @param onLow called when few repeats or none are left */
   constructor(
-    private budget: RetryBudget,
-    private readonly onShort: () => void = () => undefined,
+    private limits: RetryBudgetLimits,
+    private readonly onLow: () => void = () => undefined,
   ) {}
 
   /** Puts other bounds in force. What was sent and spent so far still counts. */
-  changeBudget(budget: RetryBudget): void {
-    this.budget = budget;
+  changeLimits(budget: RetryBudgetLimits): void {
+    this.limits = budget;
   }
 
   /** A request was sent for the first time. */
-  noteFirstSend(now: Millis): void {
-    this.bucketAt(now).firstSends += 1;
+  recordFirstAttempt(now: Millis): void {
+    this.bucketAt(now).firstAttempts += 1;
   }
 
   /**
@@ -65,15 +65,15 @@
    */
   trySpend(now: Millis, vms: number): boolean {
     const isPaid = this.spendOne(now, vms);
-    if (this.left(now, vms) < LOW_REPEATS) {
-      this.onShort();
+    if (this.countAvailable(now, vms) < LOW_RETRIES) {
+      this.onLow();
     }
     return isPaid;
   }
 
   /** A repeat that was paid for reached no target. */
-  giveBack(now: Millis): void {
-    this.bucketAt(now).repeats -= 1;
+  refund(now: Millis): void {
+    this.bucketAt(now).retries -= 1;
   }
 
   /**
@@ -83,32 +83,37 @@
    * its turn.
    */
   lend(now: Millis, vms: number, wanted: number): number {
-    const lent = Math.min(wanted, this.remaining(now, vms));
-    if (lent < LEAST_LOAN) {
+    const lent = Math.min(wanted, this.countOwnAvailable(now, vms));
+    if (lent < MIN_LENT_RETRIES) {
       return 0;
     }
-    this.bucketAt(now).repeats += lent;
+    this.bucketAt(now).retries += lent;
     return lent;
   }
 
   /** Takes repeats that another VM lent. */
   borrow(now: Millis, repeats: number): void {
-    this.loans.push({ repeats, untilMs: now + this.budget.windowMs * LOAN_SHARE });
+    this.borrowed.push({
+      retries: repeats,
+      expiresAtMs: now + this.limits.windowMs * BORROWED_TTL_SHARE,
+    });
   }
 
   /** Repeats that this VM may still spend, its own and borrowed ones. */
-  left(now: Millis, vms: number): number {
-    return this.remaining(now, vms) + this.borrowed(now);
+  countAvailable(now: Millis, vms: number): number {
+    return this.countOwnAvailable(now, vms) + this.countBorrowed(now);
   }
 
   /** Repeats of this VM's own part that are left in the present window. */
-  remaining(now: Millis, vms: number): number {
+  countOwnAvailable(now: Millis, vms: number): number {
     const current = this.bucketAt(now);
-    const counted = this.buckets.filter(({ startMs }) => startMs > current.startMs - this.spanMs);
-    const firstSends = sum(counted, ({ firstSends }) => firstSends);
-    const repeats = sum(counted, ({ repeats }) => repeats);
-    const allowed = this.budget.ratio * firstSends + this.budget.slack / Math.max(1, vms);
-    return SAFETY * allowed - repeats;
+    const counted = this.buckets.filter(
+      ({ startMs }) => startMs > current.startMs - this.countedMs,
+    );
+    const firstSends = sum(counted, ({ firstAttempts }) => firstAttempts);
+    const repeats = sum(counted, ({ retries }) => retries);
+    const allowed = this.limits.ratio * firstSends + this.limits.slack / Math.max(1, vms);
+    return USABLE_SHARE * allowed - repeats;
   }
 
   /**
@@ -117,38 +122,40 @@
    * repeat while 0.6 of an own one and 0.5 of a borrowed one lay idle.
    */
   private spendOne(now: Millis, vms: number): boolean {
-    const borrowed = Math.min(1, this.borrowed(now));
+    const borrowed = Math.min(1, this.countBorrowed(now));
     const own = 1 - borrowed;
-    if (own > ROUNDING && this.remaining(now, vms) < own - ROUNDING) {
+    if (own > ROUNDING_TOLERANCE && this.countOwnAvailable(now, vms) < own - ROUNDING_TOLERANCE) {
       return false;
     }
-    this.spendLoans(borrowed);
-    this.bucketAt(now).repeats += own;
+    this.spendBorrowed(borrowed);
+    this.bucketAt(now).retries += own;
     return true;
   }
 
   /** Takes so many repeats out of the loans, those that end first. */
-  private spendLoans(repeats: number): void {
+  private spendBorrowed(repeats: number): void {
     let missing = repeats;
-    for (const loan of this.loans) {
-      const taken = Math.min(missing, loan.repeats);
-      loan.repeats -= taken;
+    for (const loan of this.borrowed) {
+      const taken = Math.min(missing, loan.retries);
+      loan.retries -= taken;
       missing -= taken;
     }
   }
 
   /** Repeats of loans that are still to be spent; the others are dropped. */
-  private borrowed(now: Millis): number {
-    this.loans = this.loans.filter(({ repeats, untilMs }) => repeats > 0 && untilMs > now);
-    return sum(this.loans, ({ repeats }) => repeats);
+  private countBorrowed(now: Millis): number {
+    this.borrowed = this.borrowed.filter(
+      ({ retries, expiresAtMs }) => retries > 0 && expiresAtMs > now,
+    );
+    return sum(this.borrowed, ({ retries }) => retries);
   }
 
   private get bucketMs(): number {
-    return this.budget.windowMs / BUCKETS;
+    return this.limits.windowMs / BUCKETS;
   }
 
-  private get spanMs(): number {
-    return this.budget.windowMs + this.bucketMs;
+  private get countedMs(): number {
+    return this.limits.windowMs + this.bucketMs;
   }
 
   private bucketAt(now: Millis): Bucket {
@@ -157,9 +164,9 @@
     if (last !== undefined && last.startMs >= startMs) {
       return last;
     }
-    const bucket = { startMs, firstSends: 0, repeats: 0 };
+    const bucket = { startMs, firstAttempts: 0, retries: 0 };
     this.buckets.push(bucket);
-    while ((this.buckets[0]?.startMs ?? startMs) <= startMs - this.spanMs) {
+    while ((this.buckets[0]?.startMs ?? startMs) <= startMs - this.countedMs) {
       this.buckets.shift();
     }
     return bucket;
--- a/packages/spend-retries/src/retry-budgets.test.ts
+++ b/packages/spend-retries/src/retry-budgets.test.ts
@@ -1,43 +1,43 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { RetryBudgets, RetrySpender } from './index.js';
+import { RetryBudgets, RetryBudgetTracker } from './index.js';
 
 const budget = { ratio: 0.5, slack: 20, windowMs: 1_000 };
 const clock = { now: () => 0 };
 
 function createBudgets(short: string[] = []): RetryBudgets {
   return new RetryBudgets({
-    budget,
+    limits: budget,
     clock,
     countVms: () => 1,
-    onShort: (service) => short.push(service),
+    onLow: (service) => short.push(service),
   });
 }
 
 test('new bounds leave what was spent in the window counted', () => {
   const budgets = createBudgets();
-  while (budgets.of('briefs').trySpend(0, 1));
-  budgets.change({ ...budget });
-  assert.not(budgets.of('briefs').trySpend(100, 1));
+  while (budgets.forService('briefs').trySpend(0, 1));
+  budgets.changeLimits({ ...budget });
+  assert.not(budgets.forService('briefs').trySpend(100, 1));
 });
 
 test('new bounds are in force at once, also for services met before', () => {
   const budgets = createBudgets();
-  while (budgets.of('briefs').trySpend(0, 1));
-  budgets.change({ ...budget, slack: 40 });
-  assert.ok(budgets.of('briefs').trySpend(100, 1));
-  assert.is(budgets.of('rooms').remaining(100, 1), 32);
+  while (budgets.forService('briefs').trySpend(0, 1));
+  budgets.changeLimits({ ...budget, slack: 40 });
+  assert.ok(budgets.forService('briefs').trySpend(100, 1));
+  assert.is(budgets.forService('rooms').countOwnAvailable(100, 1), 32);
 });
 
 test('services spend apart from each other', () => {
   const budgets = createBudgets();
-  while (budgets.of('briefs').trySpend(0, 1));
-  assert.ok(budgets.of('rooms').trySpend(0, 1));
+  while (budgets.forService('briefs').trySpend(0, 1));
+  assert.ok(budgets.forService('rooms').trySpend(0, 1));
 });
 
 test('who has few repeats left says so, before none is left', () => {
   const short: string[] = [];
-  const spender = createBudgets(short).of('briefs');
+  const spender = createBudgets(short).forService('briefs');
   for (let index = 0; index < 15; index += 1) {
     spender.trySpend(0, 1);
   }
@@ -49,13 +49,13 @@
 test('lent repeats are spent by the lender, and the borrower has them for a while', () => {
   const lender = createBudgets();
   const borrower = createBudgets();
-  while (borrower.of('briefs').trySpend(0, 1));
+  while (borrower.forService('briefs').trySpend(0, 1));
   assert.is(lender.lend('briefs', 5), 5);
-  assert.is(lender.of('briefs').remaining(0, 1), 11);
+  assert.is(lender.forService('briefs').countOwnAvailable(0, 1), 11);
   borrower.borrow('briefs', 2);
-  assert.ok(borrower.of('briefs').trySpend(0, 1));
-  assert.ok(borrower.of('briefs').trySpend(0, 1));
-  assert.not(borrower.of('briefs').trySpend(0, 1));
+  assert.ok(borrower.forService('briefs').trySpend(0, 1));
+  assert.ok(borrower.forService('briefs').trySpend(0, 1));
+  assert.not(borrower.forService('briefs').trySpend(0, 1));
   assert.is(lender.lend('briefs', 100), 11);
   assert.is(lender.lend('briefs', 100), 0);
 });
@@ -63,7 +63,7 @@
 test('in a fleet of 195 VMs those that sent nothing lately still have parts to lend', () => {
   // The users' large site: 0.8 repeats a first send, 150 on top, in ten seconds.
   const large = { ratio: 0.8, slack: 150, windowMs: 10_000 };
-  const [poor, ...idle] = [0, 1, 2].map(() => new RetrySpender(large));
+  const [poor, ...idle] = [0, 1, 2].map(() => new RetryBudgetTracker(large));
   const lent = idle.map((vm) => vm.lend(1_000, 195, 1));
   assert.ok(lent.every((repeats) => repeats > 0.6 && repeats < 0.62));
   assert.not(poor!.trySpend(1_000, 195));
@@ -75,11 +75,11 @@
 
 test('195 VMs that lose a domain of targets pay for two sends of every stream it broke', () => {
   const large = { ratio: 0.8, slack: 150, windowMs: 10_000 };
-  const vms = Array.from({ length: 195 }, () => new RetrySpender(large));
+  const vms = Array.from({ length: 195 }, () => new RetryBudgetTracker(large));
   // 28 first sends a second, spread unevenly: none to three for each VM in the window.
   vms.forEach((vm, index) => {
     for (let sent = 0; sent < index % 4; sent += 1) {
-      vm.noteFirstSend(0);
+      vm.recordFirstAttempt(0);
     }
   });
   const broken = vms.filter((_, index) => index % 5 === 0);
@@ -103,7 +103,7 @@
 
 test('a loan that is not spent in time is gone', () => {
   const longWindow = { ...budget, windowMs: 60_000 };
-  const spender = new RetrySpender(longWindow);
+  const spender = new RetryBudgetTracker(longWindow);
   while (spender.trySpend(0, 1));
   spender.borrow(0, 2);
   assert.ok(spender.trySpend(29_000, 1));
@@ -111,9 +111,9 @@
 });
 
 test('a repeat that reached no target is given back', () => {
-  const spender = createBudgets().of('briefs');
+  const spender = createBudgets().forService('briefs');
   while (spender.trySpend(0, 1));
-  spender.giveBack(0);
+  spender.refund(0);
   assert.ok(spender.trySpend(0, 1));
   assert.not(spender.trySpend(0, 1));
 });
