--- a/packages/spend-retries/src/index.ts
+++ b/packages/spend-retries/src/index.ts
@@ -1,8 +1,7 @@
 /**
- * Retry budgets. A repeated send is allowed while the repeats of the window stay
- * below a share of the window's first sends and a fixed slack. The budget belongs
- * to all VMs together, so one VM spends only its part of the slack; its part of
- * the ratio follows from its own requests.
+ * Retry budgets. Within a sliding window all VMs together may retry up to a ratio of their
+ * first attempts plus a fixed slack. Each VM has an equal part of the slack and the ratio
+ * of its own first attempts; VMs lend each other retries.
  */
 export { default as RetryBudgets } from './retry-budgets.js';
 export type { RetryBudgetsOptions } from './retry-budgets.js';
--- a/packages/spend-retries/src/retry-budget-tracker.ts
+++ b/packages/spend-retries/src/retry-budget-tracker.ts
@@ -1,27 +1,24 @@
-/** Counts one VM's sends to one service against the retry budget that all VMs share. */
+/** Counts the attempts of one VM for one service against the retry budget that all VMs share. */
 import type { Millis } from '@limelead/types';
 
-/** Buckets that a window is counted in; the window is rounded up by one of them. */
+/** Buckets per window; the counted time is one bucket longer than the window. */
 const BUCKETS = 20;
-/** Part of the budget that is left unspent, since several VMs count for themselves. */
+/** Share of the budget that is used; the rest is a reserve, since each VM counts on its own. */
 const USABLE_SHARE = 0.8;
-/** With fewer repeats left than this, a VM asks its peers for some of theirs. */
+/** With fewer retries left, a VM asks its peers to lend some. */
 const LOW_RETRIES = 1;
-/** Smallest part of a repeat that is lent; less is not worth a message. */
+/** Smallest fraction of a retry that is lent; less is not worth a message. */
 const MIN_LENT_RETRIES = 0.25;
-/** What sums of parts may lack of a whole repeat by rounding. */
+/** Tolerance for rounding errors in sums of fractions. */
 const ROUNDING_TOLERANCE = 1e-9;
-/**
- * Part of a window in which borrowed repeats have to be spent, since their lender
- * counted them already. A shorter time would waste them.
- */
+/** Lifetime of borrowed retries as a share of the window in which their lender counts them. */
 const BORROWED_TTL_SHARE = 0.5;
 
-/** What all VMs together may spend. */
+/** Limits for all VMs together. */
 export interface RetryBudgetLimits {
-  /** Repeats allowed for each first send. */
+  /** Retries allowed per first attempt. */
   ratio: number;
-  /** Repeats allowed on top, in any window. */
+  /** Additional retries allowed in each window. */
   slack: number;
   windowMs: number;
 }
@@ -29,7 +26,7 @@
 interface Bucket {
   startMs: Millis;
   firstAttempts: number;
-  /** Repeats spent or lent. */
+  /** Retries spent or lent. */
   retries: number;
 }
 
@@ -38,49 +35,47 @@
   expiresAtMs: Millis;
 }
 
-/** Counts one VM's sends to one service. */
+/** Retry budget of one VM for one service. */
 export default class RetryBudgetTracker {
   private readonly buckets: Bucket[] = [];
   private borrowed: BorrowedRetries[] = [];
 
-  /** @param onLow called when few repeats or none are left */
+  /** @param onLow called when few or no retries are left */
   constructor(
     private limits: RetryBudgetLimits,
     private readonly onLow: () => void = () => undefined,
   ) {}
 
-  /** Puts other bounds in force. What was sent and spent so far still counts. */
-  changeLimits(budget: RetryBudgetLimits): void {
-    this.limits = budget;
+  /** Changes the limits. Attempts and retries so far still count. */
+  changeLimits(limits: RetryBudgetLimits): void {
+    this.limits = limits;
   }
 
-  /** A request was sent for the first time. */
+  /** Records the first attempt of a request. */
   recordFirstAttempt(now: Millis): void {
     this.bucketAt(now).firstAttempts += 1;
   }
 
   /**
-   * Takes one repeat out of the budget, or says no.
+   * Takes one retry from the budget; false if it is exhausted.
    * @param vms number of VMs that share the slack
    */
   trySpend(now: Millis, vms: number): boolean {
-    const isPaid = this.spendOne(now, vms);
+    const isSpent = this.spendOne(now, vms);
     if (this.countAvailable(now, vms) < LOW_RETRIES) {
       this.onLow();
     }
-    return isPaid;
+    return isSpent;
   }
 
-  /** A repeat that was paid for reached no target. */
+  /** Returns a spent retry that reached no target to the budget. */
   refund(now: Millis): void {
     this.bucketAt(now).retries -= 1;
   }
 
   /**
-   * Gives repeats to another VM, which are then spent here; fewer than wanted, or
-   * none. Nothing is kept back, and parts of a repeat are lent too: in a fleet of
-   * hundreds a VM's own part is one repeat or less, and one that lent it borrows in
-   * its turn.
+   * Lends retries to another VM and returns their number, which may be lower than `wanted` or 0.
+   * Lends fractions and keeps no reserve: in a large fleet a VM's own part is one retry or less.
    */
   lend(now: Millis, vms: number, wanted: number): number {
     const lent = Math.min(wanted, this.countOwnAvailable(now, vms));
@@ -91,36 +86,32 @@
     return lent;
   }
 
-  /** Takes repeats that another VM lent. */
-  borrow(now: Millis, repeats: number): void {
+  /** Adds retries that another VM lent. */
+  borrow(now: Millis, retries: number): void {
     this.borrowed.push({
-      retries: repeats,
+      retries,
       expiresAtMs: now + this.limits.windowMs * BORROWED_TTL_SHARE,
     });
   }
 
-  /** Repeats that this VM may still spend, its own and borrowed ones. */
+  /** Retries that this VM may still spend, including borrowed ones. */
   countAvailable(now: Millis, vms: number): number {
     return this.countOwnAvailable(now, vms) + this.countBorrowed(now);
   }
 
-  /** Repeats of this VM's own part that are left in the present window. */
+  /** Retries left in the current window, without borrowed ones. */
   countOwnAvailable(now: Millis, vms: number): number {
     const current = this.bucketAt(now);
     const counted = this.buckets.filter(
       ({ startMs }) => startMs > current.startMs - this.countedMs,
     );
-    const firstSends = sum(counted, ({ firstAttempts }) => firstAttempts);
-    const repeats = sum(counted, ({ retries }) => retries);
-    const allowed = this.limits.ratio * firstSends + this.limits.slack / Math.max(1, vms);
-    return USABLE_SHARE * allowed - repeats;
+    const firstAttempts = sum(counted, ({ firstAttempts }) => firstAttempts);
+    const retries = sum(counted, ({ retries }) => retries);
+    const allowed = this.limits.ratio * firstAttempts + this.limits.slack / Math.max(1, vms);
+    return USABLE_SHARE * allowed - retries;
   }
 
-  /**
-   * Takes one repeat, of loans as far as they go, since those end, and the rest of this
-   * VM's own part: neither has to hold a whole one. Streams waited up to 5 s for a
-   * repeat while 0.6 of an own one and 0.5 of a borrowed one lay idle.
-   */
+  /** Takes one retry, first from borrowed fractions, since they expire, then from the own part. */
   private spendOne(now: Millis, vms: number): boolean {
     const borrowed = Math.min(1, this.countBorrowed(now));
     const own = 1 - borrowed;
@@ -132,17 +123,17 @@
     return true;
   }
 
-  /** Takes so many repeats out of the loans, those that end first. */
-  private spendBorrowed(repeats: number): void {
-    let missing = repeats;
-    for (const loan of this.borrowed) {
-      const taken = Math.min(missing, loan.retries);
-      loan.retries -= taken;
+  /** Takes retries from the borrowed ones, the oldest first. */
+  private spendBorrowed(retries: number): void {
+    let missing = retries;
+    for (const borrowed of this.borrowed) {
+      const taken = Math.min(missing, borrowed.retries);
+      borrowed.retries -= taken;
       missing -= taken;
     }
   }
 
-  /** Repeats of loans that are still to be spent; the others are dropped. */
+  /** Counts the borrowed retries and drops spent and expired ones. */
   private countBorrowed(now: Millis): number {
     this.borrowed = this.borrowed.filter(
       ({ retries, expiresAtMs }) => retries > 0 && expiresAtMs > now,
--- a/packages/spend-retries/src/retry-budgets.ts
+++ b/packages/spend-retries/src/retry-budgets.ts
@@ -1,18 +1,17 @@
-/** The retry budgets of all services that one VM sends to. */
+/** Retry budgets of one VM, by service. */
 import type { Clock } from '@limelead/types';
 import RetryBudgetTracker, { type RetryBudgetLimits } from './retry-budget-tracker.js';
 
-/** What the budgets need. */
 export interface RetryBudgetsOptions {
   limits: RetryBudgetLimits;
   clock: Clock;
-  /** VMs that share the slack, this one included. */
+  /** Number of VMs that share the slack, including this one. */
   countVms(): number;
-  /** Called when this VM has few repeats left for a service, or none. */
+  /** Called when this VM has few or no retries left for a service. */
   onLow(service: string): void;
 }
 
-/** Holds one spender for each service; all have the same bounds. */
+/** Holds one budget per service, all with the same limits. */
 export default class RetryBudgets {
   private readonly budgets = new Map<string, RetryBudgetTracker>();
   private limits: RetryBudgetLimits;
@@ -21,28 +20,28 @@
     this.limits = options.limits;
   }
 
-  /** The spender of a service. */
+  /** Returns the budget of a service, creating it on first use. */
   forService(service: string): RetryBudgetTracker {
     const known = this.budgets.get(service);
-    const spender = known ?? new RetryBudgetTracker(this.limits, () => this.options.onLow(service));
-    this.budgets.set(service, spender);
-    return spender;
+    const budget = known ?? new RetryBudgetTracker(this.limits, () => this.options.onLow(service));
+    this.budgets.set(service, budget);
+    return budget;
   }
 
-  /** Lends repeats of a service to a peer; gives their number. */
+  /** Lends retries of a service to a peer and returns their number. */
   lend(service: string, wanted: number): number {
     const { clock, countVms } = this.options;
     return this.forService(service).lend(clock.now(), countVms(), wanted);
   }
 
-  /** Takes repeats of a service that a peer lent. */
-  borrow(service: string, repeats: number): void {
-    this.forService(service).borrow(this.options.clock.now(), repeats);
+  /** Adds retries of a service that a peer lent. */
+  borrow(service: string, retries: number): void {
+    this.forService(service).borrow(this.options.clock.now(), retries);
   }
 
-  /** Puts other bounds in force for every service. What was spent so far still counts. */
-  changeLimits(budget: RetryBudgetLimits): void {
-    this.limits = budget;
-    this.budgets.forEach((spender) => spender.changeLimits(budget));
+  /** Changes the limits of all services. Attempts and retries so far still count. */
+  changeLimits(limits: RetryBudgetLimits): void {
+    this.limits = limits;
+    this.budgets.forEach((budget) => budget.changeLimits(limits));
   }
 }
