--- a/packages/forward-request/src/run-activity.ts
+++ b/packages/forward-request/src/run-activity.ts
@@ -1,5 +1,5 @@
 /** Tracks when a run last sent a piece and how long it may be silent. */
-import computeSilenceBound, {
+import computeSilenceTimeout, {
   INITIAL_GAP_ESTIMATE,
   updateGapEstimate,
   type GapEstimate,
@@ -54,7 +54,7 @@
   maxSilenceMs(): number {
     const { resumesFromReplica, maxPrefillMs, policy } = this.options;
     if (this.hasSentPieces) {
-      return computeSilenceBound(this.gaps, policy);
+      return computeSilenceTimeout(this.gaps, policy);
     }
     return resumesFromReplica ? MAX_RESUMED_FIRST_PIECE_MS : maxPrefillMs;
   }
--- a/packages/run-generation/src/attempt-reader.ts
+++ b/packages/run-generation/src/attempt-reader.ts
@@ -2,7 +2,7 @@
 import type { PortFault } from '@limelead/errors';
 import type { EngineStream, ModelEngine, PortCall } from '@limelead/ports';
 import type { SessionEvent } from '@limelead/generation-session';
-import computeSilenceBound, { computeFirstTokenBound } from '@limelead/suspect-silence';
+import computeSilenceTimeout, { computeFirstTokenTimeout } from '@limelead/suspect-silence';
 import type {
   BreakCause,
   CancelTimer,
@@ -154,8 +154,12 @@
   private silenceBoundMs(): number {
     const { policy, expectedFirstTokenMs, paceGapMs, targetId } = this.place;
     const bound = this.hasTokens
-      ? computeSilenceBound(this.dependencies.gaps.read(targetId), policy)
-      : computeFirstTokenBound(expectedFirstTokenMs, this.dependencies.gaps.readLateness(), policy);
+      ? computeSilenceTimeout(this.dependencies.gaps.read(targetId), policy)
+      : computeFirstTokenTimeout(
+          expectedFirstTokenMs,
+          this.dependencies.gaps.readLateness(),
+          policy,
+        );
     return bound + paceGapMs;
   }
 
--- a/packages/suspect-silence/src/index.ts
+++ b/packages/suspect-silence/src/index.ts
@@ -5,8 +5,8 @@
  */
 import type { RecoveryPolicy } from '@limelead/types';
 
-const MEAN_GAIN = 1 / 8;
-const DEVIATION_GAIN = 1 / 4;
+const MEAN_SMOOTHING = 1 / 8;
+const DEVIATION_SMOOTHING = 1 / 4;
 const INITIAL_MEAN_MS = 60;
 const INITIAL_DEVIATION_MS = 60;
 
@@ -26,13 +26,17 @@
 export function updateGapEstimate(estimate: GapEstimate, gapMs: number): GapEstimate {
   const error = gapMs - estimate.meanMs;
   return {
-    meanMs: estimate.meanMs + MEAN_GAIN * error,
-    deviationMs: estimate.deviationMs + DEVIATION_GAIN * (Math.abs(error) - estimate.deviationMs),
+    meanMs: estimate.meanMs + MEAN_SMOOTHING * error,
+    deviationMs:
+      estimate.deviationMs + DEVIATION_SMOOTHING * (Math.abs(error) - estimate.deviationMs),
   };
 }
 
 /** Milliseconds of silence in mid-stream after which the target is suspected. */
-export default function computeSilenceBound(estimate: GapEstimate, policy: RecoveryPolicy): number {
+export default function computeSilenceTimeout(
+  estimate: GapEstimate,
+  policy: RecoveryPolicy,
+): number {
   const bound = estimate.meanMs + policy.suspicionFactor * estimate.deviationMs;
   return clamp(bound, policy.minSilenceMs, policy.maxSilenceMs);
 }
@@ -42,7 +46,7 @@
  * tokens lately came after the router's expectation: a long prompt or a queue
  * that nobody reports is no sign of a dead engine.
  */
-export function computeFirstTokenBound(
+export function computeFirstTokenTimeout(
   expectedMs: number,
   lateness: GapEstimate,
   policy: RecoveryPolicy,
