--- a/packages/suspect-silence/src/index.test.ts
+++ b/packages/suspect-silence/src/index.test.ts
@@ -11,28 +11,30 @@
   probeFirst: false,
 };
 
-function learn(gaps: number[]) {
+function estimateGaps(gaps: number[]) {
   return gaps.reduce(updateGapEstimate, INITIAL_GAP_ESTIMATE);
 }
 
-test('the bound stays within the limits of the policy', () => {
+test('the timeout stays within the limits of the policy', () => {
   fc.assert(
     fc.property(fc.array(fc.nat(100_000)), (gaps) => {
-      const bound = computeSilenceTimeout(learn(gaps), policy);
-      assert.ok(bound >= policy.minSilenceMs && bound <= policy.maxSilenceMs);
+      const timeoutMs = computeSilenceTimeout(estimateGaps(gaps), policy);
+      assert.ok(timeoutMs >= policy.minSilenceMs && timeoutMs <= policy.maxSilenceMs);
     }),
     { seed: 3 },
   );
 });
 
-test('a steady engine is suspected sooner than an unsteady one of the same mean', () => {
-  const steady = learn(Array.from({ length: 200 }, () => 100));
-  const unsteady = learn(Array.from({ length: 200 }, (_, index) => (index % 2 === 0 ? 20 : 180)));
+test('an engine with steady gaps has a shorter timeout than one with unsteady gaps of the same mean', () => {
+  const steady = estimateGaps(Array.from({ length: 200 }, () => 100));
+  const unsteady = estimateGaps(
+    Array.from({ length: 200 }, (_, index) => (index % 2 === 0 ? 20 : 180)),
+  );
   assert.ok(computeSilenceTimeout(steady, policy) < computeSilenceTimeout(unsteady, policy));
 });
 
-test('an engine that slows down under load is not suspected for it once that was learned', () => {
-  const slow = learn(Array.from({ length: 100 }, (_, index) => 250 + (index % 5) * 20));
+test('the timeout adapts to an engine that slows down under load', () => {
+  const slow = estimateGaps(Array.from({ length: 100 }, (_, index) => 250 + (index % 5) * 20));
   assert.ok(computeSilenceTimeout(slow, policy) > 330);
 });
 
--- a/packages/suspect-silence/src/index.ts
+++ b/packages/suspect-silence/src/index.ts
@@ -1,7 +1,6 @@
 /**
- * Pure adaptive bound on the silence of a stream. The bound follows the gaps
- * that were seen, in the manner of a TCP retransmission timer, within limits
- * that each priority sets.
+ * Adaptive timeouts for the silence of a stream. Like a TCP retransmission timer, the timeout
+ * follows the observed gaps, within the limits of the recovery policy. Pure.
  */
 import type { RecoveryPolicy } from '@limelead/types';
 
@@ -10,19 +9,19 @@
 const INITIAL_MEAN_MS = 60;
 const INITIAL_DEVIATION_MS = 60;
 
-/** Moving mean and deviation of the gaps between messages, in milliseconds. */
+/** Moving mean and mean deviation of the gaps between messages. */
 export interface GapEstimate {
   meanMs: number;
   deviationMs: number;
 }
 
-/** What is assumed before any gap was seen. */
+/** Estimate before the first gap is observed. */
 export const INITIAL_GAP_ESTIMATE: GapEstimate = {
   meanMs: INITIAL_MEAN_MS,
   deviationMs: INITIAL_DEVIATION_MS,
 };
 
-/** Takes one more gap into the estimate. */
+/** Returns the estimate updated by one gap. */
 export function updateGapEstimate(estimate: GapEstimate, gapMs: number): GapEstimate {
   const error = gapMs - estimate.meanMs;
   return {
@@ -32,27 +31,26 @@
   };
 }
 
-/** Milliseconds of silence in mid-stream after which the target is suspected. */
+/** Returns the silence in milliseconds after which the target of a running stream is suspected. */
 export default function computeSilenceTimeout(
   estimate: GapEstimate,
   policy: RecoveryPolicy,
 ): number {
-  const bound = estimate.meanMs + policy.suspicionFactor * estimate.deviationMs;
-  return clamp(bound, policy.minSilenceMs, policy.maxSilenceMs);
+  const timeoutMs = estimate.meanMs + policy.suspicionFactor * estimate.deviationMs;
+  return clamp(timeoutMs, policy.minSilenceMs, policy.maxSilenceMs);
 }
 
 /**
- * Milliseconds to wait for the first token. `lateness` is by how much first
- * tokens lately came after the router's expectation: a long prompt or a queue
- * that nobody reports is no sign of a dead engine.
+ * Returns the timeout for the first token in milliseconds. `lateness` estimates how much later
+ * than expected recent first tokens arrived, so that long prompts and queues raise the timeout.
  */
 export function computeFirstTokenTimeout(
   expectedMs: number,
   lateness: GapEstimate,
   policy: RecoveryPolicy,
 ): number {
-  const late = lateness.meanMs + policy.suspicionFactor * lateness.deviationMs;
-  return policy.minSilenceMs + expectedMs + Math.max(0, late);
+  const latenessMs = lateness.meanMs + policy.suspicionFactor * lateness.deviationMs;
+  return policy.minSilenceMs + expectedMs + Math.max(0, latenessMs);
 }
 
 function clamp(value: number, low: number, high: number): number {
