--- a/packages/estimate-time/src/index.ts
+++ b/packages/estimate-time/src/index.ts
@@ -1,2 +1,2 @@
 /** True time from the clocks of many VMs, some of which jump. */
-export { default as TimeEstimate, type TimeEstimateOptions } from './time-estimate.js';
+export { default as TimeEstimator, type TimeEstimatorOptions } from './time-estimator.js';
--- a/packages/gateway/src/usage-part.ts
+++ b/packages/gateway/src/usage-part.ts
@@ -1,5 +1,5 @@
 /** The part that counts usage, tells it to those that stand for the duties, and reports it. */
-import { TimeEstimate } from '@limelead/estimate-time';
+import { TimeEstimator } from '@limelead/estimate-time';
 import {
   UsageBook,
   UsageCounter,
@@ -52,7 +52,7 @@
   const { clock, timers, platform, readExchange } = context;
   const { usageWindowMs: windowMs, usageDueMs } = duties;
   const incarnation = randomUUID();
-  const trueTime = new TimeEstimate({ clock, originMs: performance.timeOrigin });
+  const trueTime = new TimeEstimator({ clock, originMs: performance.timeOrigin });
   const startedAtMs = clock.now();
   const counter = new UsageCounter({
     trueTime,
@@ -119,7 +119,7 @@
       if (report.kind === 'usage') {
         book.hear(report.incarnation, report.windows, report.countedFrom);
       } else if (report.kind === 'time-of-day') {
-        trueTime.hear(peer, report.incarnation, report.timeMs);
+        trueTime.recordPeerTime(peer, report.incarnation, report.timeMs);
       }
     },
     start() {
