--- a/packages/estimate-time/src/time-estimator.test.ts
+++ b/packages/estimate-time/src/time-estimator.test.ts
@@ -5,60 +5,60 @@
 
 const TRUE_ORIGIN_MS = 1_800_000_000_000;
 
-test('a third of the VMs, this one among them, began with clocks that were ahead', () => {
+test('wrong clocks of a third of the VMs, including this one, do not affect the estimate', () => {
   const { clock } = createManualTime(0);
-  const estimate = new TimeEstimator({ clock, originMs: TRUE_ORIGIN_MS + 4_000 });
+  const estimator = new TimeEstimator({ clock, originMs: TRUE_ORIGIN_MS + 4_000 });
   for (let peer = 0; peer < 11; peer += 1) {
-    estimate.recordPeerTime(`vm-${peer}`, 'start 1', TRUE_ORIGIN_MS + (peer < 3 ? 4_000 : peer));
+    estimator.recordPeerTime(`vm-${peer}`, 'start 1', TRUE_ORIGIN_MS + (peer < 3 ? 4_000 : peer));
   }
-  assert.ok(Math.abs(estimate.now() - TRUE_ORIGIN_MS) < 20);
-  assert.ok(Math.abs(estimate.correctionMs + 4_000) < 20);
+  assert.ok(Math.abs(estimator.now() - TRUE_ORIGIN_MS) < 20);
+  assert.ok(Math.abs(estimator.correctionMs + 4_000) < 20);
 });
 
-test('a peer that starts again with another clock has one word', async () => {
+test('a peer that restarts with other clocks counts once in the median', async () => {
   const time = createManualTime(0);
-  const estimate = new TimeEstimator({ clock: time.clock, originMs: TRUE_ORIGIN_MS });
-  estimate.recordPeerTime('a', 'start 1', TRUE_ORIGIN_MS);
+  const estimator = new TimeEstimator({ clock: time.clock, originMs: TRUE_ORIGIN_MS });
+  estimator.recordPeerTime('a', 'start 1', TRUE_ORIGIN_MS);
   for (let start = 1; start <= 5; start += 1) {
     await time.advance(100);
-    estimate.recordPeerTime('b', `start ${start}`, TRUE_ORIGIN_MS + start * 10_000);
+    estimator.recordPeerTime('b', `start ${start}`, TRUE_ORIGIN_MS + start * 10_000);
   }
-  assert.is(estimate.now(), TRUE_ORIGIN_MS + 500);
+  assert.is(estimator.now(), TRUE_ORIGIN_MS + 500);
 });
 
-test('a VM that stood still reads old words late, and keeps its time', async () => {
+test('messages that a VM reads late after a stall do not set its estimate back', async () => {
   const time = createManualTime(0);
-  const estimate = new TimeEstimator({ clock: time.clock, originMs: TRUE_ORIGIN_MS });
-  const hearAll = (delayMs: number): void =>
+  const estimator = new TimeEstimator({ clock: time.clock, originMs: TRUE_ORIGIN_MS });
+  const recordAll = (delayMs: number): void =>
     ['a', 'b', 'c'].forEach((peer) =>
-      estimate.recordPeerTime(peer, 'start 1', TRUE_ORIGIN_MS + time.clock.now() - delayMs),
+      estimator.recordPeerTime(peer, 'start 1', TRUE_ORIGIN_MS + time.clock.now() - delayMs),
     );
-  hearAll(1);
+  recordAll(1);
   await time.advance(10_000);
-  hearAll(8_000);
-  assert.is(estimate.correctionMs, -1);
+  recordAll(8_000);
+  assert.is(estimator.correctionMs, -1);
   await time.advance(55_000);
-  hearAll(2);
-  assert.is(estimate.correctionMs, -2);
+  recordAll(2);
+  assert.is(estimator.correctionMs, -2);
 });
 
-test('a peer that starts again with a clock that is behind counts anew', () => {
+test('samples of an earlier process of a peer are dropped after its restart', () => {
   const { clock } = createManualTime(0);
-  const estimate = new TimeEstimator({ clock, originMs: TRUE_ORIGIN_MS });
-  estimate.recordPeerTime('a', 'start 1', TRUE_ORIGIN_MS);
-  estimate.recordPeerTime('a', 'start 2', TRUE_ORIGIN_MS - 4_000);
-  assert.is(estimate.correctionMs, -4_000);
+  const estimator = new TimeEstimator({ clock, originMs: TRUE_ORIGIN_MS });
+  estimator.recordPeerTime('a', 'start 1', TRUE_ORIGIN_MS);
+  estimator.recordPeerTime('a', 'start 2', TRUE_ORIGIN_MS - 4_000);
+  assert.is(estimator.correctionMs, -4_000);
 });
 
-test('words of VMs that are gone are forgotten, and so is what exceeds the bound', async () => {
+test('samples of silent VMs expire, also with more peers than are kept', async () => {
   const time = createManualTime(0);
-  const estimate = new TimeEstimator({ clock: time.clock, originMs: TRUE_ORIGIN_MS });
+  const estimator = new TimeEstimator({ clock: time.clock, originMs: TRUE_ORIGIN_MS });
   for (let peer = 0; peer < 200; peer += 1) {
-    estimate.recordPeerTime(`vm-${peer}`, 'start 1', TRUE_ORIGIN_MS + 9_000);
+    estimator.recordPeerTime(`vm-${peer}`, 'start 1', TRUE_ORIGIN_MS + 9_000);
   }
-  assert.is(estimate.correctionMs, 9_000);
+  assert.is(estimator.correctionMs, 9_000);
   await time.advance(60_001);
-  assert.is(estimate.correctionMs, 0);
+  assert.is(estimator.correctionMs, 0);
 });
 
 test.run();
