--- a/packages/run-roll-outs/src/version-trial.ts
+++ b/packages/run-roll-outs/src/version-trial.ts
@@ -12,7 +12,7 @@
   type RouteTest,
   type AttemptOutcome,
 } from '@limelead/judge-version';
-import { RetrySpender } from '@limelead/spend-retries';
+import { RetryBudgetTracker } from '@limelead/spend-retries';
 import type { Clock, Millis, Random } from '@limelead/types';
 import { trafficShare } from './plan-step.js';
 import type {
@@ -74,7 +74,7 @@
   private readonly evidence = new EvidenceTable();
   private readonly drainReports = new Map<string, DrainReport>();
   private readonly judge: VersionJudge;
-  private readonly budget: RetrySpender;
+  private readonly budget: RetryBudgetTracker;
   /** Counts from the aggregator that knows the most answers. */
   private aggregatedCounts: RouteOutcomeCounts[] = [];
   private aggregatedAtMs: Millis | undefined;
@@ -91,7 +91,7 @@
     const { bounds, clock, random, startedAfterOrder, storedOrder, createTest } = options;
     this.firstSeenAtMs = clock.now();
     this.judge = new VersionJudge(createTest);
-    this.budget = new RetrySpender({
+    this.budget = new RetryBudgetTracker({
       ratio: bounds.exposureShare * TRIAL_SHARE,
       slack: startedAfterOrder ? 0 : bounds.exposureSlack * TRIAL_SHARE,
       windowMs: Math.max(1, storedOrder.order.durationMs) * BUDGET_WINDOW_FACTOR,
@@ -162,7 +162,7 @@
       return false;
     }
     if (this.knownStep === 'trial') {
-      return this.budget.left(this.now, this.options.countVms()) >= 1;
+      return this.budget.countAvailable(this.now, this.options.countVms()) >= 1;
     }
     const { random, bounds } = this.options;
     return (
@@ -174,7 +174,7 @@
 
   /** Records an attempt at the service. */
   recordAttempt(isTrial: boolean): void {
-    this.budget.noteFirstSend(this.now);
+    this.budget.recordFirstAttempt(this.now);
     if (isTrial) {
       this.budget.trySpend(this.now, this.options.countVms());
     }
