--- a/packages/choose-service-target/src/index.test.ts
+++ b/packages/choose-service-target/src/index.test.ts
@@ -1,7 +1,7 @@
 import { createLocality } from '@limelead/locality';
 import {
-  NO_EVIDENCE,
-  observeTarget,
+  INITIAL_HEALTH,
+  applyObservation,
   type TrackedServiceTarget,
 } from '@limelead/track-service-targets';
 import { hashText } from '@limelead/types';
@@ -30,14 +30,14 @@
       leaving: false,
     },
     hash: hashText(id),
-    evidence: NO_EVIDENCE,
+    health: INITIAL_HEALTH,
     inFlight: 0,
     reading: 0,
     peerRequests: 0,
     peerReading: 0,
-    readAtMs: 0,
-    copies: 0,
-    peerCopies: 0,
+    lastReadingAtMs: 0,
+    replicas: 0,
+    peerReplicas: 0,
     ...overrides,
   };
 }
@@ -55,7 +55,7 @@
   };
 }
 
-const lost = observeTarget(NO_EVIDENCE, { kind: 'lost' }, 900);
+const lost = applyObservation(INITIAL_HEALTH, { kind: 'lost' }, 900);
 
 test('the own failure domain goes first, until it is clearly busier', () => {
   const idle = [track('a', 'north'), track('b', 'south')];
@@ -88,7 +88,7 @@
 });
 
 test('suspected, doubted and already tried targets come last, but are better than nothing', () => {
-  const near = track('a', 'north', { evidence: lost });
+  const near = track('a', 'north', { health: lost });
   const far = track('b', 'south');
   assert.is(chooseServiceTarget([near, far], createRequest())?.target.id, 'b');
   assert.is(chooseServiceTarget([near], createRequest())?.target.id, 'a');
@@ -100,18 +100,21 @@
 });
 
 test('a slow target is taken only where the others have far more work', () => {
-  const slow = observeTarget(NO_EVIDENCE, { kind: 'paced', slowness: 3 }, 1_000);
-  const busy = [track('a', 'north', { evidence: slow }), track('b', 'south', { inFlight: 3 })];
+  const slow = applyObservation(INITIAL_HEALTH, { kind: 'paced', slowness: 3 }, 1_000);
+  const busy = [track('a', 'north', { health: slow }), track('b', 'south', { inFlight: 3 })];
   assert.is(chooseServiceTarget(busy, createRequest())?.target.id, 'b');
-  const full = [track('a', 'north', { evidence: slow }), track('b', 'south', { inFlight: 4 })];
+  const full = [track('a', 'north', { health: slow }), track('b', 'south', { inFlight: 4 })];
   assert.is(chooseServiceTarget(full, createRequest())?.target.id, 'a');
 });
 
 test('a full target is not taken', () => {
   const full = track('a', 'north', { inFlight: 4 });
   assert.is(chooseServiceTarget([full], createRequest()), undefined);
-  const evidence = { ...NO_EVIDENCE, fullUntilMs: 1_001 };
-  assert.is(chooseServiceTarget([track('a', 'north', { evidence })], createRequest()), undefined);
+  const evidence = { ...INITIAL_HEALTH, fullUntilMs: 1_001 };
+  assert.is(
+    chooseServiceTarget([track('a', 'north', { health: evidence })], createRequest()),
+    undefined,
+  );
 });
 
 test('a copy is kept in another failure domain, and copies are spread', () => {
@@ -161,7 +164,7 @@
 });
 
 test('a region whose targets are lost is served by another, whatever it costs', () => {
-  const targets = [track('own', 'north', { evidence: lost }), track('far', 'south')];
+  const targets = [track('own', 'north', { health: lost }), track('far', 'south')];
   assert.is(chooseServiceTarget(targets, createRequest({ locality: inRegions }))?.target.id, 'far');
 });
 
--- a/packages/choose-service-target/src/index.ts
+++ b/packages/choose-service-target/src/index.ts
@@ -7,8 +7,8 @@
 import type { Locality } from '@limelead/locality';
 import {
   isSuspected,
-  readFailureRate,
-  readSlowness,
+  getFailureRate,
+  getSlowness,
   type TrackedServiceTarget,
 } from '@limelead/track-service-targets';
 import { hashText, mixHashes, type Millis } from '@limelead/types';
@@ -89,7 +89,7 @@
 ): TrackedServiceTarget | undefined {
   const withPlace = targets.filter(
     (tracked) =>
-      tracked.inFlight < request.limit(tracked) && tracked.evidence.fullUntilMs <= request.now,
+      tracked.inFlight < request.limit(tracked) && tracked.health.fullUntilMs <= request.now,
   );
   const choice = { ...request, isDomainDoubtful: rememberByDomain(request.isDomainDoubtful) };
   return takeLeastDelayed(withPlace, request.affinityKey, (tracked) => delayOf(tracked, choice));
@@ -103,21 +103,17 @@
   const { running, now } = request;
   const isDomainDoubtful = rememberByDomain(request.isDomainDoubtful);
   const others = targets.filter(({ target }) => target.id !== running.target.id);
-  return takeLeastDelayed(
-    others,
-    `copy ${request.affinityKey}`,
-    ({ target, evidence, ...work }) => {
-      const isSameDomain = target.failureDomain === running.target.failureDomain;
-      return (
-        (isSameDomain ? DOUBT_MS : 0) +
-        (isSuspected(evidence, now) ? SUSPICION_MS : 0) +
-        (isDomainDoubtful(target.failureDomain) ? DOUBT_MS : 0) +
-        (readSlowness(evidence, now) - 1) * SLOW_RUN_MS +
-        (work.inFlight + work.peerRequests) * REQUEST_MS +
-        (work.copies + work.peerCopies) * COPY_MS
-      );
-    },
-  );
+  return takeLeastDelayed(others, `copy ${request.affinityKey}`, ({ target, health, ...work }) => {
+    const isSameDomain = target.failureDomain === running.target.failureDomain;
+    return (
+      (isSameDomain ? DOUBT_MS : 0) +
+      (isSuspected(health, now) ? SUSPICION_MS : 0) +
+      (isDomainDoubtful(target.failureDomain) ? DOUBT_MS : 0) +
+      (getSlowness(health, now) - 1) * SLOW_RUN_MS +
+      (work.inFlight + work.peerRequests) * REQUEST_MS +
+      (work.replicas + work.peerReplicas) * COPY_MS
+    );
+  });
 }
 
 /**
@@ -156,15 +152,15 @@
 
 /** The delay that a run is expected to suffer there. */
 function delayOf(tracked: TrackedServiceTarget, request: ServiceChoiceRequest): Millis {
-  const { target, evidence, inFlight, reading, peerRequests, peerReading } = tracked;
-  const failureRate = readFailureRate(evidence, request.now);
+  const { target, health, inFlight, reading, peerRequests, peerReading } = tracked;
+  const failureRate = getFailureRate(health, request.now);
   return (
     (inFlight + peerRequests) * REQUEST_MS +
     (reading + peerReading) * READING_MS +
     request.locality.readPriceMs(request.failureDomain, target.failureDomain) +
-    (readSlowness(evidence, request.now) - 1) * SLOW_RUN_MS +
+    (getSlowness(health, request.now) - 1) * SLOW_RUN_MS +
     (failureRate > COMMON_FAILURE_RATE ? failureRate * FAILURE_MS : 0) +
-    (isSuspected(evidence, request.now) ? SUSPICION_MS : 0) +
+    (isSuspected(health, request.now) ? SUSPICION_MS : 0) +
     (request.isDomainDoubtful(target.failureDomain) ? DOUBT_MS : 0) +
     (request.exclude.has(target.id) ? EXCLUDED_MS : 0)
   );
--- a/packages/forward-request/src/forward-stream.ts
+++ b/packages/forward-request/src/forward-stream.ts
@@ -279,7 +279,7 @@
     if (live === undefined) {
       return;
     }
-    this.context.directory.hear(live.attempt.target.id);
+    this.context.directory.recordActivity(live.attempt.target.id);
     live.endReading();
     this.noteFirstPiece(live);
     live.hearing.hear();
--- a/packages/forward-request/src/kept-prompts.ts
+++ b/packages/forward-request/src/kept-prompts.ts
@@ -51,7 +51,7 @@
     const askedAtMs = clock.now();
     const present = directory
       .listUsable(service)
-      .filter(({ evidence }) => !isSuspected(evidence, askedAtMs))
+      .filter(({ health }) => !isSuspected(health, askedAtMs))
       .filter(({ target }) => backpressure.coolingUntilMs(target.id) === undefined);
     const targets = listLikelyTargets(present, affinityKey, MOST_ASKED).map(({ target }) => target);
     const kept = await Promise.all(targets.map((target) => this.ask(target)));
--- a/packages/forward-request/src/live-attempts.ts
+++ b/packages/forward-request/src/live-attempts.ts
@@ -70,8 +70,8 @@
       slot,
       copy: copyTo && { keeper: copyTo, runId: order.request.requestId },
       hearing,
-      endReading: continueFrom ? () => undefined : directory.beginReading(target.id),
-      forgetCopy: copyTo ? directory.keepCopy(copyTo.id) : () => undefined,
+      endReading: continueFrom ? () => undefined : directory.startReadingPrompt(target.id),
+      forgetCopy: copyTo ? directory.addReplica(copyTo.id) : () => undefined,
       unwatch: silence.watch(hearing),
     });
     this.events.onSending(number, order);
--- a/packages/forward-request/src/run-copies.ts
+++ b/packages/forward-request/src/run-copies.ts
@@ -52,7 +52,7 @@
     return chooseCopyKeeper(gate.listAdvisable(service, directory.listUsable(service)), {
       affinityKey: request.affinityKey,
       running: slot.tracked,
-      isDomainDoubtful: (domain) => directory.isDomainDoubtful(service, domain, KEEPER_DOUBT_MS),
+      isDomainDoubtful: (domain) => directory.isDomainSuspected(service, domain, KEEPER_DOUBT_MS),
       now: clock.now(),
     })?.target;
   }
--- a/packages/forward-request/src/silence-watch.ts
+++ b/packages/forward-request/src/silence-watch.ts
@@ -114,13 +114,13 @@
   private judge(run: WatchedRun): 'wait' | 'ask' | 'give-up' {
     const { clock, directory } = this.options;
     const now = clock.now();
-    const heardFromTarget = directory.get(run.target.id)?.evidence.heardAtMs ?? 0;
+    const heardFromTarget = directory.get(run.target.id)?.health.lastResponseAtMs ?? 0;
     return judgeSilence({
       isSending: run.isSending,
       runSilentMs: now - run.heardAtMs,
       targetSilentMs: now - Math.max(run.heardAtMs, heardFromTarget),
       boundMs: run.boundMs(),
-      isDomainDoubtful: directory.isDomainDoubtful(run.target.service, run.target.failureDomain),
+      isDomainDoubtful: directory.isDomainSuspected(run.target.service, run.target.failureDomain),
       askedAgoMs: this.asked.ageMs(run.target.id, now),
     });
   }
--- a/packages/forward-request/src/slot-queue.ts
+++ b/packages/forward-request/src/slot-queue.ts
@@ -135,7 +135,7 @@
       locality,
       exclude: request.exclude,
       limit: (tracked) => this.availability.slotsAt(tracked),
-      isDomainDoubtful: (domain) => directory.isDomainDoubtful(request.service, domain),
+      isDomainDoubtful: (domain) => directory.isDomainSuspected(request.service, domain),
       now: clock.now(),
     };
     const all = this.availability.listPermitted(request);
@@ -154,7 +154,7 @@
     const { directory, gate, permits } = this.options;
     gate.noteSent(tracked.target);
     permits.recordSend(tracked.target.id, tracked.target.service);
-    return { tracked, copyTo, release: directory.begin(tracked.target.id) };
+    return { tracked, copyTo, release: directory.startRequest(tracked.target.id) };
   }
 
   private serveWaiters(): void {
@@ -194,7 +194,7 @@
   { now, exclude }: ServiceChoiceRequest,
 ): TrackedServiceTarget[] {
   const up = targets.filter(
-    ({ target, evidence }) => !exclude.has(target.id) && !isSuspected(evidence, now),
+    ({ target, health }) => !exclude.has(target.id) && !isSuspected(health, now),
   );
   const requestsAt = (one: TrackedServiceTarget): number => one.inFlight + one.peerRequests;
   const fewest = Math.min(...up.map(requestsAt));
--- a/packages/forward-request/src/stream-sends.ts
+++ b/packages/forward-request/src/stream-sends.ts
@@ -73,7 +73,7 @@
   /** Targets that ran the request and are there still are counted; those that ended are not. */
   get hasUsedItsTargets(): boolean {
     const { directory } = this.context;
-    const present = [...this.ranAt].filter(([id, cause]) => directory.isPresent(id, cause));
+    const present = [...this.ranAt].filter(([id, cause]) => directory.isLikelyRunning(id, cause));
     return present.length >= this.admitted.route.maxTargets;
   }
 
--- a/packages/forward-request/src/target-availability.ts
+++ b/packages/forward-request/src/target-availability.ts
@@ -32,7 +32,7 @@
   /** Whether this VM has a free slot at the target. */
   hasRoom(tracked: TrackedServiceTarget): boolean {
     const { clock } = this.options;
-    return tracked.evidence.fullUntilMs <= clock.now() && tracked.inFlight < this.slotsAt(tracked);
+    return tracked.health.fullUntilMs <= clock.now() && tracked.inFlight < this.slotsAt(tracked);
   }
 
   /** Concurrency limit of this VM at the target. */
--- a/packages/gateway/src/engine-load.ts
+++ b/packages/gateway/src/engine-load.ts
@@ -24,12 +24,14 @@
     const { directory, pace, isEngine } = this.options;
     return directory
       .all()
-      .filter(({ target, inFlight, copies }) => inFlight + copies > 0 && isEngine(target.service))
-      .map(({ target, inFlight, reading, copies }) => ({
+      .filter(
+        ({ target, inFlight, replicas }) => inFlight + replicas > 0 && isEngine(target.service),
+      )
+      .map(({ target, inFlight, reading, replicas }) => ({
         id: target.id,
         requests: inFlight,
         reading,
-        copies,
+        copies: replicas,
         slowness: pace.slownessOf(target.id),
       }));
   }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -132,7 +132,7 @@
       hasAnnouncedLeaving: (id) => this.backpressure.isLeaving(id),
     });
     this.pace = new TargetPace((id, slowness) => {
-      this.directory.notePace(id, slowness);
+      this.directory.recordSlowness(id, slowness);
       this.exchange?.noteLoad();
     });
     this.engineLoad = new EngineLoad({
--- a/packages/gateway/src/knowledge.ts
+++ b/packages/gateway/src/knowledge.ts
@@ -296,7 +296,7 @@
     this.knownRevision = Math.max(revision, this.knownRevision);
     this.removed.begin(revision);
     const { directory, onChange } = this.options;
-    directory.apply(this.lapsed.filter(directory.compare(this.listTargets())));
+    directory.apply(this.lapsed.filter(directory.listChanges(this.listTargets())));
     onChange();
   }
 
--- a/packages/gateway/src/target-ends.ts
+++ b/packages/gateway/src/target-ends.ts
@@ -27,7 +27,7 @@
 
   /** Whether any answer came from that incarnation since then; steady time. */
   wasHeardSince(id: string, sinceMs: Millis): boolean {
-    return (this.options.directory.get(id)?.evidence.heardAtMs ?? 0) > sinceMs;
+    return (this.options.directory.get(id)?.health.lastResponseAtMs ?? 0) > sinceMs;
   }
 
   /** Whether the incarnation on which a run broke then is over. */
--- a/packages/gateway/src/target-scheduler.test.ts
+++ b/packages/gateway/src/target-scheduler.test.ts
@@ -64,9 +64,9 @@
 test('no VM is sent to a target of which all places are taken by others', () => {
   const { directory, ask } = create(1, 2);
   const load = { requests: 2, reading: 0, copies: 0, slowness: 1 };
-  directory.takePeerLoad('vm-a', { targets: new Map([['t0', load]]), advice: 0 });
+  directory.onPeerLoad('vm-a', { targets: new Map([['t0', load]]), advice: 0 });
   assert.is(ask('vm-b'), undefined);
-  directory.takePeerLoad('vm-a', { targets: new Map(), advice: 0 });
+  directory.onPeerLoad('vm-a', { targets: new Map(), advice: 0 });
   assert.is(ask('vm-b'), 't0');
 });
 
--- a/packages/gateway/src/target-scheduler.ts
+++ b/packages/gateway/src/target-scheduler.ts
@@ -46,7 +46,7 @@
       locality,
       exclude: new Set(question.exclude),
       limit: ({ target, peerRequests }) => target.slots - peerRequests,
-      isDomainDoubtful: (domain) => directory.isDomainDoubtful(service, domain),
+      isDomainDoubtful: (domain) => directory.isDomainSuspected(service, domain),
       now,
     });
     if (chosen === undefined) {
@@ -54,7 +54,7 @@
     }
     const answer = { target: chosen.target.id, copyTo: this.chooseCopyTo(chosen, question) };
     if (peer !== self) {
-      directory.noteAdvised({ peer, advice: number, ...answer });
+      directory.recordAdvisedRequest({ peer, advice: number, ...answer });
     }
     return answer;
   }
@@ -83,7 +83,7 @@
     return chooseCopyKeeper(this.listAdvisable(service), {
       affinityKey,
       running,
-      isDomainDoubtful: (domain) => directory.isDomainDoubtful(service, domain, KEEPER_DOUBT_MS),
+      isDomainDoubtful: (domain) => directory.isDomainSuspected(service, domain, KEEPER_DOUBT_MS),
       now: clock.now(),
     })?.target.id;
   }
--- a/packages/load/src/replay-load.fixture.ts
+++ b/packages/load/src/replay-load.fixture.ts
@@ -5,7 +5,7 @@
  */
 import { NO_BACKPRESSURE, NO_LIMITS, OPEN_GATE, SlotQueue } from '@limelead/forward-request';
 import { createLocality } from '@limelead/locality';
-import { TargetDirectory, type PacedLoad } from '@limelead/track-service-targets';
+import { TargetDirectory, type ReportedTargetLoad } from '@limelead/track-service-targets';
 import { hashText, type Millis, type ServiceTarget } from '@limelead/types';
 import type { Arrival } from './plan-arrivals.js';
 import ReplayTime from './replay-time.fixture.js';
@@ -166,7 +166,7 @@
           return;
         }
         const target = place.tracked.target.id;
-        const endReading = vm.directory.beginReading(target);
+        const endReading = vm.directory.startReadingPrompt(target);
         this.tellPeers(vm);
         const firstAtMs = this.read(target, prompt.length, endReading, vm);
         this.note(firstAtMs - atMs);
@@ -208,15 +208,15 @@
 
   private tellPeers({ id, directory }: ReplayVm): void {
     this.time.after(TOLD_AFTER_MS, () => {
-      const targets = new Map<string, PacedLoad>();
-      for (const { target, inFlight, reading, copies } of directory.all()) {
+      const targets = new Map<string, ReportedTargetLoad>();
+      for (const { target, inFlight, reading, replicas } of directory.all()) {
         if (inFlight > 0) {
-          targets.set(target.id, { requests: inFlight, reading, copies, slowness: 1 });
+          targets.set(target.id, { requests: inFlight, reading, copies: replicas, slowness: 1 });
         }
       }
       this.vms
         .filter((vm) => vm.id !== id)
-        .forEach((vm) => vm.directory.takePeerLoad(id, { targets, advice: 0 }));
+        .forEach((vm) => vm.directory.onPeerLoad(id, { targets, advice: 0 }));
     });
   }
 }
--- a/packages/permit-sends/src/fleet.fixture.ts
+++ b/packages/permit-sends/src/fleet.fixture.ts
@@ -326,7 +326,7 @@
     const index = this.vms.findIndex(({ name }) => name === self);
     const others = this.vms.map((_, step) => this.vms[(index + step) % this.vms.length]!.name);
     const step = Math.max(1, Math.floor(others.length / GOSSIP_PEERS));
-    return others.slice(1).filter((_, index) => index % step === 0);
+    return others.slice(1).filter((_, position) => position % step === 0);
   }
 
   private sendUpdates(
--- a/packages/quarantine-requests/src/trial-queue.ts
+++ b/packages/quarantine-requests/src/trial-queue.ts
@@ -158,7 +158,7 @@
   /** Time until the open trials of a request expire; 0 if there are none. */
   private trialTimeLeftMs(request: RequestIdentity): Millis {
     const trials = [...this.trials.values()].filter(
-      (trial) => trial.request === request && !trial.isOver,
+      (candidate) => candidate.request === request && !candidate.isOver,
     );
     return Math.max(0, ...trials.map((trial) => this.timeUntilExpiryMs(trial)));
   }
--- a/packages/share-evidence/src/evidence-exchange.test.ts
+++ b/packages/share-evidence/src/evidence-exchange.test.ts
@@ -1,7 +1,7 @@
 import createDecisionLog from '@limelead/decision-log';
 import type { StoreItem } from '@limelead/follow-store';
 import { createQuarantineUpdate } from '@limelead/quarantine-requests';
-import type { PacedLoad } from '@limelead/track-service-targets';
+import type { ReportedTargetLoad } from '@limelead/track-service-targets';
 import { backgroundTimers, systemRandom, type Advice } from '@limelead/types';
 import { createServer, type AddressInfo } from 'node:net';
 import { test } from 'uvu';
@@ -26,7 +26,7 @@
 
 /** One VM, with what it was told. */
 class Vm {
-  readonly loads = new Map<string, ReadonlyMap<string, PacedLoad>>();
+  readonly loads = new Map<string, ReadonlyMap<string, ReportedTargetLoad>>();
   readonly lost: string[] = [];
   readonly updates: StoreUpdate[] = [];
   readonly strangers: string[] = [];
--- a/packages/share-evidence/src/types.ts
+++ b/packages/share-evidence/src/types.ts
@@ -3,7 +3,11 @@
 import type { StoreItem } from '@limelead/follow-store';
 import type { LimitUpdate, PermitMessage } from '@limelead/permit-sends';
 import type { QuarantineUpdate } from '@limelead/quarantine-requests';
-import type { PacedLoad, TargetLoss, ToldLoad } from '@limelead/track-service-targets';
+import type {
+  ReportedTargetLoad,
+  TargetLoss,
+  PeerLoadUpdate,
+} from '@limelead/track-service-targets';
 import type { LeavingUpdate } from '@limelead/track-backpressure';
 import type { AdviceRequest, Clock, Millis, Random, Timers } from '@limelead/types';
 import type { IncomingMessage } from 'node:http';
@@ -53,7 +57,7 @@
 }
 
 /** A VM's load at one target. */
-export interface TargetLoad extends PacedLoad {
+export interface TargetLoad extends ReportedTargetLoad {
   id: string;
 }
 
@@ -107,7 +111,7 @@
   /** Requests of this VM under way, target by target. */
   readLoad(): TargetLoad[];
   /** The load that a peer told; empty once it is lost. */
-  onLoad(peer: PeerId, load: ToldLoad): void;
+  onLoad(peer: PeerId, load: PeerLoadUpdate): void;
   /** A peer asks where a stream should go; undefined where no target has a place. */
   adviseTarget(peer: PeerId, question: TargetQuestion): TargetAnswer | undefined;
   onLost(target: string, loss: TargetLoss): void;
--- a/packages/track-service-targets/src/index.ts
+++ b/packages/track-service-targets/src/index.ts
@@ -1,4 +1,4 @@
-/** The targets of every service with this VM's work on them and its evidence about them. */
+/** Targets of all services, with the load of this VM and its peers and the observed health. */
 export { default as TargetDirectory } from './target-directory.js';
 export type {
   LossCause,
@@ -8,12 +8,17 @@
   TargetNotice,
   TrackedServiceTarget,
 } from './tracked-target.js';
-export type { AdvisedRequest, PacedLoad, PeerLoad, ToldLoad } from './peer-loads.js';
+export type {
+  AdvisedRequest,
+  ReportedTargetLoad,
+  PeerLoad,
+  PeerLoadUpdate,
+} from './peer-load-table.js';
 export {
   isSuspected,
-  NO_EVIDENCE,
-  observeTarget,
-  readFailureRate,
-  readSlowness,
-} from './evidence.js';
-export type { TargetEvidence, TargetObservation } from './evidence.js';
+  INITIAL_HEALTH,
+  applyObservation,
+  getFailureRate,
+  getSlowness,
+} from './target-health.js';
+export type { TargetHealth, TargetObservation } from './target-health.js';
--- a/packages/track-service-targets/src/target-directory.test.ts
+++ b/packages/track-service-targets/src/target-directory.test.ts
@@ -2,11 +2,11 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
-  readSlowness,
+  getSlowness,
   TargetDirectory,
-  type PacedLoad,
+  type ReportedTargetLoad,
   type TargetNotice,
-  type ToldLoad,
+  type PeerLoadUpdate,
 } from './index.js';
 
 function createTarget(id: string, overrides: Partial<ServiceTarget> = {}): ServiceTarget {
@@ -22,7 +22,7 @@
   };
 }
 
-function tellLoad(atT1?: PacedLoad): ToldLoad {
+function createLoadUpdate(atT1?: ReportedTargetLoad): PeerLoadUpdate {
   return { targets: new Map(atT1 && [['t1', atT1]]), advice: 0 };
 }
 
@@ -46,10 +46,10 @@
   return { time, notices, lost, announce, directory };
 }
 
-test('a leaving target takes no new work at once, and keeps what it has', () => {
+test('a leaving target gets no new requests at once, and keeps its requests in flight', () => {
   const { directory } = createDirectory();
   directory.replaceAll([createTarget('t1'), createTarget('t2')]);
-  const end = directory.begin('t1');
+  const end = directory.startRequest('t1');
   directory.apply([{ kind: 'put', target: createTarget('t1', { leaving: true }) }]);
   assert.equal(
     directory.listUsable('briefs').map(({ target }) => target.id),
@@ -61,7 +61,7 @@
   assert.is(directory.get('t1')?.inFlight, 0);
 });
 
-test('what a target itself said of its leaving is lifted by no entry, but by its end', () => {
+test('an announcement of leaving is not revoked by registry entries, only by a new incarnation', () => {
   const { directory, notices, announce } = createDirectory();
   const listUsable = (): string[] => directory.listUsable('briefs').map(({ target }) => target.id);
   directory.replaceAll([createTarget('t1'), createTarget('t2')]);
@@ -80,7 +80,7 @@
   );
 });
 
-test('a new incarnation at the same address replaces the old one with all suspicion', () => {
+test('a new incarnation at the same address replaces the old one and its suspicion', () => {
   const { directory, notices } = createDirectory();
   directory.replaceAll([createTarget('t1')]);
   directory.observe('t1', { kind: 'lost' });
@@ -94,14 +94,14 @@
   );
 });
 
-test('a complete list ends what it does not hold', () => {
+test('a complete list removes targets that it does not name', () => {
   const { directory } = createDirectory();
   directory.replaceAll([createTarget('t1'), createTarget('t2')]);
   directory.replaceAll([createTarget('t2')]);
   assert.is(directory.size, 1);
 });
 
-test('suspicion passes, lasts longer each time, and ends with an answer', () => {
+test('a suspicion expires, lasts longer each time, and ends with a successful response', () => {
   const { directory, time } = createDirectory();
   directory.replaceAll([createTarget('t1')]);
   directory.observe('t1', { kind: 'lost' });
@@ -114,7 +114,7 @@
   assert.not(directory.isSuspected('t1'));
 });
 
-test('two losses close together put the whole failure domain in doubt, for a while', () => {
+test('two losses close together make the whole failure domain suspected for a time', () => {
   const { directory, time } = createDirectory();
   directory.replaceAll([
     createTarget('t1'),
@@ -122,90 +122,96 @@
     createTarget('t3', { failureDomain: 'south' }),
   ]);
   directory.observe('t1', { kind: 'lost' });
-  assert.not(directory.isDomainDoubtful('briefs', 'north'));
+  assert.not(directory.isDomainSuspected('briefs', 'north'));
   directory.observe('t2', { kind: 'lost' });
-  assert.ok(directory.isDomainDoubtful('briefs', 'north'));
-  assert.not(directory.isDomainDoubtful('briefs', 'south'));
+  assert.ok(directory.isDomainSuspected('briefs', 'north'));
+  assert.not(directory.isDomainSuspected('briefs', 'south'));
   time.now += 701;
-  assert.not(directory.isDomainDoubtful('briefs', 'north'));
-  assert.ok(directory.isDomainDoubtful('briefs', 'north', 2_000));
+  assert.not(directory.isDomainSuspected('briefs', 'north'));
+  assert.ok(directory.isDomainSuspected('briefs', 'north', 2_000));
 });
 
-test('lost engines say nothing of the other services of their failure domain', () => {
+test('lost engines do not make other services of their failure domain suspected', () => {
   const { directory } = createDirectory();
   const calls = createTarget('c1', { service: 'calls', port: 90 });
   directory.replaceAll([createTarget('t1'), createTarget('t2'), calls]);
   directory.observe('t1', { kind: 'lost' });
   directory.observe('t2', { kind: 'lost' });
-  assert.ok(directory.isDomainDoubtful('briefs', 'north'));
-  assert.not(directory.isDomainDoubtful('calls', 'north'));
+  assert.ok(directory.isDomainSuspected('briefs', 'north'));
+  assert.not(directory.isDomainSuspected('calls', 'north'));
 });
 
-test('a loss that another VM told is believed, but not told again', () => {
+test('a loss that a peer reports is applied, but not published again', () => {
   const { directory, lost } = createDirectory();
   directory.replaceAll([createTarget('t1'), createTarget('t2')]);
-  directory.takePeerLoss('t1', 'lost');
+  directory.onPeerLoss('t1', 'lost');
   directory.observe('t2', { kind: 'lost' });
-  assert.ok(directory.isSuspected('t1') && directory.isDomainDoubtful('briefs', 'north'));
+  assert.ok(directory.isSuspected('t1') && directory.isDomainSuspected('briefs', 'north'));
   assert.equal(lost, ['t2']);
 });
 
-test('an incarnation whose address another one holds is left alone, without doubt of its domain', () => {
+test('a replaced incarnation is suspected, but its domain is not', () => {
   const { directory, time } = createDirectory();
   const ids = ['t1', 't2', 't3', 't4'];
   directory.replaceAll(ids.map((id) => createTarget(id)));
   ids.slice(0, 3).forEach((id) => directory.observe(id, { kind: 'replaced' }));
-  assert.not(directory.isDomainDoubtful('briefs', 'north'));
+  assert.not(directory.isDomainSuspected('briefs', 'north'));
   time.now += 9_000;
   assert.ok(directory.isSuspected('t1'));
   assert.not(directory.isSuspected('t4'));
 });
 
-test('a pace tells of a slow target, but not beside a prompt that is read or was just read', () => {
+test('slowness is recorded, but not during or shortly after the reading of a prompt', () => {
   const { directory, time } = createDirectory();
   directory.replaceAll([createTarget('t1')]);
   const slowness = (): number => {
     const tracked = directory.get('t1');
-    return tracked === undefined ? 0 : readSlowness(tracked.evidence, time.now);
+    return tracked === undefined ? 0 : getSlowness(tracked.health, time.now);
   };
-  const endReading = directory.beginReading('t1');
-  directory.notePace('t1', 5);
+  const endReading = directory.startReadingPrompt('t1');
+  directory.recordSlowness('t1', 5);
   assert.is(slowness(), 1);
   endReading();
-  directory.notePace('t1', 5);
+  directory.recordSlowness('t1', 5);
   assert.is(slowness(), 1);
   time.now += 1_500;
-  directory.notePace('t1', 5);
+  directory.recordSlowness('t1', 5);
   assert.is(slowness(), 5);
   time.now += 3_000;
   assert.is(slowness(), 3);
-  directory.notePace('t1', 1);
+  directory.recordSlowness('t1', 1);
   assert.is(slowness(), 1);
 });
 
-test('the load of other VMs is summed, and goes with the VM that told it', () => {
+test('the load of other VMs is summed, and subtracted when a VM is gone', () => {
   const { directory } = createDirectory();
   directory.replaceAll([createTarget('t1')]);
-  directory.takePeerLoad('vm-a', tellLoad({ requests: 2, reading: 1, copies: 0, slowness: 1 }));
-  directory.takePeerLoad('vm-b', tellLoad({ requests: 3, reading: 2, copies: 0, slowness: 1 }));
+  directory.onPeerLoad(
+    'vm-a',
+    createLoadUpdate({ requests: 2, reading: 1, copies: 0, slowness: 1 }),
+  );
+  directory.onPeerLoad(
+    'vm-b',
+    createLoadUpdate({ requests: 3, reading: 2, copies: 0, slowness: 1 }),
+  );
   assert.is(directory.get('t1')?.peerRequests, 5);
   assert.is(directory.get('t1')?.peerReading, 3);
-  directory.takePeerLoad('vm-a', tellLoad());
+  directory.onPeerLoad('vm-a', createLoadUpdate());
   assert.is(directory.get('t1')?.peerRequests, 3);
 });
 
-test('those who wait are woken when a place is free or a target joins', () => {
+test('listeners are called when a slot is released or a target joins', () => {
   const { directory } = createDirectory();
   directory.replaceAll([createTarget('t1')]);
-  let woken = 0;
-  const unsubscribe = directory.subscribe(() => (woken += 1));
-  const end = directory.begin('t1');
+  let calls = 0;
+  const unsubscribe = directory.subscribe(() => (calls += 1));
+  const end = directory.startRequest('t1');
   end();
   directory.apply([{ kind: 'put', target: createTarget('t2') }]);
-  assert.is(woken, 2);
+  assert.is(calls, 2);
   unsubscribe();
   directory.apply([{ kind: 'gone', id: 't2' }]);
-  assert.is(woken, 2);
+  assert.is(calls, 2);
 });
 
 test.run();
--- a/packages/track-service-targets/src/target-directory.ts
+++ b/packages/track-service-targets/src/target-directory.ts
@@ -1,8 +1,17 @@
-/** The targets that this VM knows, with its own work on them and its evidence about them. */
+/** Targets known to this VM, with their load and health. */
 import { hashText, type Clock, type Millis, type ServiceTarget } from '@limelead/types';
-import DomainLosses from './domain-losses.js';
-import { isSuspected, NO_EVIDENCE, observeTarget, type TargetObservation } from './evidence.js';
-import PeerLoads, { type AdvisedRequest, type PeerLoad, type ToldLoad } from './peer-loads.js';
+import DomainLossTracker from './domain-loss-tracker.js';
+import {
+  isSuspected,
+  INITIAL_HEALTH,
+  applyObservation,
+  type TargetObservation,
+} from './target-health.js';
+import PeerLoadTable, {
+  type AdvisedRequest,
+  type PeerLoad,
+  type PeerLoadUpdate,
+} from './peer-load-table.js';
 import type {
   LossCause,
   TargetChange,
@@ -11,29 +20,31 @@
   TrackedServiceTarget,
 } from './tracked-target.js';
 
-/** Losses in one failure domain within this time are taken to have one cause. */
-const DOMAIN_WINDOW_MS = 700;
+/** Losses in one failure domain within this time are attributed to one cause. */
+const DOMAIN_LOSS_WINDOW_MS = 700;
 
 /**
- * Time after the last reading of a prompt at a target in which the pace of its pieces
- * tells nothing, in milliseconds: each step that reads takes five times as long, and
- * pieces of about a second are measured together.
+ * Time after a prompt was read at a target during which slowness is not recorded, in milliseconds,
+ * since reading slows down all pieces of the target.
  */
-const READING_BLURS_MS = 1_500;
+const READING_EFFECT_MS = 1_500;
 
-/** Holds the targets of one VM. */
+/** The targets of one VM. */
 export default class TargetDirectory {
   private readonly tracked = new Map<string, TrackedServiceTarget>();
-  /** Service by service: what strikes engines need not strike the services beside them. */
-  private readonly losses = new Map<string, DomainLosses>();
+  /**
+   * Losses by service, since a failure of engines need not affect plain services in the same
+   * domain.
+   */
+  private readonly lossesByService = new Map<string, DomainLossTracker>();
   private readonly listeners = new Set<() => void>();
-  private readonly peerLoads: PeerLoads;
+  private readonly peerLoads: PeerLoadTable;
 
   constructor(
     private readonly clock: Clock,
     private readonly events: Partial<TargetDirectoryEvents> = {},
   ) {
-    this.peerLoads = new PeerLoads(clock, (id, total) => this.setPeerLoad(id, total));
+    this.peerLoads = new PeerLoadTable(clock, (id, total) => this.setPeerLoad(id, total));
   }
 
   /** Number of known incarnations. */
@@ -41,19 +52,22 @@
     return this.tracked.size;
   }
 
-  /** Calls back whenever a waiting request may find a target that it did not find before. */
+  /**
+   * Calls the listener whenever a waiting request may find a target. Returns a function that
+   * unsubscribes.
+   */
   subscribe(listener: () => void): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
 
-  /** Takes a complete list; incarnations that are not in it are gone. */
+  /** Replaces the known incarnations by a complete list. */
   replaceAll(targets: ServiceTarget[]): void {
-    this.apply(this.compare(targets));
+    this.apply(this.listChanges(targets));
   }
 
-  /** The changes that lead from what is known to a complete list. */
-  compare(targets: ServiceTarget[]): TargetChange[] {
+  /** Lists the changes from the known incarnations to a complete list. */
+  listChanges(targets: ServiceTarget[]): TargetChange[] {
     const listed = new Set(targets.map(({ id }) => id));
     const missing = [...this.tracked.keys()].filter((id) => !listed.has(id));
     return [
@@ -62,7 +76,7 @@
     ];
   }
 
-  /** Takes changes in their order. */
+  /** Applies changes in order. */
   apply(changes: TargetChange[]): void {
     for (const change of changes) {
       if (change.kind === 'put') {
@@ -71,24 +85,24 @@
         this.remove(change.id);
       }
     }
-    this.wake();
+    this.notifyListeners();
   }
 
   get(id: string): TrackedServiceTarget | undefined {
     return this.tracked.get(id);
   }
 
-  /** Every known incarnation. */
+  /** All known incarnations. */
   all(): TrackedServiceTarget[] {
     return [...this.tracked.values()];
   }
 
-  /** The incarnations of a service that take new work. */
+  /** Incarnations of a service that accept new requests. */
   listUsable(service: string): TrackedServiceTarget[] {
     return this.all().filter(({ target }) => target.service === service && !target.leaving);
   }
 
-  /** A target announced in an answer that it leaves. */
+  /** Handles a target's announcement that it leaves. */
   onAnnouncedLeaving(id: string): void {
     const known = this.tracked.get(id);
     if (known !== undefined) {
@@ -96,8 +110,8 @@
     }
   }
 
-  /** Notes that a request of this VM began there, and gives what ends it. */
-  begin(id: string): () => void {
+  /** Counts a request of this VM in flight; returns a function that ends it. */
+  startRequest(id: string): () => void {
     const tracked = this.tracked.get(id);
     if (tracked === undefined) {
       return () => undefined;
@@ -107,12 +121,12 @@
     return once(() => {
       tracked.inFlight -= 1;
       this.events.onLoad?.(tracked);
-      this.wake();
+      this.notifyListeners();
     });
   }
 
-  /** Notes that a request of this VM reads its prompt there, and gives what ends it. */
-  beginReading(id: string): () => void {
+  /** Counts a request of this VM whose prompt is read; returns a function that ends it. */
+  startReadingPrompt(id: string): () => void {
     const tracked = this.tracked.get(id);
     if (tracked === undefined) {
       return () => undefined;
@@ -120,111 +134,115 @@
     tracked.reading += 1;
     return once(() => {
       tracked.reading -= 1;
-      tracked.readAtMs = this.clock.now();
+      tracked.lastReadingAtMs = this.clock.now();
       this.events.onLoad?.(tracked);
     });
   }
 
-  /** Notes that a copy of a run is kept there, and gives what ends it. */
-  keepCopy(id: string): () => void {
+  /** Counts a replica of a run of this VM; returns a function that ends it. */
+  addReplica(id: string): () => void {
     const tracked = this.tracked.get(id);
     if (tracked === undefined) {
       return () => undefined;
     }
-    tracked.copies += 1;
+    tracked.replicas += 1;
     return once(() => {
-      tracked.copies -= 1;
+      tracked.replicas -= 1;
       this.events.onLoad?.(tracked);
     });
   }
 
-  /** Takes an observation of this VM about a target. */
+  /** Applies an observation of this VM, and reports losses to the events' owner. */
   observe(id: string, observation: TargetObservation): void {
-    this.takeObservation(id, observation);
+    this.applyObservation(id, observation);
     if (observation.kind === 'lost' || observation.kind === 'replaced') {
       this.events.onLost?.(id, observation.kind);
     }
   }
 
-  /** Another VM found a target lost. */
-  takePeerLoss(id: string, loss: TargetLoss): void {
-    this.takeObservation(id, { kind: loss });
+  /** Applies a loss that a peer reported. */
+  onPeerLoss(id: string, loss: TargetLoss): void {
+    this.applyObservation(id, { kind: loss });
   }
 
-  /** Takes the requests that another VM has under way at each target; none once it is gone. */
-  takePeerLoad(peer: string, load: ToldLoad): void {
-    this.peerLoads.take(peer, load);
-    load.targets.forEach(({ slowness }, id) => this.notePace(id, slowness));
+  /** Replaces the load of a peer; empty once the peer is gone. */
+  onPeerLoad(peer: string, load: PeerLoadUpdate): void {
+    this.peerLoads.applyUpdate(peer, load);
+    load.targets.forEach(({ slowness }, id) => this.recordSlowness(id, slowness));
   }
 
-  /** Pieces of a run took so many times the usual time; says nothing beside a prompt that is read. */
-  notePace(id: string, slowness: number): void {
+  /**
+   * Records the slowness of a run's pieces; above 1 it is ignored during and shortly after the
+   * reading of a prompt.
+   */
+  recordSlowness(id: string, slowness: number): void {
     const tracked = this.tracked.get(id);
     if (tracked === undefined) {
       return;
     }
-    const reads = tracked.reading + tracked.peerReading > 0;
-    const isBlurred = reads || this.clock.now() - tracked.readAtMs < READING_BLURS_MS;
-    if (slowness === 1 || !isBlurred) {
-      this.takeObservation(id, { kind: 'paced', slowness });
+    const isReading = tracked.reading + tracked.peerReading > 0;
+    const isAffectedByReading =
+      isReading || this.clock.now() - tracked.lastReadingAtMs < READING_EFFECT_MS;
+    if (slowness === 1 || !isAffectedByReading) {
+      this.applyObservation(id, { kind: 'paced', slowness });
     }
   }
 
-  /** Another VM was advised to send a request to a target. */
-  noteAdvised(request: AdvisedRequest): void {
-    this.peerLoads.noteAdvised(request);
+  /** Counts a request that a peer was advised to send. */
+  recordAdvisedRequest(request: AdvisedRequest): void {
+    this.peerLoads.recordAdvisedRequest(request);
   }
 
-  /** Notes that bytes came from a target; cheaper than an observation. */
-  hear(id: string): void {
+  /** Records that bytes arrived from a target; cheaper than an observation. */
+  recordActivity(id: string): void {
     const tracked = this.tracked.get(id);
     if (tracked !== undefined) {
-      tracked.evidence.heardAtMs = this.clock.now();
+      tracked.health.lastResponseAtMs = this.clock.now();
     }
   }
 
   /**
-   * Whether so many of a service's targets in a failure domain were lost within the
-   * window that the rest of them are likely lost too.
+   * Whether so many of a service's targets in a failure domain were lost within the window that the
+   * rest of them are likely lost too.
    */
-  isDomainDoubtful(
+  isDomainSuspected(
     service: string,
     failureDomain: string,
-    windowMs: Millis = DOMAIN_WINDOW_MS,
+    windowMs: Millis = DOMAIN_LOSS_WINDOW_MS,
   ): boolean {
-    return this.lossesOf(service).isDoubtful(failureDomain, this.clock.now() - windowMs);
+    return this.getLosses(service).isSuspected(failureDomain, this.clock.now() - windowMs);
   }
 
   /**
-   * Whether a target still runs, as far as its loss tells. A broken connection
-   * says that it ended. Silence says so only where its whole failure domain is in
-   * doubt; otherwise the target may just be slow.
+   * Whether a target is likely still running after the loss of a run. A broken connection means
+   * that it ended. Silence means so only if its whole failure domain is suspected; otherwise the
+   * target may just be slow.
    */
-  isPresent(id: string, cause: LossCause | undefined): boolean {
+  isLikelyRunning(id: string, cause: LossCause | undefined): boolean {
     const tracked = this.tracked.get(id);
     if (tracked === undefined) {
       return false;
     }
-    const saysEnded =
+    const hasLikelyEnded =
       cause === 'broken' ||
       (cause === 'silent' &&
-        this.isDomainDoubtful(tracked.target.service, tracked.target.failureDomain));
-    return !(saysEnded && this.isSuspected(id));
+        this.isDomainSuspected(tracked.target.service, tracked.target.failureDomain));
+    return !(hasLikelyEnded && this.isSuspected(id));
   }
 
-  /** Whether a target is taken to be down now. */
+  /** Whether a target is considered down now. */
   isSuspected(id: string): boolean {
     const tracked = this.tracked.get(id);
-    return tracked !== undefined && isSuspected(tracked.evidence, this.clock.now());
+    return tracked !== undefined && isSuspected(tracked.health, this.clock.now());
   }
 
-  private takeObservation(id: string, observation: TargetObservation): void {
+  private applyObservation(id: string, observation: TargetObservation): void {
     const tracked = this.tracked.get(id);
     if (tracked !== undefined) {
       const now = this.clock.now();
-      tracked.evidence = observeTarget(tracked.evidence, observation, now);
+      tracked.health = applyObservation(tracked.health, observation, now);
       if (observation.kind === 'lost') {
-        this.lossesOf(tracked.target.service).note(tracked.target.failureDomain, id, now);
+        this.getLosses(tracked.target.service).recordLoss(tracked.target.failureDomain, id, now);
       }
     }
   }
@@ -233,11 +251,11 @@
     const tracked = this.tracked.get(id);
     if (tracked !== undefined) {
       if (tracked.peerReading > 0) {
-        tracked.readAtMs = this.clock.now();
+        tracked.lastReadingAtMs = this.clock.now();
       }
       tracked.peerRequests = requests;
       tracked.peerReading = reading;
-      tracked.peerCopies = copies;
+      tracked.peerReplicas = copies;
     }
   }
 
@@ -247,19 +265,19 @@
     const known = this.tracked.get(target.id);
     if (known === undefined) {
       this.removeReplaced(target);
-      this.lossesOf(target.service).join(target.failureDomain);
-      const peers = this.peerLoads.totalOf(target.id);
+      this.getLosses(target.service).addTarget(target.failureDomain);
+      const peerLoad = this.peerLoads.getTotal(target.id);
       this.tracked.set(target.id, {
         target,
         hash: hashText(target.id),
-        evidence: { ...NO_EVIDENCE },
+        health: { ...INITIAL_HEALTH },
         inFlight: 0,
         reading: 0,
-        peerRequests: peers.requests,
-        peerReading: peers.reading,
-        readAtMs: 0,
-        copies: 0,
-        peerCopies: peers.copies,
+        peerRequests: peerLoad.requests,
+        peerReading: peerLoad.reading,
+        lastReadingAtMs: 0,
+        replicas: 0,
+        peerReplicas: peerLoad.copies,
       });
       this.events.onNotice?.({ kind: target.leaving ? 'leaving' : 'joined', target });
       return;
@@ -270,7 +288,7 @@
     known.target = target;
   }
 
-  /** Where another incarnation stood at the same address, it is over. */
+  /** Removes earlier incarnations at the same address. */
   private removeReplaced({ host, port }: ServiceTarget): void {
     for (const { target } of this.all()) {
       if (target.host === host && target.port === port) {
@@ -284,22 +302,22 @@
     if (known !== undefined) {
       const { target } = known;
       this.tracked.delete(id);
-      this.lossesOf(target.service).leave(target.failureDomain, id);
+      this.getLosses(target.service).removeTarget(target.failureDomain, id);
       this.events.onNotice?.({ kind: 'gone', target });
     }
   }
 
-  private lossesOf(service: string): DomainLosses {
-    const known = this.losses.get(service);
+  private getLosses(service: string): DomainLossTracker {
+    const known = this.lossesByService.get(service);
     if (known !== undefined) {
       return known;
     }
-    const losses = new DomainLosses();
-    this.losses.set(service, losses);
+    const losses = new DomainLossTracker();
+    this.lossesByService.set(service, losses);
     return losses;
   }
 
-  private wake(): void {
+  private notifyListeners(): void {
     for (const listener of [...this.listeners]) {
       listener();
     }
--- a/packages/track-service-targets/src/tracked-target.ts
+++ b/packages/track-service-targets/src/tracked-target.ts
@@ -1,51 +1,54 @@
-/** What is known of a target, and what changes it, as plain data. */
+/** A target with its load and health, and its changes, as plain data. */
 import type { Millis, ServiceTarget } from '@limelead/types';
-import type { TargetEvidence, TargetObservation } from './evidence.js';
+import type { TargetHealth, TargetObservation } from './target-health.js';
 
-/** One incarnation of a target with everything known of it. */
+/** One incarnation of a target with its load and health. */
 export interface TrackedServiceTarget {
   target: ServiceTarget;
-  /** Hash of the id, for the spread of sessions over targets. */
+  /** Hash of the id; spreads sessions over targets. */
   hash: number;
-  evidence: TargetEvidence;
-  /** Requests of this VM under way there. */
+  health: TargetHealth;
+  /** Requests of this VM in flight. */
   inFlight: number;
-  /** Those of them that read their prompts. */
+  /** Number of them whose prompts are being read. */
   reading: number;
-  /** Requests of other VMs under way there, as far as they told or were advised. */
+  /** Requests of other VMs in flight, reported or advised. */
   peerRequests: number;
-  /** Those of them that read their prompts. */
+  /** Number of them whose prompts are being read. */
   peerReading: number;
   /** When a prompt was last known to be read there; 0 for never. */
-  readAtMs: Millis;
-  /** Copies of runs of this VM kept there. */
-  copies: number;
-  /** Copies of runs of other VMs kept there, as far as they told. */
-  peerCopies: number;
+  lastReadingAtMs: Millis;
+  /** Replicas of this VM's runs. */
+  replicas: number;
+  /** Replicas of other VMs' runs, reported or advised. */
+  peerReplicas: number;
 }
 
-/** A change of what the directory of targets tells. */
+/** A change of the directory. */
 export type TargetChange = { kind: 'put'; target: ServiceTarget } | { kind: 'gone'; id: string };
 
-/** What a change did, for the log. */
+/** Effect of a change, for the log. */
 export type TargetNotice =
   | { kind: 'joined'; target: ServiceTarget }
   | { kind: 'leaving'; target: ServiceTarget }
   | { kind: 'gone'; target: ServiceTarget };
 
-/** How a run's target was lost: its connection broke, or nothing came from it. */
+/** How a run lost its target: the connection broke, or nothing arrived on it. */
 export type LossCause = 'broken' | 'silent';
 
-/** What one VM tells others of a target: it seems down, or another incarnation took its address. */
+/**
+ * A loss that VMs report to each other: the target seems down, or another incarnation has its
+ * address.
+ */
 export type TargetLoss = Extract<TargetObservation['kind'], 'lost' | 'replaced'>;
 
-/** What the owner of a directory is told and asked. */
+/** Callbacks of a directory. */
 export interface TargetDirectoryEvents {
   onNotice(notice: TargetNotice): void;
-  /** This VM itself found a target lost. */
+  /** This VM observed the loss of a target. */
   onLost(id: string, loss: TargetLoss): void;
-  /** The number of this VM's requests at a target changed. */
+  /** The load of this VM at a target changed. */
   onLoad(tracked: TrackedServiceTarget): void;
-  /** Whether an incarnation itself said that it leaves; its entries don't lift that. */
+  /** Whether an incarnation announced that it leaves; a registry entry does not revoke that. */
   hasAnnouncedLeaving(id: string): boolean;
 }
