--- a/packages/choose-target/src/index.ts
+++ b/packages/choose-target/src/index.ts
@@ -77,7 +77,7 @@
   const cachedShare = estimateCachedShare(target, request.prefixHashes);
   const rate = target.report?.prefillTokensPerSecond ?? DEFAULT_PREFILL_TOKENS_PER_SECOND;
   const prefillMs =
-    ((target.prefillPending + request.inputTokens * (1 - cachedShare)) * 1000) / rate;
+    ((target.pendingPrefillTokens + request.inputTokens * (1 - cachedShare)) * 1000) / rate;
   const domainMs = target.failureDomain === request.failureDomain ? 0 : OTHER_DOMAIN_COST_MS;
   const costMs =
     estimateQueueMs(target, request.meanAnswerTokens) +
--- a/packages/daemon/src/create-context.ts
+++ b/packages/daemon/src/create-context.ts
@@ -60,7 +60,7 @@
   const admission = createAdmission({ maxOpen: settings.limits.maxOpenRequests }, shareOf);
 
   const recoveryPlaces = (): number => {
-    const engines = targets.usableEngines(clock.now()).length;
+    const engines = targets.listUsableEngines(clock.now()).length;
     return Math.max(MIN_RECOVERIES, Math.ceil((engines * RECOVERIES_PER_ENGINE) / countVms()));
   };
 
--- a/packages/daemon/src/peer-conversation.ts
+++ b/packages/daemon/src/peer-conversation.ts
@@ -291,7 +291,7 @@
   private onBreaker(peer: VmId, { target, openForMs }: PeerMessageOf<'breaker'>): void {
     const { targets, clock, bus } = this.context;
     const saidAtMs = clock.now();
-    const hasOwnFailure = (targets.find(target)?.breaker.failures ?? 0) > 0;
+    const hasOwnFailure = (targets.find(target)?.breaker.failureCount ?? 0) > 0;
     const word = { peer, openUntilMs: saidAtMs + openForMs, saidAtMs };
     const openUntilMs = this.evidence.take(target, word, hasOwnFailure);
     if (openUntilMs !== undefined && targets.adoptOpenBreaker(target, openUntilMs)) {
--- a/packages/daemon/src/place-models.ts
+++ b/packages/daemon/src/place-models.ts
@@ -67,7 +67,7 @@
   const now = clock.now();
   return targets
     .all()
-    .filter((target) => target.role === 'engine' && targets.stateOf(target, now) === 'usable')
+    .filter((target) => target.role === 'engine' && targets.getState(target, now) === 'usable')
     .flatMap((target) => {
       const { id, failureDomain, report, reportAtMs } = target;
       const isFresh = report !== undefined && now - reportAtMs <= REPORT_MAX_AGE_MS;
--- a/packages/daemon/src/poll-targets.ts
+++ b/packages/daemon/src/poll-targets.ts
@@ -26,7 +26,7 @@
   gaps.keepOnly(new Set(targets.all().map(({ id }) => id)));
   for (const id of changed) {
     const target = targets.find(id);
-    const state = target === undefined ? 'gone' : targets.stateOf(target, clock.now());
+    const state = target === undefined ? 'gone' : targets.getState(target, clock.now());
     bus.publish('', () => ({ kind: 'targetChanged', target: id, state }));
   }
 }
--- a/packages/daemon/src/services/administration-service.ts
+++ b/packages/daemon/src/services/administration-service.ts
@@ -128,7 +128,7 @@
     targets: targets.all().map((target) => ({
       id: target.id,
       failureDomain: target.failureDomain,
-      state: targets.stateOf(target, now),
+      state: targets.getState(target, now),
       inFlight: target.inFlight,
       reportedRunning: target.report?.running ?? 0,
     })),
--- a/packages/daemon/src/services/generation-service.ts
+++ b/packages/daemon/src/services/generation-service.ts
@@ -161,7 +161,7 @@
   const version = currentVersion(context, request.service);
   const meanAnswerTokens = gaps.readAnswerTokens();
   const waits = targets
-    .usableEngines(clock.now(), version)
+    .listUsableEngines(clock.now(), version)
     .map((target) => estimateQueueMs(target, meanAnswerTokens));
   return waits.length === 0 ? 0 : Math.min(...waits);
 }
--- a/packages/daemon/src/start-daemon.ts
+++ b/packages/daemon/src/start-daemon.ts
@@ -145,7 +145,7 @@
   private isReady(): boolean {
     const { configuration, targets, clock } = this.context;
     const now = clock.now();
-    const usable = targets.all().filter((target) => targets.stateOf(target, now) === 'usable');
+    const usable = targets.all().filter((target) => targets.getState(target, now) === 'usable');
     const listsEngines = targets.all().some(({ role }) => role === 'engine');
     // An engine that was listed but has not reported is of no use: what it has loaded is not known.
     const canRoute = usable.some(({ report }) => !listsEngines || report !== undefined);
--- a/packages/measure/src/capacity/measure-slopes.ts
+++ b/packages/measure/src/capacity/measure-slopes.ts
@@ -108,7 +108,7 @@
 function measureChoice(): Slope {
   const points = SUBSETS.map((count) => {
     const table = createTable(count);
-    const targets = table.usableEngines(0);
+    const targets = table.listUsableEngines(0);
     const prefixHashes = Array.from({ length: 30 }, (_, index) => `hash-${index}`);
     const request = { prefixHashes, inputTokens: 500, failureDomain: 'd0', exclude: [] };
     const routing = { ...request, meanAnswerTokens: 64, now: 0 };
--- a/packages/run-call/src/call-runner.ts
+++ b/packages/run-call/src/call-runner.ts
@@ -159,7 +159,7 @@
   let outcome: RememberedCall = { kind: 'not-sent' };
   while (tried.length < MAX_TRIES) {
     const usable = targets
-      .usablePlain(request.service, clock.now())
+      .listUsablePlain(request.service, clock.now())
       .filter((target) => !tried.includes(target.id));
     const target = drawLeastBusy(usable, dependencies.random);
     if (target === undefined) {
@@ -187,15 +187,15 @@
 ): Promise<E.Either<PortFault, PlainAnswer>> {
   const { targets, connector, clock, metrics } = dependencies;
   const service = connector.plainService(target.host, target.port, request.service);
-  targets.noteSent(target.id, clock.now());
+  targets.recordRequestSent(target.id, clock.now());
   const startedAtMs = clock.now();
   const sent = await service.call(request)();
-  targets.noteDone(target.id);
+  targets.recordRequestDone(target.id);
   metrics.recordMs('limelead_call_ms', clock.now() - startedAtMs);
   if (E.isRight(sent)) {
-    targets.noteSuccess(target.id);
+    targets.recordSuccess(target.id);
   } else {
-    targets.noteFailure(target.id, clock.now());
+    targets.recordFailure(target.id, clock.now());
     metrics.count('limelead_call_faults_total', 1, { sent: sent.left.sent });
   }
   return sent;
--- a/packages/run-generation/src/attempt-reader.ts
+++ b/packages/run-generation/src/attempt-reader.ts
@@ -53,8 +53,8 @@
   /** Opens the stream and reads it to its end. Never rejects. */
   async run(open: (signal: AbortSignal) => PortCall<EngineStream>): Promise<void> {
     const { targets, clock } = this.dependencies;
-    targets.noteSent(this.place.targetId, clock.now());
-    targets.notePrefill(this.place.targetId, this.place.inputTokens);
+    targets.recordRequestSent(this.place.targetId, clock.now());
+    targets.addPendingPrefill(this.place.targetId, this.place.inputTokens);
     this.watchSilence();
     const opened = await open(this.abort.signal)();
     if (E.isLeft(opened)) {
@@ -88,13 +88,13 @@
     this.abort.abort();
     this.stream?.close();
     this.endPrefill();
-    this.dependencies.targets.noteDone(this.place.targetId);
+    this.dependencies.targets.recordRequestDone(this.place.targetId);
   }
 
   private endPrefill(): void {
     if (this.isPrefilling) {
       this.isPrefilling = false;
-      this.dependencies.targets.notePrefill(this.place.targetId, -this.place.inputTokens);
+      this.dependencies.targets.addPendingPrefill(this.place.targetId, -this.place.inputTokens);
     }
   }
 
@@ -123,7 +123,7 @@
     const { targets } = this.dependencies;
     switch (message.kind) {
       case 'accepted':
-        targets.notePrompt(targetId, prefixHashes);
+        targets.recordPrompt(targetId, prefixHashes);
         return this.mailbox.deliver({
           kind: 'opened',
           attempt,
@@ -143,7 +143,7 @@
     if (this.hasTokens) {
       gaps.note(this.place.targetId, now - this.lastMessageAtMs);
     } else {
-      targets.noteSuccess(this.place.targetId);
+      targets.recordSuccess(this.place.targetId);
       this.endPrefill();
       gaps.noteLateness(now - this.startedAtMs - this.place.expectedFirstTokenMs);
     }
@@ -181,7 +181,7 @@
 
   private noteTargetFailure(): void {
     const { targets, clock, onBreakerOpened } = this.dependencies;
-    if (targets.noteFailure(this.place.targetId, clock.now())) {
+    if (targets.recordFailure(this.place.targetId, clock.now())) {
       onBreakerOpened(this.place.targetId);
     }
   }
--- a/packages/run-generation/src/generation.ts
+++ b/packages/run-generation/src/generation.ts
@@ -179,7 +179,7 @@
     const { attempt } = command;
     const version = command.modelVersion ?? currentVersion(this.request.service);
     const now = clock.now();
-    const usable = version === undefined ? [] : targets.usableEngines(now, version);
+    const usable = version === undefined ? [] : targets.listUsableEngines(now, version);
     const routing = this.describeRouting(command.exclude);
     const choice = this.dependencies.chooseTarget(usable, routing, random);
     if (version === undefined || choice === undefined) {
--- a/packages/track-targets/src/target-table.ts
+++ b/packages/track-targets/src/target-table.ts
@@ -1,4 +1,4 @@
-/** The table of targets. Every method that depends on time takes the present time. */
+/** Table of targets. Methods that depend on time take the present time. */
 import type {
   CacheEvent,
   ListedVm,
@@ -11,24 +11,24 @@
 } from '@limelead/types';
 import { isSameModelVersion } from '@limelead/types';
 import {
-  adoptOpen,
+  breakerAfterPeerOpen,
   CLOSED_BREAKER,
-  noteFailure,
-  noteSuccess,
-  noteTrial,
-  readBreaker,
+  breakerAfterFailure,
+  breakerAfterSuccess,
+  breakerAfterSend,
+  getBreakerState,
   type Breaker,
 } from './breaker.js';
 
-/** Prefixes remembered for one target; the oldest are forgotten first. */
+/** Maximum number of prefixes per target; the least recently added are evicted first. */
 const MAX_KNOWN_PREFIXES = 4096;
-/** A report is believed for this long. */
-const REPORT_MAX_AGE_MS = 10_000;
+/** Maximum age of a report that is used. */
+const MAX_REPORT_AGE_MS = 10_000;
 
-/** Why a target can or can't take new work. */
+/** Whether a target accepts new requests, or why not. */
 export type TargetState = 'usable' | 'leaving' | 'stale' | 'broken';
 
-/** One target as this VM sees it. */
+/** One target as this VM knows it. */
 export interface TrackedTarget {
   id: TargetId;
   role: VmRole;
@@ -39,149 +39,159 @@
   leaving: boolean;
   report?: LoadReport;
   reportAtMs: Millis;
-  /** Times at which this VM sent work that the report can't show yet. */
+  /** Times of requests from this VM that the report can't include yet. */
   sentAtMs: Millis[];
-  /** Requests of this VM that are open there. */
+  /** Open requests of this VM. */
   inFlight: number;
-  /** Input tokens that this VM sent there and that have not led to a first token yet. */
-  prefillPending: number;
-  /** Hashes of prompt prefixes believed to be in the target's cache. */
+  /** Input tokens that this VM sent and that await their first output token. */
+  pendingPrefillTokens: number;
+  /** Hashes of prompt prefixes assumed to be in the target's cache. */
   prefixes: Set<string>;
   cacheSequence: number;
   breaker: Breaker;
 }
 
-/** Limits on how old evidence may be. */
-export interface EvidenceLimits {
-  /** A target takes new work only while the list said so at most this long ago. */
+/** Limits on the age of data. */
+export interface TargetTableOptions {
+  /** Targets accept new requests only while the list is at most this old. */
   maxListAgeMs: number;
 }
 
-/** The table of one VM. */
+/** The targets of one VM. */
 export interface TargetTable {
-  /** Takes the list as read at `readAtMs`; an older list than the known one is ignored. */
+  /** Applies a list unless a newer one is known; returns the targets that changed. */
   applyList(list: VmList, readAtMs: Millis): TargetId[];
-  /** The newest list taken, and when it was read. */
+  /** The newest list, and when it was read. */
   list(): { list: VmList; readAtMs: Millis };
   applyReport(id: TargetId, report: LoadReport, now: Millis): void;
   applyCacheEvents(id: TargetId, events: CacheEvent[]): void;
-  /** The target just processed this prompt, so its prefixes are in its cache. */
-  notePrompt(id: TargetId, prefixHashes: string[]): void;
-  noteSent(id: TargetId, now: Millis): void;
-  noteDone(id: TargetId): void;
-  /** Input that was sent and waits for its first token; negative once it came or was given up. */
-  notePrefill(id: TargetId, tokens: number): void;
-  noteSuccess(id: TargetId): void;
-  /** Says whether the breaker opened by this failure. */
-  noteFailure(id: TargetId, now: Millis): boolean;
+  /** Records that the target processed a prompt, so that its prefixes are in the cache. */
+  recordPrompt(id: TargetId, prefixHashes: string[]): void;
+  recordRequestSent(id: TargetId, now: Millis): void;
+  recordRequestDone(id: TargetId): void;
+  /**
+   * Adds input tokens that await their first output token; negative when it arrived or was given
+   * up.
+   */
+  addPendingPrefill(id: TargetId, tokens: number): void;
+  recordSuccess(id: TargetId): void;
+  /** Returns true if the failure opened the breaker. */
+  recordFailure(id: TargetId, now: Millis): boolean;
   adoptOpenBreaker(id: TargetId, openUntilMs: Millis): boolean;
-  stateOf(target: TrackedTarget, now: Millis): TargetState;
+  getState(target: TrackedTarget, now: Millis): TargetState;
   find(id: TargetId): TrackedTarget | undefined;
   all(): TrackedTarget[];
-  /** Engines that take new work now; with a version, those that have it loaded. */
-  usableEngines(now: Millis, version?: ModelVersion): TrackedTarget[];
-  usablePlain(service: string, now: Millis): TrackedTarget[];
-  /** Says whether any target has the version, also one that takes no new work now. */
+  /** Engines that accept new requests; with a version, only those that have it loaded. */
+  listUsableEngines(now: Millis, version?: ModelVersion): TrackedTarget[];
+  listUsablePlain(service: string, now: Millis): TrackedTarget[];
+  /** Whether any target has the version loaded, even if it accepts no new requests. */
   hasVersion(version: ModelVersion, now: Millis): boolean;
 }
 
 /** Creates an empty table. */
-export default function createTargetTable(limits: EvidenceLimits): TargetTable {
+export default function createTargetTable(options: TargetTableOptions): TargetTable {
   const targets = new Map<TargetId, TrackedTarget>();
-  let newest: VmList = { version: 0, vms: [] };
-  let readAt: Millis = Number.NEGATIVE_INFINITY;
+  let newestList: VmList = { version: 0, vms: [] };
+  let newestReadAtMs: Millis = Number.NEGATIVE_INFINITY;
 
   function applyList(list: VmList, readAtMs: Millis): TargetId[] {
-    if (list.version < newest.version) {
+    if (list.version < newestList.version) {
       return [];
     }
-    const changed = list.version > newest.version ? replaceTargets(targets, list) : [];
-    newest = list;
-    readAt = Math.max(readAt, readAtMs);
+    const changed = list.version > newestList.version ? replaceListedTargets(targets, list) : [];
+    newestList = list;
+    newestReadAtMs = Math.max(newestReadAtMs, readAtMs);
     return changed;
   }
 
-  function stateOf(target: TrackedTarget, now: Millis): TargetState {
+  function getState(target: TrackedTarget, now: Millis): TargetState {
     if (target.leaving) {
       return 'leaving';
     }
-    if (now - readAt > limits.maxListAgeMs) {
+    if (now - newestReadAtMs > options.maxListAgeMs) {
       return 'stale';
     }
-    return readBreaker(target.breaker, now) === 'open' ? 'broken' : 'usable';
+    return getBreakerState(target.breaker, now) === 'open' ? 'broken' : 'usable';
   }
 
-  function usable(role: VmRole, now: Millis): TrackedTarget[] {
+  function listUsable(role: VmRole, now: Millis): TrackedTarget[] {
     return [...targets.values()].filter(
-      (target) => target.role === role && stateOf(target, now) === 'usable',
+      (target) => target.role === role && getState(target, now) === 'usable',
     );
   }
 
-  function change(id: TargetId, apply: (target: TrackedTarget) => void): void {
+  function update(id: TargetId, change: (target: TrackedTarget) => void): void {
     const target = targets.get(id);
     if (target !== undefined) {
-      apply(target);
+      change(target);
     }
   }
 
   return {
     applyList,
-    stateOf,
-    list: () => ({ list: newest, readAtMs: readAt }),
+    getState,
+    list: () => ({ list: newestList, readAtMs: newestReadAtMs }),
     find: (id) => targets.get(id),
     all: () => [...targets.values()],
-    applyReport: (id, report, now) => change(id, (target) => takeReport(target, report, now)),
-    applyCacheEvents: (id, events) => change(id, (target) => takeCacheEvents(target, events)),
-    notePrompt: (id, hashes) => change(id, (target) => rememberPrefixes(target, hashes)),
-    noteSent: (id, now) =>
-      change(id, (target) => {
+    applyReport: (id, report, now) => update(id, (target) => applyLoadReport(target, report, now)),
+    applyCacheEvents: (id, events) => update(id, (target) => applyCacheEventsTo(target, events)),
+    recordPrompt: (id, hashes) => update(id, (target) => addPrefixes(target, hashes)),
+    recordRequestSent: (id, now) =>
+      update(id, (target) => {
         target.inFlight += 1;
-        target.sentAtMs = [...dropOlderThan(target.sentAtMs, now - REPORT_MAX_AGE_MS), now];
-        target.breaker = noteTrial(target.breaker, now);
+        target.sentAtMs = [...dropOlderThan(target.sentAtMs, now - MAX_REPORT_AGE_MS), now];
+        target.breaker = breakerAfterSend(target.breaker, now);
       }),
-    noteDone: (id) => change(id, (target) => void (target.inFlight -= 1)),
-    notePrefill: (id, tokens) => change(id, (target) => void (target.prefillPending += tokens)),
-    noteSuccess: (id) => change(id, (target) => void (target.breaker = noteSuccess())),
-    noteFailure: (id, now) => {
+    recordRequestDone: (id) => update(id, (target) => void (target.inFlight -= 1)),
+    addPendingPrefill: (id, tokens) =>
+      update(id, (target) => void (target.pendingPrefillTokens += tokens)),
+    recordSuccess: (id) => update(id, (target) => void (target.breaker = breakerAfterSuccess())),
+    recordFailure: (id, now) => {
       const before = targets.get(id)?.breaker;
-      change(id, (target) => void (target.breaker = noteFailure(target.breaker, now)));
+      update(id, (target) => void (target.breaker = breakerAfterFailure(target.breaker, now)));
       return before !== undefined && targets.get(id)?.breaker.openUntilMs !== before.openUntilMs;
     },
     adoptOpenBreaker: (id, openUntilMs) => {
       const before = targets.get(id)?.breaker;
-      change(id, (target) => void (target.breaker = adoptOpen(target.breaker, openUntilMs)));
+      update(
+        id,
+        (target) => void (target.breaker = breakerAfterPeerOpen(target.breaker, openUntilMs)),
+      );
       return before !== undefined && targets.get(id)?.breaker !== before;
     },
-    usableEngines: (now, version) =>
-      usable('engine', now).filter(
+    listUsableEngines: (now, version) =>
+      listUsable('engine', now).filter(
         (target) => version === undefined || hasLoaded(target, version, now),
       ),
     hasVersion: (version, now) =>
       [...targets.values()].some((target) => hasLoaded(target, version, now)),
-    usablePlain: (service, now) =>
-      usable('plain', now).filter((target) => target.services.includes(service)),
+    listUsablePlain: (service, now) =>
+      listUsable('plain', now).filter((target) => target.services.includes(service)),
   };
 }
 
-/** Requests that wait or run at the target: its report, and what this VM sent since. */
+/**
+ * Waiting and running requests at the target: those of its report plus those that this VM sent
+ * since.
+ */
 export function estimateLoad(target: TrackedTarget): number {
   const reported = target.report === undefined ? 0 : target.report.running + target.report.waiting;
   return Math.max(reported + target.sentAtMs.length, target.inFlight);
 }
 
 function hasLoaded(target: TrackedTarget, version: ModelVersion, now: Millis): boolean {
-  if (target.report === undefined || now - target.reportAtMs > REPORT_MAX_AGE_MS) {
+  if (target.report === undefined || now - target.reportAtMs > MAX_REPORT_AGE_MS) {
     return false;
   }
   return target.report.loaded.some((loaded) => isSameModelVersion(loaded, version));
 }
 
-function replaceTargets(targets: Map<TargetId, TrackedTarget>, list: VmList): TargetId[] {
+function replaceListedTargets(targets: Map<TargetId, TrackedTarget>, list: VmList): TargetId[] {
   const listed = list.vms.filter((vm) => vm.role !== 'entry');
-  const kept = new Set(listed.map((vm) => vm.id));
+  const listedIds = new Set(listed.map((vm) => vm.id));
   const changed: TargetId[] = [];
   for (const id of [...targets.keys()]) {
-    if (!kept.has(id)) {
+    if (!listedIds.has(id)) {
       targets.delete(id);
       changed.push(id);
     }
@@ -201,9 +211,9 @@
     known.leaving === vm.leaving &&
     known.host === vm.host &&
     known.port === vm.port;
-  const fresh = known ?? createTarget(vm);
-  Object.assign(fresh, vm);
-  targets.set(vm.id, fresh);
+  const target = known ?? createTarget(vm);
+  Object.assign(target, vm);
+  targets.set(vm.id, target);
   return !isSame;
 }
 
@@ -213,14 +223,14 @@
     reportAtMs: Number.NEGATIVE_INFINITY,
     sentAtMs: [],
     inFlight: 0,
-    prefillPending: 0,
+    pendingPrefillTokens: 0,
     prefixes: new Set(),
     cacheSequence: 0,
     breaker: CLOSED_BREAKER,
   };
 }
 
-function takeReport(target: TrackedTarget, report: LoadReport, now: Millis): void {
+function applyLoadReport(target: TrackedTarget, report: LoadReport, now: Millis): void {
   if (target.report !== undefined && report.takenAtMs < target.report.takenAtMs) {
     return;
   }
@@ -229,27 +239,27 @@
   target.sentAtMs = target.sentAtMs.filter((sentAt) => sentAt >= report.takenAtMs);
 }
 
-/** Entries are in order, and mostly none is too old. */
+/** Times are in ascending order. */
 function dropOlderThan(times: Millis[], limit: Millis): Millis[] {
   const firstKept = times.findIndex((time) => time >= limit);
   return firstKept === -1 ? [] : times.slice(firstKept);
 }
 
-function takeCacheEvents(target: TrackedTarget, events: CacheEvent[]): void {
+function applyCacheEventsTo(target: TrackedTarget, events: CacheEvent[]): void {
   for (const event of events) {
     if (event.sequence <= target.cacheSequence) {
       continue;
     }
     target.cacheSequence = event.sequence;
     if (event.change === 'stored') {
-      rememberPrefixes(target, [event.prefixHash]);
+      addPrefixes(target, [event.prefixHash]);
     } else {
       target.prefixes.delete(event.prefixHash);
     }
   }
 }
 
-function rememberPrefixes(target: TrackedTarget, hashes: string[]): void {
+function addPrefixes(target: TrackedTarget, hashes: string[]): void {
   for (const hash of hashes) {
     target.prefixes.delete(hash);
     target.prefixes.add(hash);
