--- a/packages/choose-service-target/src/index.test.ts
+++ b/packages/choose-service-target/src/index.test.ts
@@ -8,10 +8,10 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
-  chooseCopyKeeper,
+  chooseReplicaTarget,
   chooseServiceTarget,
   listLikelyTargets,
-  type ServiceChoiceRequest,
+  type ServiceTargetCriteria,
 } from './index.js';
 
 function track(
@@ -42,14 +42,14 @@
   };
 }
 
-function createRequest(overrides: Partial<ServiceChoiceRequest> = {}): ServiceChoiceRequest {
+function createRequest(overrides: Partial<ServiceTargetCriteria> = {}): ServiceTargetCriteria {
   return {
     affinityKey: 'session',
     failureDomain: 'north',
     locality: createLocality({ failureDomain: 'north', regionOf: {} }),
     exclude: new Set(),
     limit: ({ target }) => target.slots,
-    isDomainDoubtful: () => false,
+    isDomainSuspected: () => false,
     now: 1_000,
     ...overrides,
   };
@@ -57,14 +57,14 @@
 
 const lost = applyObservation(INITIAL_HEALTH, { kind: 'lost' }, 900);
 
-test('the own failure domain goes first, until it is clearly busier', () => {
+test('the own failure domain is preferred until it is clearly busier', () => {
   const idle = [track('a', 'north'), track('b', 'south')];
   assert.is(chooseServiceTarget(idle, createRequest())?.target.id, 'a');
   const busy = [track('a', 'north', { inFlight: 3 }), track('b', 'south')];
   assert.is(chooseServiceTarget(busy, createRequest())?.target.id, 'b');
 });
 
-test('a target that reads a prompt waits its turn behind one that only writes', () => {
+test('a target that is reading a prompt ranks after one that only generates', () => {
   const reading = track('a', 'north', { inFlight: 1, reading: 1 });
   const writing = track('b', 'north', { inFlight: 1 });
   const choose = (targets: TrackedServiceTarget[]) =>
@@ -74,7 +74,7 @@
   assert.is(choose([track('a', 'north', { peerRequests: 1, peerReading: 1 }), busy]), 'a');
 });
 
-test('one session meets the same target from every VM, and sessions are spread', () => {
+test('a session gets the same target from every VM, and sessions are spread over targets', () => {
   const targets = ['a', 'b', 'c', 'd'].map((id) => track(id, 'north'));
   const choose = (affinityKey: string, list: TrackedServiceTarget[]) =>
     chooseServiceTarget(list, createRequest({ affinityKey }))?.target.id;
@@ -87,7 +87,7 @@
   assert.ok(Math.min(...counts.values()) > 60);
 });
 
-test('suspected, doubted and already tried targets come last, but are better than nothing', () => {
+test('suspected and already tried targets are chosen only as the last resort', () => {
   const near = track('a', 'north', { health: lost });
   const far = track('b', 'south');
   assert.is(chooseServiceTarget([near, far], createRequest())?.target.id, 'b');
@@ -96,10 +96,13 @@
   assert.is(chooseServiceTarget([near, far], createRequest({ exclude }))?.target.id, 'a');
   const isDomainDoubtful = (domain: string): boolean => domain === 'north';
   const fresh = [track('a', 'north'), far];
-  assert.is(chooseServiceTarget(fresh, createRequest({ isDomainDoubtful }))?.target.id, 'b');
+  assert.is(
+    chooseServiceTarget(fresh, createRequest({ isDomainSuspected: isDomainDoubtful }))?.target.id,
+    'b',
+  );
 });
 
-test('a slow target is taken only where the others have far more work', () => {
+test('a slow target is chosen only if the others have far more load', () => {
   const slow = applyObservation(INITIAL_HEALTH, { kind: 'paced', slowness: 3 }, 1_000);
   const busy = [track('a', 'north', { health: slow }), track('b', 'south', { inFlight: 3 })];
   assert.is(chooseServiceTarget(busy, createRequest())?.target.id, 'b');
@@ -107,29 +110,31 @@
   assert.is(chooseServiceTarget(full, createRequest())?.target.id, 'a');
 });
 
-test('a full target is not taken', () => {
+test('a full target is not chosen', () => {
   const full = track('a', 'north', { inFlight: 4 });
   assert.is(chooseServiceTarget([full], createRequest()), undefined);
-  const evidence = { ...INITIAL_HEALTH, fullUntilMs: 1_001 };
+  const health = { ...INITIAL_HEALTH, fullUntilMs: 1_001 };
   assert.is(
-    chooseServiceTarget([track('a', 'north', { health: evidence })], createRequest()),
+    chooseServiceTarget([track('a', 'north', { health: health })], createRequest()),
     undefined,
   );
 });
 
-test('a copy is kept in another failure domain, and copies are spread', () => {
+test('a replica is kept in another failure domain, and replicas are spread over targets', () => {
   const running = track('a', 'north');
   const targets = [running, track('b', 'north'), track('c', 'south'), track('d', 'south')];
-  const keep = (affinityKey: string, list = targets) =>
-    chooseCopyKeeper(list, { affinityKey, running, isDomainDoubtful: () => false, now: 1_000 })
+  const chooseReplica = (affinityKey: string, list = targets) =>
+    chooseReplicaTarget(list, { affinityKey, running, isDomainSuspected: () => false, now: 1_000 })
       ?.target.id;
-  const keepers = new Set(Array.from({ length: 40 }, (_, index) => keep(`s${index}`)));
-  assert.equal([...keepers].sort(), ['c', 'd']);
-  assert.is(keep('s', [running, track('b', 'north')]), 'b');
-  assert.is(keep('s', [running]), undefined);
+  const replicaTargets = new Set(
+    Array.from({ length: 40 }, (_, index) => chooseReplica(`s${index}`)),
+  );
+  assert.equal([...replicaTargets].sort(), ['c', 'd']);
+  assert.is(chooseReplica('s', [running, track('b', 'north')]), 'b');
+  assert.is(chooseReplica('s', [running]), undefined);
 });
 
-test('of a large fleet a few targets are likely for a session, its first choices everywhere', () => {
+test('the likely targets of a session in a large fleet are its first choices in each failure domain', () => {
   const domains = ['a', 'b', 'c', 'd', 'e'];
   const targets = Array.from({ length: 196 }, (_, index) =>
     track(`t${index}`, domains[index % domains.length] ?? 'a'),
@@ -150,7 +155,7 @@
 const REGION_OF = { north: 'inland', hills: 'inland', south: 'coast', islands: 'coast' };
 const inRegions = createLocality({ failureDomain: 'north', regionOf: REGION_OF });
 
-test('a region keeps its work until it is three requests behind another', () => {
+test('a region keeps its requests until it has three more per target than another', () => {
   const choose = (busy: number): string | undefined => {
     const targets = [
       track('own', 'north', { inFlight: busy }),
@@ -163,7 +168,7 @@
   assert.is(choose(3), 'far');
 });
 
-test('a region whose targets are lost is served by another, whatever it costs', () => {
+test('a region whose targets are lost is served by another region', () => {
   const targets = [track('own', 'north', { health: lost }), track('far', 'south')];
   assert.is(chooseServiceTarget(targets, createRequest({ locality: inRegions }))?.target.id, 'far');
 });
--- a/packages/choose-target/src/index.test.ts
+++ b/packages/choose-target/src/index.test.ts
@@ -4,9 +4,9 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import chooseTarget, { estimateCost, type RoutingRequest } from './index.js';
+import chooseTarget, { estimateCost, type RoutingCriteria } from './index.js';
 
-const request: RoutingRequest = {
+const request: RoutingCriteria = {
   prefixHashes: [],
   inputTokens: 100,
   failureDomain: 'suwon',
@@ -49,14 +49,14 @@
   return table.all();
 }
 
-test('no target is taken that is excluded, and none is an answer too', () => {
+test('an excluded target is not chosen, and none is chosen if all are excluded', () => {
   const targets = createTargets([0, 5]);
   const choice = chooseTarget(targets, { ...request, exclude: ['e0'] }, seeded(1));
   assert.is(choice?.target.id, 'e1');
   assert.is(chooseTarget(targets, { ...request, exclude: ['e0', 'e1'] }, seeded(1)), undefined);
 });
 
-test('a target that has the prompt in its cache wins until it is busy', () => {
+test('a target that has the prompt cached is preferred until it is busy', () => {
   const targets = createTargets([0, 0, 0, 0]);
   const cached = targets[3];
   cached?.prefixes.add('p2');
@@ -68,7 +68,7 @@
   assert.is.not(chooseTarget(targets, long, seeded(1))?.target.id, 'e3');
 });
 
-test('a target that does not answer its polls is taken only if the others are worse', () => {
+test('a target with an overdue report is chosen only if the others are worse', () => {
   const targets = createTargets([0, 3]);
   const [silent] = targets;
   assert.ok(silent);
@@ -76,7 +76,7 @@
   assert.is(chooseTarget(targets, request, seeded(1))?.target.id, 'e1');
 });
 
-test('what this VM sent since the report counts on top of it', () => {
+test('requests sent since the report add to the load', () => {
   const targets = createTargets([2, 3]);
   const [first, second] = targets;
   if (first === undefined || second === undefined) {
@@ -87,7 +87,7 @@
   assert.ok(estimateCost(first, request).costMs > estimateCost(second, request).costMs);
 });
 
-test('seven VMs with the same report do not herd onto the target that looks idle', () => {
+test('VMs with the same report do not all choose the target that looks idle', () => {
   const loads = [0, ...Array.from({ length: 16 }, () => 4)];
   const taken = new Map<string, number>();
   for (let vm = 0; vm < 7; vm += 1) {
@@ -99,7 +99,7 @@
       taken.set(target?.id ?? '', (taken.get(target?.id ?? '') ?? 0) + 1);
     }
   }
-  // The naive choice, the least loaded by report, sends all 70 there.
+  // Choosing the least loaded target by report would send all 70 there.
   assert.ok((taken.get('e0') ?? 0) <= 20, `e0 got ${taken.get('e0')} of 70`);
 });
 
--- a/packages/choose-target/src/index.ts
+++ b/packages/choose-target/src/index.ts
@@ -1,96 +1,101 @@
-/** Pure routing decision: ranks the usable targets for a request and takes one. */
+/** Routing of generations: estimates the cost of targets for a request and chooses one. */
 import { estimateLoad, type TrackedTarget } from '@limelead/track-targets';
 import type { Millis, ObservedCandidate, Random, TargetId } from '@limelead/types';
 
-/** Targets drawn at random, besides the one with most of the prompt cached. */
+/** Number of targets drawn at random, besides the one with most of the prompt cached. */
 const DEFAULT_SAMPLE_SIZE = 2;
-/** Candidates that are told to those who watch. */
-const MAX_OBSERVED = 4;
-/** A target whose report is older than this does not answer its polls. */
-const REPORT_EXPECTED_MS = 1_000;
+/** Maximum number of candidates that a choice reports. */
+const MAX_OBSERVED_CANDIDATES = 4;
+/** Load reports older than this add to the cost of their target. */
+const REPORT_GRACE_MS = 1_000;
 const DEFAULT_SLOTS = 8;
-const DEFAULT_GAP_MS = 30;
+const DEFAULT_TOKEN_GAP_MS = 30;
 const DEFAULT_PREFILL_TOKENS_PER_SECOND = 2_000;
-/** Milliseconds added for a target in another failure domain, there and back. */
+/** Round trip to another failure domain, in milliseconds. */
 const OTHER_DOMAIN_COST_MS = 2;
 
-/** What a target is chosen for. */
-export interface RoutingRequest {
+/** Criteria for the target of a request. */
+export interface RoutingCriteria {
   /** Hashes of the prompt's prefixes, shortest first. */
   prefixHashes: string[];
-  /** Tokens to process before the first new one: prompt and forced prefix. */
+  /** Tokens to process before the first output token: prompt and forced prefix. */
   inputTokens: number;
   /** Failure domain of this VM. */
   failureDomain: string;
   exclude: TargetId[];
-  /** Tokens that an answer has on average, as this VM saw lately. */
+  /** Mean number of tokens in recent answers. */
   meanAnswerTokens: number;
   now: Millis;
 }
 
-/** The target taken and what it was compared with. */
+/** The chosen target and the candidates considered. */
 export interface RoutingChoice {
   target: TrackedTarget;
   considered: ObservedCandidate[];
 }
 
-/** Takes one of the targets, or none where none is allowed. */
+/** Chooses a target; returns undefined if none is allowed. */
 export type ChooseTarget = (
   targets: TrackedTarget[],
-  request: RoutingRequest,
+  criteria: RoutingCriteria,
   random: Random,
 ) => RoutingChoice | undefined;
 
 /**
- * Creates a router that draws some targets, adds the one with most of the
- * prompt cached, and takes the one with the least expected time to the next
- * token. Drawing keeps VMs with the same lagging reports from all taking the
- * target that last looked idle; what this VM sent since counts on top.
+ * Creates a chooser that draws random targets, adds the one with most of the prompt cached, and
+ * chooses the one with the least expected time to the first output token. The random draw keeps VMs
+ * with the same outdated reports from all choosing the target that looks idle.
  */
 export function createTargetChooser(sampleSize: number): ChooseTarget {
-  return (targets, request, random) => {
-    const allowed = targets.filter((target) => !request.exclude.includes(target.id));
-    const ranked = drawCandidates(allowed, request, sampleSize, random)
-      .map((target) => ({ target, ...estimateCost(target, request) }))
+  return (targets, criteria, random) => {
+    const allowed = targets.filter((target) => !criteria.exclude.includes(target.id));
+    const ranked = drawCandidates(allowed, criteria, sampleSize, random)
+      .map((target) => ({ target, ...estimateCost(target, criteria) }))
       .sort((a, b) => a.costMs - b.costMs);
     const best = ranked[0];
     if (best === undefined) {
       return undefined;
     }
     const considered = ranked
-      .slice(0, MAX_OBSERVED)
+      .slice(0, MAX_OBSERVED_CANDIDATES)
       .map(({ target, costMs, cachedShare }) => ({ target: target.id, costMs, cachedShare }));
     return { target: best.target, considered };
   };
 }
 
-/** The router with the sample size that was measured to be best. */
+/** Chooser with the default sample size. */
 const chooseTarget = createTargetChooser(DEFAULT_SAMPLE_SIZE);
 
 export default chooseTarget;
 
-/** Expected milliseconds until the first new token, and the share of the prompt in the cache. */
+/**
+ * Expected time to the first output token, in milliseconds, and the share of the prompt in the
+ * cache.
+ */
 export function estimateCost(
   target: TrackedTarget,
-  request: RoutingRequest,
+  criteria: RoutingCriteria,
 ): { costMs: number; cachedShare: number } {
-  const cachedShare = estimateCachedShare(target, request.prefixHashes);
+  const cachedShare = estimateCachedShare(target, criteria.prefixHashes);
   const rate = target.report?.prefillTokensPerSecond ?? DEFAULT_PREFILL_TOKENS_PER_SECOND;
   const prefillMs =
-    ((target.pendingPrefillTokens + request.inputTokens * (1 - cachedShare)) * 1000) / rate;
-  const domainMs = target.failureDomain === request.failureDomain ? 0 : OTHER_DOMAIN_COST_MS;
+    ((target.pendingPrefillTokens + criteria.inputTokens * (1 - cachedShare)) * 1000) / rate;
+  const domainMs = target.failureDomain === criteria.failureDomain ? 0 : OTHER_DOMAIN_COST_MS;
   const costMs =
-    estimateQueueMs(target, request.meanAnswerTokens) +
+    estimateQueueMs(target, criteria.meanAnswerTokens) +
     prefillMs +
     domainMs +
-    estimateDoubtMs(target, request.now);
+    estimateStalenessMs(target, criteria.now);
   return { costMs, cachedShare };
 }
 
-/** Milliseconds until a slot is free, and the share of a step that the batch adds. */
+/**
+ * Expected time until a slot is free, plus the share of a step that the batch adds, in
+ * milliseconds.
+ */
 export function estimateQueueMs(target: TrackedTarget, meanAnswerTokens: number): number {
   const slots = Math.max(1, target.report?.slots ?? DEFAULT_SLOTS);
-  const gapMs = target.report?.tokenGapMs ?? DEFAULT_GAP_MS;
+  const gapMs = target.report?.tokenGapMs ?? DEFAULT_TOKEN_GAP_MS;
   const load = estimateLoad(target);
   const ahead = Math.max(0, load + 1 - slots);
   const waitMs = (ahead * meanAnswerTokens * gapMs) / slots;
@@ -98,12 +103,12 @@
   return waitMs + batchMs;
 }
 
-/** A target that lately did not answer its polls may be paused or cut off. */
-function estimateDoubtMs(target: TrackedTarget, now: Millis): number {
+/** Time by which the target's report is overdue; the target may be paused or disconnected. */
+function estimateStalenessMs(target: TrackedTarget, now: Millis): number {
   if (target.report === undefined) {
     return 0;
   }
-  return Math.max(0, now - target.reportAtMs - REPORT_EXPECTED_MS);
+  return Math.max(0, now - target.reportAtMs - REPORT_GRACE_MS);
 }
 
 function estimateCachedShare(target: TrackedTarget, prefixHashes: string[]): number {
@@ -116,7 +121,7 @@
 
 function drawCandidates(
   targets: TrackedTarget[],
-  request: RoutingRequest,
+  criteria: RoutingCriteria,
   sampleSize: number,
   random: Random,
 ): TrackedTarget[] {
@@ -128,7 +133,7 @@
       drawn.add(target);
     }
   }
-  const cached = findBestCached(targets, request.prefixHashes);
+  const cached = findBestCached(targets, criteria.prefixHashes);
   if (cached !== undefined) {
     drawn.add(cached);
   }
--- a/packages/forward-request/src/run-copies.ts
+++ b/packages/forward-request/src/run-copies.ts
@@ -1,5 +1,8 @@
 /** Where copies of a run's memory are kept, and which of them a broken run goes on from. */
-import { chooseCopyKeeper, KEEPER_DOUBT_MS } from '@limelead/choose-service-target';
+import {
+  chooseReplicaTarget,
+  REPLICA_DOMAIN_LOSS_WINDOW_MS,
+} from '@limelead/choose-service-target';
 import type { ServiceTarget } from '@limelead/types';
 import type { AdmittedRequest } from './admitted-request.js';
 import type { ForwardContext } from './context.js';
@@ -49,10 +52,11 @@
     if (advised !== undefined) {
       return advised;
     }
-    return chooseCopyKeeper(gate.listAdvisable(service, directory.listUsable(service)), {
+    return chooseReplicaTarget(gate.listAdvisable(service, directory.listUsable(service)), {
       affinityKey: request.affinityKey,
       running: slot.tracked,
-      isDomainDoubtful: (domain) => directory.isDomainSuspected(service, domain, KEEPER_DOUBT_MS),
+      isDomainSuspected: (domain) =>
+        directory.isDomainSuspected(service, domain, REPLICA_DOMAIN_LOSS_WINDOW_MS),
       now: clock.now(),
     })?.target;
   }
--- a/packages/forward-request/src/slot-queue.ts
+++ b/packages/forward-request/src/slot-queue.ts
@@ -2,7 +2,7 @@
  * Requests that wait for a target with a free slot. The most urgent are served
  * first, then those whose time ends first.
  */
-import { chooseServiceTarget, type ServiceChoiceRequest } from '@limelead/choose-service-target';
+import { chooseServiceTarget, type ServiceTargetCriteria } from '@limelead/choose-service-target';
 import type { Locality } from '@limelead/locality';
 import { isSuspected, type TrackedServiceTarget } from '@limelead/track-service-targets';
 import type { CancelTimer, PermitRefusal, Timers, Want } from '@limelead/types';
@@ -129,13 +129,13 @@
 
   private tryAcquire(request: SlotRequest): Slot | undefined {
     const { directory, clock, failureDomain, locality, gate } = this.options;
-    const choice: ServiceChoiceRequest = {
+    const choice: ServiceTargetCriteria = {
       affinityKey: request.affinityKey,
       failureDomain,
       locality,
       exclude: request.exclude,
       limit: (tracked) => this.availability.slotsAt(tracked),
-      isDomainDoubtful: (domain) => directory.isDomainSuspected(request.service, domain),
+      isDomainSuspected: (domain) => directory.isDomainSuspected(request.service, domain),
       now: clock.now(),
     };
     const all = this.availability.listPermitted(request);
@@ -191,7 +191,7 @@
 /** Those of the targets that are up which have the fewest requests of all VMs. */
 function keepLeastBusy(
   targets: TrackedServiceTarget[],
-  { now, exclude }: ServiceChoiceRequest,
+  { now, exclude }: ServiceTargetCriteria,
 ): TrackedServiceTarget[] {
   const up = targets.filter(
     ({ target, health }) => !exclude.has(target.id) && !isSuspected(health, now),
--- a/packages/gateway/src/target-scheduler.ts
+++ b/packages/gateway/src/target-scheduler.ts
@@ -3,9 +3,9 @@
  * the load of all others, and counts what it advised until they tell of it.
  */
 import {
-  chooseCopyKeeper,
+  chooseReplicaTarget,
   chooseServiceTarget,
-  KEEPER_DOUBT_MS,
+  REPLICA_DOMAIN_LOSS_WINDOW_MS,
 } from '@limelead/choose-service-target';
 import type { Locality } from '@limelead/locality';
 import type { SendPermits, TargetGate } from '@limelead/forward-request';
@@ -46,7 +46,7 @@
       locality,
       exclude: new Set(question.exclude),
       limit: ({ target, peerRequests }) => target.slots - peerRequests,
-      isDomainDoubtful: (domain) => directory.isDomainSuspected(service, domain),
+      isDomainSuspected: (domain) => directory.isDomainSuspected(service, domain),
       now,
     });
     if (chosen === undefined) {
@@ -80,10 +80,11 @@
     { service, affinityKey }: TargetQuestion,
   ): string | undefined {
     const { clock, directory } = this.options;
-    return chooseCopyKeeper(this.listAdvisable(service), {
+    return chooseReplicaTarget(this.listAdvisable(service), {
       affinityKey,
       running,
-      isDomainDoubtful: (domain) => directory.isDomainSuspected(service, domain, KEEPER_DOUBT_MS),
+      isDomainSuspected: (domain) =>
+        directory.isDomainSuspected(service, domain, REPLICA_DOMAIN_LOSS_WINDOW_MS),
       now: clock.now(),
     })?.target.id;
   }
--- a/packages/run-generation/src/generation.ts
+++ b/packages/run-generation/src/generation.ts
@@ -1,5 +1,5 @@
 /** One running generation: feeds events to the session and carries out its commands. */
-import { estimateCost, type RoutingRequest } from '@limelead/choose-target';
+import { estimateCost, type RoutingCriteria } from '@limelead/choose-target';
 import { LimeleadError, type ErrorKind } from '@limelead/errors';
 import advanceSession, {
   createSession,
@@ -202,7 +202,7 @@
     this.mailbox.post({ kind: 'target-chosen', attempt, targetId: target.id, binding });
   }
 
-  private describeRouting(exclude: string[]): RoutingRequest {
+  private describeRouting(exclude: string[]): RoutingCriteria {
     const promptTokens = Math.ceil(this.request.prompt.length / CHARACTERS_PER_TOKEN);
     return {
       prefixHashes: this.prefixHashes,
