--- a/packages/apply-placement-plan/src/placement-doer.ts
+++ b/packages/apply-placement-plan/src/placement-doer.ts
@@ -18,7 +18,7 @@
 import type { EventBus } from '@limelead/observe-events';
 import type { KeyValueStore, ModelEngine } from '@limelead/ports';
 import {
-  describeModelVersion,
+  formatModelVersion,
   isSameModelVersion,
   type Clock,
   type Millis,
@@ -146,7 +146,7 @@
   }
 
   function noteUnwanted(unwanted: ModelVersion[]): void {
-    const names = new Set(unwanted.map(describeModelVersion));
+    const names = new Set(unwanted.map(formatModelVersion));
     for (const name of unwantedSince.keys()) {
       if (!names.has(name)) {
         unwantedSince.delete(name);
@@ -175,7 +175,7 @@
     bus.publish('', () => ({
       kind: 'orderGiven',
       target: targetId,
-      order: `${action} ${describeModelVersion(modelVersion)}`,
+      order: `${action} ${formatModelVersion(modelVersion)}`,
       fence: token,
       outcome: result,
     }));
--- a/packages/assemble-placement-plan/src/index.ts
+++ b/packages/assemble-placement-plan/src/index.ts
@@ -1,6 +1,6 @@
 /** Pure decision: which targets load or unload which model versions. */
 import {
-  describeModelVersion,
+  formatModelVersion,
   isSameModelVersion,
   type Millis,
   type ModelVersion,
@@ -68,7 +68,7 @@
   const seen = new Map<string, ModelVersion>();
   for (const version of situation.targets.flatMap(({ loaded }) => loaded)) {
     if (!isWanted(situation, version)) {
-      seen.set(describeModelVersion(version), version);
+      seen.set(formatModelVersion(version), version);
     }
   }
   return [...seen.values()];
@@ -123,7 +123,7 @@
   const { now, limits, unwantedSince } = situation;
   return findUnwanted(situation)
     .filter((version) => {
-      const since = unwantedSince.get(describeModelVersion(version));
+      const since = unwantedSince.get(formatModelVersion(version));
       return since !== undefined && now - since >= limits.retainMs;
     })
     .flatMap((version) =>
--- a/packages/configuration-state/src/configuration.ts
+++ b/packages/configuration-state/src/configuration.ts
@@ -1,6 +1,6 @@
 /** The configuration in force, as an index of resources. */
 import {
-  nameOfResource,
+  getResourceName,
   type Change,
   type ResourceKind,
   type ResourceName,
@@ -40,7 +40,7 @@
   removals: readonly Removal[],
 ): Configuration {
   const entries = resources.map(
-    (versioned) => [keyOf(nameOfResource(versioned.resource)), versioned] as const,
+    (versioned) => [keyOf(getResourceName(versioned.resource)), versioned] as const,
   );
   const removed = removals.map((removal) => [keyOf(removal.name), removal] as const);
   return { revision, resources: new Map(entries), removals: new Map(removed) };
@@ -104,7 +104,7 @@
 
 /** Names the resource that an operation touches. */
 export function nameOfOperation(operation: Change['operations'][number]): ResourceName {
-  return 'put' in operation ? nameOfResource(operation.put) : operation.delete;
+  return 'put' in operation ? getResourceName(operation.put) : operation.delete;
 }
 
 function applyOperations(
--- a/packages/forward-request/src/context.ts
+++ b/packages/forward-request/src/context.ts
@@ -7,7 +7,7 @@
 import type { RetrySpender } from '@limelead/spend-retries';
 import type { TargetConnections } from '@limelead/target-connections';
 import type { TargetDirectory } from '@limelead/track-service-targets';
-import type { AskTarget, Clock, Millis, Timers } from '@limelead/types';
+import type { RequestTargetAdvice, Clock, Millis, Timers } from '@limelead/types';
 import type { TargetDialect } from './dialect.js';
 import type KeptPrompts from './kept-prompts.js';
 import type SlotQueue from './slot-queue.js';
@@ -35,7 +35,7 @@
   permits: SendPermits;
   backpressure: TargetBackpressure;
   /** Asks the scheduler of a large fleet where a stream should go. */
-  askTarget: AskTarget;
+  askTarget: RequestTargetAdvice;
   silence: SilenceWatch;
   kept: KeptPrompts;
   reading: ReadingTime;
--- a/packages/forward-request/src/forward-stream.test.ts
+++ b/packages/forward-request/src/forward-stream.test.ts
@@ -1,4 +1,4 @@
-import type { AskTarget } from '@limelead/types';
+import type { RequestTargetAdvice } from '@limelead/types';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import forwardStream from './forward-stream.js';
@@ -242,7 +242,7 @@
 });
 
 /** A scheduler that always advises the same target. */
-function advise(target: string, copyTo?: string): AskTarget {
+function advise(target: string, copyTo?: string): RequestTargetAdvice {
   return (_, receive) => {
     receive({ outcome: 'advised', target, copyTo, scheduler: 'vm', afterMs: 1 });
     return () => undefined;
--- a/packages/forward-request/src/forwarding.fixture.ts
+++ b/packages/forward-request/src/forwarding.fixture.ts
@@ -10,10 +10,10 @@
 import { Backpressure, readDirectives } from '@limelead/track-backpressure';
 import { TargetDirectory } from '@limelead/track-service-targets';
 import {
-  askNobody,
+  noTargetAdvice,
   systemRandom,
   systemTimers,
-  type AskTarget,
+  type RequestTargetAdvice,
   type IncomingRequest,
   type ServiceTarget,
   type ServingRoute,
@@ -193,7 +193,7 @@
   readonly context: ForwardContext;
   private readonly backpressure: Backpressure;
   /** What a scheduler would say; by default there is none. */
-  askTarget: AskTarget = askNobody;
+  askTarget: RequestTargetAdvice = noTargetAdvice;
   private readonly servers: Server[] = [];
   private readonly behaviours = new Map<string, Behaviour>();
   private readonly spender = new RetrySpender({ ratio: 1, slack: 100, windowMs: 10_000 });
--- a/packages/forward-request/src/send-permits.ts
+++ b/packages/forward-request/src/send-permits.ts
@@ -1,10 +1,10 @@
 /** Permits to send to targets that name the requests a second that they take from all VMs together. */
-import type { Millis, AdvertisedLimit, WaitingRequests } from '@limelead/types';
+import type { Millis, AdvertisedLimit, WaitingRequestQueue } from '@limelead/types';
 
 /** Is asked on the path of requests, so it may not take long. */
 export interface SendPermits {
   /** Requests that wait are asked about, and told what became of it. */
-  attach(waiting: WaitingRequests): void;
+  attach(waiting: WaitingRequestQueue): void;
   /** Whether any target names a limit; while none does, every request may go anywhere. */
   readonly isLimiting: boolean;
   /**
--- a/packages/forward-request/src/silence-watch.ts
+++ b/packages/forward-request/src/silence-watch.ts
@@ -133,7 +133,7 @@
 
   private async ask(target: ServiceTarget): Promise<void> {
     const { clock, connections, dialect, timers } = this.options;
-    this.asked.note(target.id, clock.now());
+    this.asked.record(target.id, clock.now());
     const options = { connections, timers, timeoutMs: PROBE_TIMEOUT_MS };
     const body = await askTarget(options, target, dialect.composeProbe(target));
     if (body === undefined) {
--- a/packages/forward-request/src/slot-queue.test.ts
+++ b/packages/forward-request/src/slot-queue.test.ts
@@ -1,7 +1,7 @@
 import { createLocality } from '@limelead/locality';
 import type { HeldRequest } from '@limelead/track-backpressure';
 import { TargetDirectory } from '@limelead/track-service-targets';
-import type { ServiceTarget, WaitingRequests } from '@limelead/types';
+import type { ServiceTarget, WaitingRequestQueue } from '@limelead/types';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { SlotRefusal } from './slot-refusal.js';
@@ -174,9 +174,9 @@
 });
 
 test('no permit is asked for while its target cools down', () => {
-  let waiting: WaitingRequests | undefined;
+  let waiting: WaitingRequestQueue | undefined;
   const cooling = new Map([['v1-0', 5_000]]);
-  const attach = (attached: WaitingRequests): void => void (waiting = attached);
+  const attach = (attached: WaitingRequestQueue): void => void (waiting = attached);
   create({}, { attach }, { coolingUntilMs: (id) => cooling.get(id) });
   assert.equal([waiting?.isAvoided('v1-0'), waiting?.isAvoided('v2-0')], [true, false]);
 });
--- a/packages/forward-request/src/slot-queue.ts
+++ b/packages/forward-request/src/slot-queue.ts
@@ -5,7 +5,7 @@
 import { chooseServiceTarget, type ServiceTargetCriteria } from '@limelead/choose-service-target';
 import type { Locality } from '@limelead/locality';
 import { isSuspected, type TrackedServiceTarget } from '@limelead/track-service-targets';
-import type { CancelTimer, PermitRefusal, Timers, Want } from '@limelead/types';
+import type { CancelTimer, PermitRefusal, Timers, WaitingRequest } from '@limelead/types';
 import type { SlotRefusal } from './slot-refusal.js';
 import type { Slot, SlotRequest } from './slot-request.js';
 import TargetAvailability, { type TargetAvailabilityOptions } from './target-availability.js';
@@ -104,7 +104,7 @@
   }
 
   /** Those that may take a permit, in the order in which they are served. */
-  private listWaiting(service: string): Want[] {
+  private listWaiting(service: string): WaitingRequest[] {
     return this.waiters
       .filter(({ request }) => request.service === service && request.isExtra !== true)
       .map(({ id, request }) => ({ id, rank: request.rank, untilMs: request.untilMs }));
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -31,7 +31,7 @@
   type TrackedServiceTarget,
 } from '@limelead/track-service-targets';
 import type { Backpressure } from '@limelead/track-backpressure';
-import { askNobody, delay, steadyClock, systemRandom, systemTimers } from '@limelead/types';
+import { noTargetAdvice, delay, steadyClock, systemRandom, systemTimers } from '@limelead/types';
 import type { IncomingMessage, Server } from 'node:http';
 import createBackpressure from './create-backpressure.js';
 import createExchange from './create-exchange.js';
@@ -336,7 +336,7 @@
       dialect,
       slots: new SlotQueue({ ...shared, failureDomain, locality, limit: limitOf, permits }),
       askTarget: (request, receive) =>
-        this.exchange?.askTarget(request, receive) ?? askNobody(request, receive),
+        this.exchange?.askTarget(request, receive) ?? noTargetAdvice(request, receive),
       silence: new SilenceWatch({ ...shared, connections, dialect, log }),
       reading: new ReadingTime(),
       pace: this.pace,
--- a/packages/http-front-door/src/http-front-door.test.ts
+++ b/packages/http-front-door/src/http-front-door.test.ts
@@ -19,7 +19,7 @@
 import { TargetConnections } from '@limelead/target-connections';
 import { TargetDirectory } from '@limelead/track-service-targets';
 import {
-  askNobody,
+  noTargetAdvice,
   NO_DIRECTIVES,
   systemRandom,
   systemTimers,
@@ -206,7 +206,7 @@
       failureDomain: 'north',
       connections,
       dialect: targets,
-      askTarget: askNobody,
+      askTarget: noTargetAdvice,
       slots: new SlotQueue({
         ...{ ...shared, failureDomain: 'north', locality },
         limit: () => 4,
--- a/packages/measure/src/experiments/front-door.ts
+++ b/packages/measure/src/experiments/front-door.ts
@@ -22,7 +22,7 @@
 import { TargetConnections } from '@limelead/target-connections';
 import { TargetDirectory } from '@limelead/track-service-targets';
 import {
-  askNobody,
+  noTargetAdvice,
   NO_DIRECTIVES,
   systemRandom,
   systemTimers,
@@ -169,7 +169,7 @@
     locality,
     connections,
     dialect,
-    askTarget: askNobody,
+    askTarget: noTargetAdvice,
     slots: new SlotQueue({
       ...{ ...shared, failureDomain: 'd1', locality },
       limit: () => 1_000,
--- a/packages/order-capacity/src/service-plan.ts
+++ b/packages/order-capacity/src/service-plan.ts
@@ -10,7 +10,7 @@
   type FallState,
   type TargetCounts,
 } from '@limelead/plan-capacity';
-import type { EngineTraits, Millis, ServiceScaling } from '@limelead/types';
+import type { EngineCapabilities, Millis, ServiceScaling } from '@limelead/types';
 import { LOAD_SECONDS, type KnownDemand } from './demand-book.js';
 import type { DomainView } from './domain-view.js';
 import type { CapacitySettings } from './settings.js';
@@ -36,7 +36,7 @@
 export interface ServiceFacts {
   now: Millis;
   scaling: ServiceScaling;
-  engine: EngineTraits;
+  engine: EngineCapabilities;
   demand: KnownDemand | undefined;
   views: ReadonlyMap<string, DomainView>;
   isDry(failureDomain: string): boolean;
--- a/packages/permit-sends/src/fleet.fixture.ts
+++ b/packages/permit-sends/src/fleet.fixture.ts
@@ -1,5 +1,5 @@
 /** Simulates a fleet of VMs and rate-limited targets on a virtual clock. */
-import type { PermitRefusal, AdvertisedLimit, WaitingRequests } from '@limelead/types';
+import type { PermitRefusal, AdvertisedLimit, WaitingRequestQueue } from '@limelead/types';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { PermitMessage } from './permit-messages.js';
@@ -80,7 +80,7 @@
   }
 
   attachQueue(): void {
-    const waiting: WaitingRequests = {
+    const waiting: WaitingRequestQueue = {
       list: () => [...this.waiting],
       serve: () => this.serve(),
       refuse: (want, refusal) => this.refuse(want, refusal),
--- a/packages/permit-sends/src/other-strategies.fixture.ts
+++ b/packages/permit-sends/src/other-strategies.fixture.ts
@@ -1,5 +1,5 @@
 /** Two other strategies that keep the sends of a fleet within one rate, for comparison. */
-import type { AdvertisedLimit, WaitingRequests } from '@limelead/types';
+import type { AdvertisedLimit, WaitingRequestQueue } from '@limelead/types';
 import type { Limiter, PermitDependencies } from './fleet.fixture.js';
 import RateBucket from './rate-bucket.js';
 
@@ -15,7 +15,7 @@
 
 class BucketLimiter implements Limiter {
   private readonly buckets = new Map<string, RateBucket>();
-  private queue: WaitingRequests | undefined;
+  private queue: WaitingRequestQueue | undefined;
 
   constructor(
     private readonly dependencies: PermitDependencies,
@@ -23,7 +23,7 @@
     private readonly isBroadcasting: boolean,
   ) {}
 
-  attach(waiting: WaitingRequests): void {
+  attach(waiting: WaitingRequestQueue): void {
     this.queue = waiting;
     this.tick();
   }
--- a/packages/permit-sends/src/permit-grantor.ts
+++ b/packages/permit-sends/src/permit-grantor.ts
@@ -2,7 +2,7 @@
  * Decides which waiting request of which VM gets the next permit of a service's limited targets,
  * and which requests can't get one in time. Holds no timers and does no I/O.
  */
-import type { Millis, Random, Want } from '@limelead/types';
+import type { Millis, Random, WaitingRequest } from '@limelead/types';
 import RateBucket from './rate-bucket.js';
 
 const SECOND_MS: Millis = 1_000;
@@ -16,7 +16,7 @@
 /** The permits that one VM requests; replaces its previous permit request. */
 export interface PermitRequest {
   vm: string;
-  wants: readonly Want[];
+  wants: readonly WaitingRequest[];
   /** Targets that the VM can't send to at present. */
   avoid: ReadonlySet<string>;
   /** Whether requests may be refused, which requires that all targets of the service have limits. */
@@ -53,7 +53,7 @@
 
 interface WaitingEntry {
   permitRequest: StoredPermitRequest;
-  want: Want;
+  want: WaitingRequest;
 }
 
 /** Options of `PermitGrantor`. */
@@ -212,6 +212,6 @@
   }
 }
 
-function compareByUrgency(a: Want, b: Want): number {
+function compareByUrgency(a: WaitingRequest, b: WaitingRequest): number {
   return a.rank - b.rank || a.untilMs - b.untilMs;
 }
--- a/packages/permit-sends/src/send-limiter.ts
+++ b/packages/permit-sends/src/send-limiter.ts
@@ -12,7 +12,7 @@
   type Random,
   type Timers,
   type AdvertisedLimit,
-  type WaitingRequests,
+  type WaitingRequestQueue,
 } from '@limelead/types';
 import type { LimitUpdate } from './limit-table.js';
 import LocalAllowance from './local-allowance.js';
@@ -38,7 +38,7 @@
   targets: PermitTargets;
 }
 
-const EMPTY_QUEUE: WaitingRequests = {
+const EMPTY_QUEUE: WaitingRequestQueue = {
   list: () => [],
   serve: () => undefined,
   refuse: () => undefined,
@@ -53,7 +53,7 @@
   private readonly unusedPermits = new RecentTimes(UNUSED_PERMIT_PAUSE_MS);
   private readonly allowance: LocalAllowance;
   private readonly logIsolation: LimitedLines;
-  private queue: WaitingRequests = EMPTY_QUEUE;
+  private queue: WaitingRequestQueue = EMPTY_QUEUE;
 
   constructor(private readonly options: SendLimiterOptions) {
     const { clock, random, log, metrics, fleet } = options;
@@ -72,7 +72,7 @@
   }
 
   /** Sets the queue of waiting requests that permits are requested for. */
-  attach(queue: WaitingRequests): void {
+  attach(queue: WaitingRequestQueue): void {
     this.queue = queue;
   }
 
@@ -224,7 +224,7 @@
     this.queue.serve();
     const isUsed = !this.heldPermits.consume(target, this.now);
     if (!isUsed && this.queue.list(service).length > 0) {
-      this.unusedPermits.note(target, this.now);
+      this.unusedPermits.record(target, this.now);
     }
     return isUsed;
   }
--- a/packages/permit-sends/src/service-permits.ts
+++ b/packages/permit-sends/src/service-permits.ts
@@ -10,7 +10,7 @@
   PermitRefusal,
   Random,
   Timers,
-  Want,
+  WaitingRequest,
 } from '@limelead/types';
 import PermitRequestTracker from './permit-request-tracker.js';
 import type { PermitRequest, PermitDecision } from './permit-grantor.js';
@@ -46,7 +46,7 @@
   /** Updates the local allowance; returns the rest of each limited target's rate, in permits a second. */
   updateRates(): ReadonlyMap<string, number>;
   /** Waiting requests of this VM, in the order in which they are served. */
-  listWaiting(): readonly Want[];
+  listWaiting(): readonly WaitingRequest[];
   /** Limited targets that this VM can't send to now. */
   listAvoided(): ReadonlySet<string>;
   /** Whether all usable targets of the service have limits. */
@@ -194,7 +194,7 @@
     }
   }
 
-  private listWaiting(): Want[] {
+  private listWaiting(): WaitingRequest[] {
     const wants = this.options.listWaiting().slice(0, MAX_WANTS);
     const spareUntilMs = this.spareWantedAtMs + PERMIT_TTL_MS;
     return spareUntilMs > this.now
@@ -202,7 +202,7 @@
       : wants;
   }
 
-  private routeRequest(wants: Want[]): void {
+  private routeRequest(wants: WaitingRequest[]): void {
     const { service, fleet } = this.options;
     const grantor = fleet.chooseGrantor(service);
     this.isGrantor &&= grantor === fleet.self;
@@ -221,7 +221,7 @@
     }
   }
 
-  private requestLocally(grantor: TimedGrantor, wants: Want[]): void {
+  private requestLocally(grantor: TimedGrantor, wants: WaitingRequest[]): void {
     grantor.setRequest({
       ...this.describeRequest(wants),
       vm: this.options.fleet.self,
@@ -230,12 +230,14 @@
     grantor.decide();
   }
 
-  private describeRequest(wants: Want[]): Pick<PermitRequest, 'wants' | 'avoid' | 'mayRefuse'> {
+  private describeRequest(
+    wants: WaitingRequest[],
+  ): Pick<PermitRequest, 'wants' | 'avoid' | 'mayRefuse'> {
     const { listAvoided, isEveryTargetLimited } = this.options;
     return { wants, avoid: listAvoided(), mayRefuse: isEveryTargetLimited() };
   }
 
-  private requestFromPeer(grantor: string, wants: Want[]): void {
+  private requestFromPeer(grantor: string, wants: WaitingRequest[]): void {
     const { service, fleet, timers } = this.options;
     const now = this.now;
     if (this.unansweredSinceMs === undefined) {
@@ -266,7 +268,7 @@
   }
 
   /** Keeps to this VM's share of the rates, since the sends of other VMs are unknown. */
-  private grantLocally(wants: Want[], grantor: string | undefined): void {
+  private grantLocally(wants: WaitingRequest[], grantor: string | undefined): void {
     if (!this.isIsolated) {
       const { service, fleet, logIsolation } = this.options;
       this.isIsolated = true;
--- a/packages/permit-sends/src/target-limits.ts
+++ b/packages/permit-sends/src/target-limits.ts
@@ -97,7 +97,7 @@
   private applyUpdate(update: LimitUpdate, vm?: string): void {
     const outcome = this.table.apply(update);
     if (outcome.kind !== 'known') {
-      this.handledUpdates.note(update.mark, this.options.clock.now());
+      this.handledUpdates.record(update.mark, this.options.clock.now());
     }
     if (outcome.kind === 'changed') {
       this.onChanged(update, outcome.from, vm);
--- a/packages/plan-capacity/src/needed-targets.ts
+++ b/packages/plan-capacity/src/needed-targets.ts
@@ -1,5 +1,5 @@
 /** Pure estimate of how many targets carry a load, by the scarcest of what they have. */
-import type { EngineTraits } from '@limelead/types';
+import type { EngineCapabilities } from '@limelead/types';
 
 /** A load as it is, or as it is forecast. */
 export interface ServiceLoad {
@@ -30,7 +30,7 @@
 export default function estimateNeed(
   { promptTokensPerSecond, runs }: ServiceLoad,
   { readMsPerToken, tokensPerRun }: TargetPace,
-  { slots, memoryTokens }: EngineTraits,
+  { slots, memoryTokens }: EngineCapabilities,
 ): TargetNeed {
   return {
     reading: (promptTokensPerSecond * readMsPerToken) / MILLISECONDS_A_SECOND,
--- a/packages/quarantine-requests/src/crash-table.ts
+++ b/packages/quarantine-requests/src/crash-table.ts
@@ -126,7 +126,7 @@
   /** Removes a crash because its target is still running; returns false if that has no effect. */
   withdrawCrash(request: RequestIdentity, target: string, now: Millis): boolean {
     const entry = this.entries.get(request);
-    this.refutedCrashes.note(crashKey(request, target), now);
+    this.refutedCrashes.record(crashKey(request, target), now);
     if (
       entry === undefined ||
       entry.quarantinedAtMs !== undefined ||
@@ -149,7 +149,7 @@
     }
     this.clearedAtMs.set(request, Math.max(before, atMs));
     entry?.crashes.forEach(({ target }) =>
-      this.refutedCrashes.note(crashKey(request, target), now),
+      this.refutedCrashes.record(crashKey(request, target), now),
     );
     this.entries.delete(request);
     return true;
@@ -280,7 +280,7 @@
     if (surplus !== undefined) {
       const { request, target } = surplus;
       crashes.delete(target);
-      this.refutedCrashes.note(crashKey(request, target), now);
+      this.refutedCrashes.record(crashKey(request, target), now);
     }
     return surplus;
   }
--- a/packages/route-requests/src/index.ts
+++ b/packages/route-requests/src/index.ts
@@ -6,7 +6,7 @@
 import {
   hashText,
   type CallerLimits,
-  type EngineTraits,
+  type EngineCapabilities,
   type ServedService,
   type ServingConfiguration,
   type ServingRoute,
@@ -86,7 +86,7 @@
 }
 
 /** Features of a service's engines; undefined for plain services and unknown ones. */
-export function findEngine(table: RouteTable, service: string): EngineTraits | undefined {
+export function findEngine(table: RouteTable, service: string): EngineCapabilities | undefined {
   return table.findService(service)?.engine;
 }
 
--- a/packages/share-evidence/src/loss-news.ts
+++ b/packages/share-evidence/src/loss-news.ts
@@ -42,7 +42,7 @@
     if (this.told.ageMs(key, now) !== undefined) {
       return false;
     }
-    this.told.note(key, now);
+    this.told.record(key, now);
     if (this.due.length === 0) {
       this.options.timers.after(GATHER_MS, () => this.tellAll());
     }
--- a/packages/share-evidence/src/repeat-loans.ts
+++ b/packages/share-evidence/src/repeat-loans.ts
@@ -40,7 +40,7 @@
     if (this.asked.ageMs(service, now) !== undefined) {
       return;
     }
-    this.asked.note(service, now);
+    this.asked.record(service, now);
     const peers = drawSome(listPeers(), ASKED_PEERS, random);
     peers.forEach((peer) => ask(peer, service, WANTED_REPEATS));
   }
--- a/packages/share-evidence/src/target-advice.ts
+++ b/packages/share-evidence/src/target-advice.ts
@@ -122,7 +122,7 @@
   private onLate(number: number): void {
     const question = this.open.get(number);
     if (question !== undefined) {
-      this.late.note(question.scheduler, this.options.clock.now());
+      this.late.record(question.scheduler, this.options.clock.now());
       this.giveUp(number, 'late');
     }
   }
--- a/packages/types/src/address.ts
+++ b/packages/types/src/address.ts
@@ -1,4 +1,4 @@
-/** Where something listens. */
+/** Address that a server listens on. */
 export interface Address {
   /** A name, an IPv4 address, or an IPv6 address in brackets. */
   host: string;
--- a/packages/types/src/advice.ts
+++ b/packages/types/src/advice.ts
@@ -1,7 +1,7 @@
-/** Advice on where a stream should go, which the VMs of a large fleet ask of a scheduler. */
+/** Advice on the target of a stream, which the VMs of a large fleet request from a scheduler. */
 import type { Millis } from './time.js';
 
-/** What a stream needs a target for. */
+/** A stream that needs a target. */
 export interface AdviceRequest {
   service: string;
   affinityKey: string;
@@ -9,26 +9,29 @@
   exclude: string[];
 }
 
-/** What came of asking for advice. */
+/** Result of a request for advice. */
 export type Advice =
   | {
       outcome: 'advised';
       target: string;
-      /** Where a copy of the run may stand; undefined where there is no other target. */
+      /** Target that may keep a replica of the run; undefined if there is no other target. */
       copyTo?: string;
       scheduler: string;
       afterMs: Millis;
     }
-  /** The scheduler knows no target with a free place, or does not answer. */
+  /** The scheduler knows no target with a free slot, or does not answer. */
   | { outcome: 'no-target' | 'late' | 'link-lost'; scheduler: string; afterMs: Millis }
   /** The fleet is small, or no scheduler is linked. */
   | { outcome: 'nobody-to-ask' };
 
-/** Asks where a stream should go; gives what ends waiting for the answer. */
-export type AskTarget = (request: AdviceRequest, receive: (advice: Advice) => void) => () => void;
+/** Requests advice on the target of a stream; returns a function that cancels the request. */
+export type RequestTargetAdvice = (
+  request: AdviceRequest,
+  receive: (advice: Advice) => void,
+) => () => void;
 
-/** Where there is no scheduler, as in a small fleet. */
-export const askNobody: AskTarget = (_, receive) => {
+/** For VMs without a scheduler, as in a small fleet. */
+export const noTargetAdvice: RequestTargetAdvice = (_, receive) => {
   receive({ outcome: 'nobody-to-ask' });
   return () => undefined;
 };
--- a/packages/types/src/configuration.ts
+++ b/packages/types/src/configuration.ts
@@ -1,9 +1,9 @@
-/** Operators' configuration as plain data. Mirrors limelead.v1 in its JSON form. */
+/** Configuration by operators as plain data. Mirrors the JSON form of limelead.v1. */
 
-/** A number that grows by one with each accepted change; 0 is the empty configuration. */
+/** Number of accepted changes; 0 is the empty configuration. */
 export type Revision = number;
 
-/** Answers of new requests begin with this model, adapter and version. */
+/** The model, adapter and version that serve new requests of a service. */
 export interface ModelService {
   model: string;
   adapter: string;
@@ -36,39 +36,44 @@
   maxConcurrent: number;
 }
 
-/** Somebody who may change the configuration. */
+/** A person who may change the configuration. */
 export interface Operator {
   name: string;
   keyHashes: string[];
 }
 
-/** How a broken or silent stream is continued: resume latency against extra resource use. */
+/**
+ * How a broken or silent stream is continued: a trade-off between resume latency and resource use.
+ */
 export interface RecoveryPolicy {
-  /** Deviations above the mean token gap at which a target is suspected. */
+  /** Deviations above the mean token gap after which a target is suspected. */
   suspicionFactor: number;
   /** Lower bound of the suspicion time in milliseconds. */
   minSilenceMs: number;
   /** Upper bound of the suspicion time in milliseconds. */
   maxSilenceMs: number;
-  /** Start a second attempt on suspicion and keep the first until one delivers. */
+  /**
+   * Whether a second attempt starts on suspicion while the first one is kept until one of them
+   * delivers.
+   */
   hedge: boolean;
-  /** Ask the silent target first whether the generation still runs. */
+  /** Whether the silent target is first asked if the generation still runs. */
   probeFirst: boolean;
 }
 
-/** How urgent a request is and how it is recovered. */
+/** Urgency and recovery of requests. */
 export interface Priority {
   name: string;
   /** 0 is the most urgent. */
   rank: number;
-  /** Milliseconds for the whole answer; 0 is no deadline. */
+  /** Milliseconds for the whole answer; 0 for no deadline. */
   deadlineMs: number;
   recovery: RecoveryPolicy;
-  /** Expected milliseconds of waiting for a target beyond which a request is refused. */
+  /** A request is refused if its expected wait for a target exceeds this, in milliseconds. */
   maxQueueMs: number;
 }
 
-/** Which version should be loaded on how many targets. */
+/** A model version and the number of targets that should have it loaded. */
 export interface PlacementRule {
   name: string;
   model: string;
@@ -78,7 +83,6 @@
   failureDomains: string[];
 }
 
-/** Names of the kinds of resources. */
 export const RESOURCE_KINDS = [
   'service',
   'organisation',
@@ -87,10 +91,9 @@
   'placementRule',
 ] as const;
 
-/** One of the kinds of resources. */
 export type ResourceKind = (typeof RESOURCE_KINDS)[number];
 
-/** The shape that belongs to each kind. */
+/** Type of the spec of each kind. */
 export interface ResourceShapes {
   service: Service;
   organisation: Organisation;
@@ -102,7 +105,7 @@
 /** A resource with its kind, as a discriminated union. */
 export type Resource = { [K in ResourceKind]: { kind: K; spec: ResourceShapes[K] } }[ResourceKind];
 
-/** The identity of a resource. */
+/** Identity of a resource. */
 export interface ResourceName {
   kind: ResourceKind;
   name: string;
@@ -111,11 +114,11 @@
 /** One step of a change. */
 export type Operation = { put: Resource } | { delete: ResourceName };
 
-/** What an operator asks for. */
+/** A change that an operator requests. */
 export interface ChangeRequest {
-  /** Chosen by the operator; a retry carries the same id. */
+  /** Chosen by the operator; a retry has the same id. */
   changeId: string;
-  /** Revision the operator looked at. */
+  /** Revision that the change is based on. */
   baseRevision: Revision;
   operations: Operation[];
   reason: string;
@@ -129,13 +132,12 @@
   atMs: number;
 }
 
-/** A resource and the revision that last touched it. */
+/** A resource and the revision that last changed it. */
 export interface VersionedResource {
   revision: Revision;
   resource: Resource;
 }
 
-/** The name of a resource's own spec. */
-export function nameOfResource(resource: Resource): ResourceName {
+export function getResourceName(resource: Resource): ResourceName {
   return { kind: resource.kind, name: resource.spec.name };
 }
--- a/packages/types/src/directives.ts
+++ b/packages/types/src/directives.ts
@@ -1,32 +1,32 @@
-/** What the headers of an answer say of how its target wants to be treated. */
+/** Directives that targets give in the headers of their responses. */
 import type { AdvertisedLimit } from './permits.js';
 import type { Millis } from './time.js';
 
-/** For how long a target that turned a request away wants nothing from this VM. */
+/** Time for which a target that rejected a request wants no requests from this VM. */
 export type RequestedCooldown =
   { kind: 'none' } | { kind: 'delay'; delayMs: Millis } | { kind: 'unreadable'; text: string };
 
-/** Everything that one answer asks for. */
+/** All directives of one response. */
 export interface TargetDirectives {
-  /** Requests a second from all VMs together. */
+  /** Rate limit for all VMs together. */
   limit: AdvertisedLimit;
   cooldown: RequestedCooldown;
-  /** True where the target takes no new work from any VM from now on. */
+  /** Whether the target accepts no new requests from any VM from now on. */
   isLeaving: boolean;
 }
 
-/** An answer that asks for nothing. */
+/** A response without directives. */
 export const NO_DIRECTIVES: TargetDirectives = {
   limit: { kind: 'none' },
   cooldown: { kind: 'none' },
   isLeaving: false,
 };
 
-/** An answer of a target, as far as it tells how to treat it. */
+/** The directives of a response and the request that it answered. */
 export interface DirectiveResponse {
   /** Id of the incarnation that answered. */
   target: string;
-  /** The request that was answered, and when it was sent; steady time. */
+  /** The answered request, and when it was sent; steady time. */
   requestId: string;
   sentAtMs: Millis;
   directives: TargetDirectives;
--- a/packages/types/src/events.ts
+++ b/packages/types/src/events.ts
@@ -1,14 +1,14 @@
-/** Typed events of what each mechanism does, for operators who watch. */
+/** Typed events of all mechanisms, for operators who watch the system. */
 import type { Millis } from './time.js';
 import type { Revision } from './configuration.js';
 import type { TargetId, VmId } from './targets.js';
 
-/** One way considered by the router. */
+/** A target that the router considered. */
 export interface ObservedCandidate {
   target: TargetId;
-  /** Expected milliseconds until the first new token. */
+  /** Expected milliseconds until the first output token. */
   costMs: number;
-  /** Share of the prompt expected in the prefix cache, 0 to 1. */
+  /** Expected share of the prompt in the prefix cache, 0 to 1. */
   cachedShare: number;
 }
 
@@ -17,9 +17,9 @@
   'silence' | 'link-broken' | 'refused' | 'cut-short' | 'target-gone' | 'vm-lost';
 
 /** How an answer is continued. */
-export type RecoveryWay = 'attach' | 'import' | 'recompute' | 'restart' | 'fail';
+export type RecoveryStrategy = 'attach' | 'import' | 'recompute' | 'restart' | 'fail';
 
-/** The part of an event that its mechanism fills in. */
+/** Fields specific to each kind of event. */
 export type EventDetail =
   | {
       kind: 'targetChosen';
@@ -35,7 +35,7 @@
       cause: BreakCause;
       delivered: number;
     }
-  | { kind: 'recoveryPlanned'; way: RecoveryWay; reason: string; repeatedTokens: number }
+  | { kind: 'recoveryPlanned'; way: RecoveryStrategy; reason: string; repeatedTokens: number }
   | { kind: 'streamContinued'; target: TargetId; attempt: number; resumeLatencyMs: number }
   | { kind: 'staleTokensDropped'; attempt: number; tokens: number }
   | { kind: 'requestRefused'; organisation: string; errorKind: string }
@@ -52,7 +52,7 @@
 export interface ObservedEvent {
   atMs: Millis;
   vm: VmId;
-  /** Empty where the event belongs to no request. */
+  /** Empty if the event belongs to no request. */
   requestId: string;
   detail: EventDetail;
 }
--- a/packages/types/src/generation.ts
+++ b/packages/types/src/generation.ts
@@ -1,10 +1,10 @@
-/** One generation as the system sees it. */
+/** One generation from the system's point of view. */
 import type { FinishReason } from './engine.js';
 import type { Priority } from './configuration.js';
 import type { Millis } from './time.js';
 import type { ModelVersion, TargetId } from './targets.js';
 
-/** A checked request for a generation. */
+/** A validated request for a generation. */
 export interface GenerationRequest {
   requestId: string;
   organisation: string;
@@ -12,31 +12,31 @@
   prompt: string;
   maxTokens: number;
   priority: Priority;
-  /** Unix milliseconds by which the whole answer must land; undefined is no deadline. */
+  /** Unix milliseconds by which the whole answer must be delivered; undefined for no deadline. */
   deadlineAtMs?: Millis;
-  /** 0 is as fast as possible. */
+  /** Maximum rate in tokens a second; 0 for no limit. */
   paceTokensPerSecond: number;
-  /** True where the caller will present its handle to another VM after a break. */
+  /** Whether the caller presents its resume handle to another VM after a break. */
   resumable: boolean;
 }
 
-/** What an answer is bound to for its whole life. */
+/** Properties that an answer keeps across all attempts. */
 export interface AnswerBinding {
   modelVersion: ModelVersion;
   seed: number;
 }
 
-/** Where an answer is to be continued, as kept in a resume handle. */
+/** Where to continue an answer, as stored in a resume handle. */
 export interface ResumePoint {
   binding: AnswerBinding;
   targetId: TargetId;
   generationId: string;
   attempt: number;
-  /** Unix milliseconds; undefined is no deadline. */
+  /** Unix milliseconds; undefined for no deadline. */
   deadlineAtMs?: Millis;
 }
 
-/** What the caller receives. */
+/** A message to the caller. */
 export type AnswerMessage =
   | { kind: 'started'; binding: AnswerBinding; attempt: number; resume: ResumePoint }
   | { kind: 'tokens'; offset: number; tokens: string[] }
--- a/packages/types/src/hash.test.ts
+++ b/packages/types/src/hash.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import { hashText, mixHashes } from './index.js';
 
-test('mixed hashes spread sessions evenly over targets, and move few when one leaves', () => {
+test('mixed hashes spread sessions evenly over targets, and only sessions of a removed target move', () => {
   const targets = Array.from({ length: 20 }, (_, index) => hashText(`target ${index}`));
   const choose = (session: number, among: number[]): number =>
     among.reduce((best, target) =>
@@ -20,7 +20,7 @@
   assert.is(moved, counts.get(targets[0]!));
 });
 
-test('the order of the two hashes matters, and the same pair gives the same', () => {
+test('mixing depends on the order of the hashes and is deterministic', () => {
   const [a, b] = [hashText('a'), hashText('b')];
   assert.is(mixHashes(a, b), mixHashes(a, b));
   assert.is.not(mixHashes(a, b), mixHashes(b, a));
--- a/packages/types/src/index.ts
+++ b/packages/types/src/index.ts
@@ -1,4 +1,4 @@
-/** Shapes that several packages share. */
+/** Types and small helpers that several packages share. */
 export * from './address.js';
 export * from './advice.js';
 export * from './configuration.js';
--- a/packages/types/src/permits.ts
+++ b/packages/types/src/permits.ts
@@ -1,38 +1,39 @@
-/** Limits that targets name on the requests of all VMs together, and requests that wait for a permit. */
+/** Rate limits that targets advertise for all VMs together, and requests that wait for a permit. */
 import type { Millis } from './time.js';
 
-/** What an answer says of the requests a second that its target takes from all VMs together. */
+/** The rate limit in a response. */
 export type AdvertisedLimit =
   | { kind: 'none' }
   | { kind: 'rate'; perSecond: number }
-  /** Something stands where a rate should; it limits nothing. */
+  /** A header value that is no rate; it limits nothing. */
   | { kind: 'unreadable'; text: string };
 
 /** A request that waits for a permit to be sent. */
-export interface Want {
+export interface WaitingRequest {
   /** Number of the request at its VM, from 1. */
   id: number;
   /** 0 is the most urgent. */
   rank: number;
-  /** Steady time at which waiting ends. */
+  /** Steady time at which the request stops waiting. */
   untilMs: Millis;
 }
 
-/** No permit comes in time for a request that waits. */
+/** A refusal of a waiting request that can't get a permit in time. */
 export interface PermitRefusal {
-  /** When there is room for the request. */
+  /** Time until the request can be served. */
   retryAfterMs: Millis;
-  /** The VM that counted what all VMs ask for. */
+  /** The VM that decided. */
   grantedBy: string;
 }
 
 /** The requests of one VM that wait for a target. */
-export interface WaitingRequests {
-  /** Those for a service, in the order in which they are served. */
-  list(service: string): readonly Want[];
-  /** Some may find a place now. */
+export interface WaitingRequestQueue {
+  /** Waiting requests for a service, in the order in which they are served. */
+  list(service: string): readonly WaitingRequest[];
+  /** Sends waiting requests that have a target now. */
   serve(): void;
+  /** Refuses the waiting request with that id. */
   refuse(want: number, refusal: PermitRefusal): void;
-  /** Whether nothing can be sent to a target now, for another reason than its limit. */
+  /** Whether no request can be sent to a target now for a reason other than its limit. */
   isAvoided(target: string): boolean;
 }
--- a/packages/types/src/recent-times.ts
+++ b/packages/types/src/recent-times.ts
@@ -1,38 +1,38 @@
-/** Times of things that matter only for a while, such as the last question to a target. */
+/** Times that are only relevant for a while, such as that of the last probe of a target. */
 import type { Millis } from './time.js';
 
-/** Remembers when each key was noted last, and forgets it once that is old. */
+/** Keeps the last recorded time of each key until it expires. */
 export default class RecentTimes<Key = string> {
-  /** In the order of their times. */
-  private readonly notedAtMs = new Map<Key, Millis>();
+  /** Oldest first. */
+  private readonly recordedAtMs = new Map<Key, Millis>();
 
-  /** @param keepMs age at which a time is forgotten, in milliseconds */
-  constructor(private readonly keepMs: Millis) {}
+  /** @param ttlMs age at which a time expires, in milliseconds */
+  constructor(private readonly ttlMs: Millis) {}
 
-  /** Number of keys that are held. */
+  /** Number of keys. */
   get size(): number {
-    return this.notedAtMs.size;
+    return this.recordedAtMs.size;
   }
 
-  note(key: Key, now: Millis): void {
-    this.notedAtMs.delete(key);
-    this.notedAtMs.set(key, now);
-    this.forgetOld(now);
+  record(key: Key, now: Millis): void {
+    this.recordedAtMs.delete(key);
+    this.recordedAtMs.set(key, now);
+    this.forgetExpired(now);
   }
 
-  /** Milliseconds since the key was noted; undefined for never or too long ago. */
+  /** Milliseconds since the key was recorded; undefined if it never was or has expired. */
   ageMs(key: Key, now: Millis): Millis | undefined {
-    const notedAtMs = this.notedAtMs.get(key);
-    const ageMs = notedAtMs === undefined ? undefined : now - notedAtMs;
-    return ageMs !== undefined && ageMs < this.keepMs ? ageMs : undefined;
+    const recordedAtMs = this.recordedAtMs.get(key);
+    const ageMs = recordedAtMs === undefined ? undefined : now - recordedAtMs;
+    return ageMs !== undefined && ageMs < this.ttlMs ? ageMs : undefined;
   }
 
-  private forgetOld(now: Millis): void {
-    for (const [key, notedAtMs] of this.notedAtMs) {
-      if (now - notedAtMs < this.keepMs) {
+  private forgetExpired(now: Millis): void {
+    for (const [key, recordedAtMs] of this.recordedAtMs) {
+      if (now - recordedAtMs < this.ttlMs) {
         return;
       }
-      this.notedAtMs.delete(key);
+      this.recordedAtMs.delete(key);
     }
   }
 }
--- a/packages/types/src/serving.ts
+++ b/packages/types/src/serving.ts
@@ -1,80 +1,80 @@
-/** Shapes of the HTTP front door: its configuration, its targets and one call to a target. */
+/** Types of the HTTP front door: its configuration, its targets and its requests. */
 import type { Millis } from './time.js';
 
-/** Part of a route's requests that go to one service. */
+/** Share of a route's requests that a service gets. */
 export interface ServiceShare {
   service: string;
   /** Relative to the weights of the route's other shares. */
   weight: number;
 }
 
-/** Where requests of one host and path prefix go, and how they are treated. */
+/** How requests of one host and path prefix are routed and treated. */
 export interface ServingRoute {
   name: string;
   host: string;
   /** Begins and ends with a slash. */
   pathPrefix: string;
   shares: ServiceShare[];
-  /** True where the answer is a series of numbered pieces. */
+  /** Whether the answer is a series of numbered pieces. */
   streaming: boolean;
-  /** True where a request may run more than once, a stream by being continued elsewhere. */
+  /** Whether a request may run more than once; a stream is continued at another target. */
   repeatable: boolean;
-  /** Longest time that a request may be held, in milliseconds. */
+  /** Maximum time for a request, in milliseconds. */
   timeoutMs: number;
-  /** Time within which an answer is worth most, in milliseconds. */
+  /** Time objective of an answer, in milliseconds. */
   objectiveMs: number;
-  /** Longest pause between pieces that callers bear, in milliseconds; undefined where none is told. */
+  /** Longest acceptable pause between pieces, in milliseconds; undefined if none is configured. */
   maxPauseMs?: number;
-  /** Most targets that may run one request. */
+  /** Maximum number of targets that may run one request. */
   maxTargets: number;
   /** 0 is the most urgent. */
   rank: number;
-  /** True where no key is asked for. */
+  /** Whether no key is required. */
   open: boolean;
 }
 
-/** What the engines of a service can do; undefined for plain services. */
-export interface EngineTraits {
+/** Capabilities of a service's engines. */
+export interface EngineCapabilities {
   /** Requests that one engine runs at once. */
   slots: number;
-  /** Tokens that one engine's memory holds. */
+  /** Capacity of one engine's memory, in tokens. */
   memoryTokens: number;
-  /** True where a run's memory can be copied to another engine while it runs. */
+  /** Whether an engine can replicate a run's memory to another engine during the run. */
   copiesRuns: boolean;
 }
 
-/** How many targets of a service this system orders, where it orders them. */
+/** Limits and prices for ordering targets of a service. */
 export interface ServiceScaling {
-  /** Fewest and most targets of one failure domain, plain and spot together. */
+  /** Minimum and maximum number of targets per failure domain, plain and spot together. */
   min: number;
   max: number;
-  /** Time from an order until the new target serves. */
+  /** Time from an order until the new target serves requests. */
   bootMs: Millis;
-  /** Price of a spot target as a part of a plain one; undefined where there are none. */
+  /** Price of a spot target as a fraction of a plain one; undefined if there are none. */
   spotPrice?: number;
-  /** Price of one target and second by failure domain, relative to each other; empty where all are alike. */
+  /** Relative price of one target and second by failure domain; empty if all are equal. */
   domainPrices: Readonly<Record<string, number>>;
 }
 
 /** A group of targets that do the same work. */
 export interface ServedService {
   name: string;
-  /** Connections that one target takes from all callers together. */
+  /** Maximum number of connections to one target from all callers together. */
   maxConnections: number;
-  engine?: EngineTraits;
-  /** Undefined where somebody else decides how many targets there are. */
+  engine?: EngineCapabilities;
+  /** Undefined if the number of targets is decided elsewhere. */
   scaling?: ServiceScaling;
 }
 
-/** An organisation and the keys that its callers show. */
+/** An organisation and the keys of its callers. */
 export interface ServedOrganisation {
   name: string;
   keys: string[];
-  /** Goes before the route's rank where given. */
+  /** Overrides the rank of the route. */
   rank?: number;
 }
 
-/** What one caller may send, and how long it may take. */
+/** Limits on the size and duration of a caller's request. */
 export interface CallerLimits {
   maxHeaderBytes: number;
   maxBodyBytes: number;
@@ -82,37 +82,40 @@
   idleTimeoutMs: number;
 }
 
-/** Everything that operators decide about the HTTP front door. */
+/** Configuration of the HTTP front door by operators. */
 export interface ServingConfiguration {
-  /** Rises with every change. */
+  /** Increases with every change. */
   version: number;
   routes: ServingRoute[];
   services: ServedService[];
-  /** Undefined where no keys are asked for. */
+  /** Undefined if no keys are required. */
   organisations?: ServedOrganisation[];
   limits: CallerLimits;
 }
 
-/** One incarnation of a target, as the directory of targets tells it. */
+/** One incarnation of a target, as listed in the registry. */
 export interface ServiceTarget {
-  /** Names this incarnation; a restarted target has another id. */
+  /** Identifies the incarnation; a restarted target has another id. */
   id: string;
-  /** What the target calls itself, where its incarnations share a name; else its id. */
+  /** The target's own name if its incarnations share one; otherwise the id applies. */
   name?: string;
   service: string;
   host: string;
   port: number;
   failureDomain: string;
   slots: number;
-  /** True once it takes no new work. */
+  /** Whether the target accepts no new requests. */
   leaving: boolean;
-  /** Version of its software; undefined where it tells none. */
+  /** Version of its software; undefined if unknown. */
   version?: string;
-  /** Time for which it was still slow from its start when its entry was read, in milliseconds. */
+  /** Remaining time of slowness after its start when the entry was read, in milliseconds. */
   coldForMs?: Millis;
-  /** True where it costs less and may be taken away at short notice. */
+  /** Whether it costs less and may be reclaimed at short notice. */
   isSpot?: boolean;
-  /** Time left when its notice to leave was read, in milliseconds; undefined without one. */
+  /**
+   * Time left after its notice to leave when the entry was read, in milliseconds; undefined without
+   * a notice.
+   */
   leavesInMs?: Millis;
 }
 
@@ -120,25 +123,27 @@
 export interface RollOutOrder {
   service: string;
   version: string;
-  /** Time after the order by which the move is to be completed or taken back. */
+  /** Time after the order by which the move is completed or rolled back. */
   durationMs: Millis;
 }
 
-/** What one caller asked for, after the front door's checks. */
+/** A caller's request after the checks of the front door. */
 export interface IncomingRequest {
   requestId: string;
   method: string;
   /** Path and query, as received. */
   path: string;
-  /** Names and values by turns, as received. */
+  /** Alternating names and values, as received. */
   rawHeaders: string[];
   body: Buffer;
-  /** Steady time by which the caller has to have its answer. */
+  /** Steady time by which the caller must have its answer. */
   deadlineAtMs: Millis;
-  /** Number of the last piece that the caller already has; 0 is none. */
+  /** Number of the last piece that the caller already has; 0 for none. */
   lastPiece: number;
-  /** Names the caller's session or prompt, for finding what a target kept; empty for none. */
+  /**
+   * Identifies the caller's session or prompt, to find a target that has it cached; empty for none.
+   */
   affinityKey: string;
-  /** Tokens of the prompt, 0 where unknown. */
+  /** Number of tokens of the prompt; 0 if unknown. */
   promptTokens: number;
 }
--- a/packages/types/src/time.ts
+++ b/packages/types/src/time.ts
@@ -1,37 +1,35 @@
-/** Clocks, timers and randomness as arguments, so that tests can inject them. */
+/** Clocks, timers and randomness as dependencies, so that tests can replace them. */
 
-/** A point in time in Unix milliseconds. */
+/** A time or duration in milliseconds; times are Unix time unless stated otherwise. */
 export type Millis = number;
 
-/** Reads the present time. */
 export interface Clock {
   now(): Millis;
 }
 
-/** Gives numbers in [0, 1). */
+/** Source of numbers in [0, 1). */
 export interface Random {
   next(): number;
 }
 
-/** The clock of the machine. */
+/** Clock of the machine; Unix time. */
 export const systemClock: Clock = { now: () => Date.now() };
 
-/** Steady clock of the process: milliseconds since its start, which never jump. */
+/** Monotonic clock of the process: milliseconds since its start. */
 export const steadyClock: Clock = { now: () => performance.now() };
 
 /** Randomness of the runtime, for jitter and tie-breaking; never for secrets. */
 export const systemRandom: Random = { next: () => Math.random() };
 
-/** Ends a timer that was set. */
+/** Cancels a timer. */
 export type CancelTimer = () => void;
 
-/** Sets timers. */
 export interface Timers {
   /** Runs the function once after the given milliseconds. */
   after(milliseconds: number, run: () => void): CancelTimer;
 }
 
-/** Timers of the runtime, for those whose process ends with their work. */
+/** Timers of the runtime; a pending timer keeps the process alive. */
 export const systemTimers: Timers = {
   after(milliseconds, run) {
     const timer = setTimeout(run, milliseconds);
@@ -39,7 +37,7 @@
   },
 };
 
-/** Timers of the runtime that do not keep the process alive, for a daemon that its servers keep. */
+/** Timers of the runtime that do not keep the process alive. */
 export const backgroundTimers: Timers = {
   after(milliseconds, run) {
     const timer = setTimeout(run, milliseconds);
