--- a/packages/forward-request/src/cached-prompt-finder.ts
+++ b/packages/forward-request/src/cached-prompt-finder.ts
@@ -46,7 +46,7 @@
     const askedAtMs = clock.now();
     const present = directory
       .listUsable(service)
-      .filter(({ evidence }) => !isSuspected(evidence, askedAtMs))
+      .filter(({ health }) => !isSuspected(health, askedAtMs))
       .filter(({ target }) => backpressure.coolingUntilMs(target.id) === undefined);
     const targets = listLikelyTargets(present, affinityKey, MAX_QUERIED_TARGETS).map(
       ({ target }) => target,
--- a/packages/forward-request/src/forward-stream.ts
+++ b/packages/forward-request/src/forward-stream.ts
@@ -275,7 +275,7 @@
     if (live === undefined) {
       return;
     }
-    this.context.directory.hear(live.attempt.target.id);
+    this.context.directory.recordActivity(live.attempt.target.id);
     live.endPrefill();
     this.recordFirstPiece(live);
     live.activity.recordActivity();
--- a/packages/forward-request/src/live-attempts.ts
+++ b/packages/forward-request/src/live-attempts.ts
@@ -74,8 +74,8 @@
       slot,
       replica: replicaTarget && { target: replicaTarget, runId: attemptRequest.request.requestId },
       activity,
-      endPrefill: resumeFrom ? () => undefined : directory.beginReading(target.id),
-      releaseReplica: replicaTarget ? directory.keepCopy(replicaTarget.id) : () => undefined,
+      endPrefill: resumeFrom ? () => undefined : directory.startReadingPrompt(target.id),
+      releaseReplica: replicaTarget ? directory.addReplica(replicaTarget.id) : () => undefined,
       stopMonitoring: silence.monitor(activity),
     });
     this.events.onSending(number, attemptRequest);
--- a/packages/forward-request/src/send-permits.ts
+++ b/packages/forward-request/src/send-permits.ts
@@ -1,10 +1,10 @@
 /** Permits for targets that advertise a rate limit, which all VMs share. */
-import type { Millis, AdvertisedLimit, WaitingRequests } from '@limelead/types';
+import type { Millis, AdvertisedLimit, WaitingRequestQueue } from '@limelead/types';
 
 /** Permits of one VM. Called for each request, so it must be fast. */
 export interface SendPermits {
   /** Connects the queue of waiting requests. */
-  attach(waiting: WaitingRequests): void;
+  attach(waiting: WaitingRequestQueue): void;
   /** True if any target advertises a limit; otherwise no permits are needed. */
   readonly isLimiting: boolean;
   /**
--- a/packages/forward-request/src/silence-monitor.ts
+++ b/packages/forward-request/src/silence-monitor.ts
@@ -109,13 +109,13 @@
   private assess(run: MonitoredRun): 'wait' | 'probe' | 'give-up' {
     const { clock, directory } = this.options;
     const now = clock.now();
-    const targetHeardAtMs = directory.get(run.target.id)?.evidence.heardAtMs ?? 0;
+    const targetHeardAtMs = directory.get(run.target.id)?.health.lastResponseAtMs ?? 0;
     return assessSilence({
       isWriting: run.isWriting,
       runSilentMs: now - run.lastActivityAtMs,
       targetSilentMs: now - Math.max(run.lastActivityAtMs, targetHeardAtMs),
       maxSilenceMs: run.maxSilenceMs(),
-      isDomainDoubtful: directory.isDomainDoubtful(run.target.service, run.target.failureDomain),
+      isDomainDoubtful: directory.isDomainSuspected(run.target.service, run.target.failureDomain),
       probedAgoMs: this.probes.ageMs(run.target.id, now),
     });
   }
@@ -128,7 +128,7 @@
 
   private async probe(target: ServiceTarget): Promise<void> {
     const { clock, connections, dialect, timers } = this.options;
-    this.probes.note(target.id, clock.now());
+    this.probes.record(target.id, clock.now());
     const options = { connections, timers, timeoutMs: PROBE_TIMEOUT_MS };
     const body = await queryTarget(options, target, dialect.composeProbe(target));
     if (body === undefined) {
--- a/packages/forward-request/src/slot-queue.ts
+++ b/packages/forward-request/src/slot-queue.ts
@@ -2,10 +2,10 @@
  * Queue of the requests that wait for a slot, ordered by rank and then by deadline.
  * All slots at targets are acquired here.
  */
-import { chooseServiceTarget, type ServiceChoiceRequest } from '@limelead/choose-service-target';
+import { chooseServiceTarget, type ServiceTargetCriteria } from '@limelead/choose-service-target';
 import type { Locality } from '@limelead/locality';
 import { isSuspected, type TrackedServiceTarget } from '@limelead/track-service-targets';
-import type { CancelTimer, PermitRefusal, Timers, Want } from '@limelead/types';
+import type { CancelTimer, PermitRefusal, Timers, WaitingRequest } from '@limelead/types';
 import type { SlotRefusal } from './slot-refusal.js';
 import type { Slot, SlotRequest } from './slot-request.js';
 import TargetAvailability, { type TargetAvailabilityOptions } from './target-availability.js';
@@ -103,7 +103,7 @@
   }
 
   /** Waiting requests that may use a permit, in the order of service. */
-  private listWaiting(service: string): Want[] {
+  private listWaiting(service: string): WaitingRequest[] {
     return this.waiters
       .filter(({ request }) => request.service === service && request.isHedge !== true)
       .map(({ id, request }) => ({ id, rank: request.rank, untilMs: request.untilMs }));
@@ -128,13 +128,13 @@
 
   private tryAcquire(request: SlotRequest): Slot | undefined {
     const { directory, clock, failureDomain, locality, gate } = this.options;
-    const choice: ServiceChoiceRequest = {
+    const choice: ServiceTargetCriteria = {
       affinityKey: request.affinityKey,
       failureDomain,
       locality,
       exclude: request.exclude,
       limit: (tracked) => this.availability.slotLimitAt(tracked),
-      isDomainDoubtful: (domain) => directory.isDomainDoubtful(request.service, domain),
+      isDomainSuspected: (domain) => directory.isDomainSuspected(request.service, domain),
       now: clock.now(),
     };
     const all = this.availability.listPermitted(request);
@@ -157,7 +157,7 @@
     const { directory, gate, permits } = this.options;
     gate.recordSend(tracked.target);
     permits.recordSend(tracked.target.id, tracked.target.service);
-    return { tracked, replicaTargetId, release: directory.begin(tracked.target.id) };
+    return { tracked, replicaTargetId, release: directory.startRequest(tracked.target.id) };
   }
 
   private serveWaiters(): void {
@@ -194,10 +194,10 @@
 /** Targets with the fewest requests of all VMs, without excluded and suspected ones. */
 function filterLeastLoaded(
   targets: TrackedServiceTarget[],
-  { now, exclude }: ServiceChoiceRequest,
+  { now, exclude }: ServiceTargetCriteria,
 ): TrackedServiceTarget[] {
   const up = targets.filter(
-    ({ target, evidence }) => !exclude.has(target.id) && !isSuspected(evidence, now),
+    ({ target, health }) => !exclude.has(target.id) && !isSuspected(health, now),
   );
   const requestsAt = (one: TrackedServiceTarget): number => one.inFlight + one.peerRequests;
   const fewest = Math.min(...up.map(requestsAt));
--- a/packages/forward-request/src/stream-attempt-tracker.ts
+++ b/packages/forward-request/src/stream-attempt-tracker.ts
@@ -74,7 +74,7 @@
   get hasReachedMaxTargets(): boolean {
     const { directory } = this.context;
     const present = [...this.possibleRunTargets].filter(([id, cause]) =>
-      directory.isPresent(id, cause),
+      directory.isLikelyRunning(id, cause),
     );
     return present.length >= this.admitted.route.maxTargets;
   }
--- a/packages/forward-request/src/target-availability.ts
+++ b/packages/forward-request/src/target-availability.ts
@@ -32,7 +32,7 @@
   hasFreeSlot(tracked: TrackedServiceTarget): boolean {
     const { clock } = this.options;
     return (
-      tracked.evidence.fullUntilMs <= clock.now() && tracked.inFlight < this.slotLimitAt(tracked)
+      tracked.health.fullUntilMs <= clock.now() && tracked.inFlight < this.slotLimitAt(tracked)
     );
   }
 
--- a/packages/http-front-door/src/http-front-door.test.ts
+++ b/packages/http-front-door/src/http-front-door.test.ts
@@ -19,7 +19,7 @@
 import { TargetConnections } from '@limelead/target-connections';
 import { TargetDirectory } from '@limelead/track-service-targets';
 import {
-  askNobody,
+  noTargetAdvice,
   NO_DIRECTIVES,
   systemRandom,
   systemTimers,
@@ -211,7 +211,7 @@
       failureDomain: 'north',
       connections,
       dialect: targets,
-      requestAdvice: askNobody,
+      requestAdvice: noTargetAdvice,
       slots: new SlotQueue({
         ...{ ...shared, failureDomain: 'north', locality },
         limit: () => 4,
--- a/packages/order-capacity/src/service-plan.ts
+++ b/packages/order-capacity/src/service-plan.ts
@@ -10,7 +10,7 @@
   type ScaleDownState,
   type TargetCounts,
 } from '@limelead/plan-capacity';
-import type { EngineTraits, Millis, ServiceScaling } from '@limelead/types';
+import type { EngineCapabilities, Millis, ServiceScaling } from '@limelead/types';
 import { FORECAST_WINDOW_SECONDS, type DemandEstimate } from './demand-tracker.js';
 import type { DomainView } from './domain-view.js';
 import type { CapacitySettings } from './settings.js';
@@ -36,7 +36,7 @@
 export interface PlanInputs {
   now: Millis;
   scaling: ServiceScaling;
-  engine: EngineTraits;
+  engine: EngineCapabilities;
   demand: DemandEstimate | undefined;
   views: ReadonlyMap<string, DomainView>;
   isSpotUnavailable(failureDomain: string): boolean;
--- a/packages/plan-capacity/src/needed-targets.ts
+++ b/packages/plan-capacity/src/needed-targets.ts
@@ -1,5 +1,5 @@
 /** Estimates how many targets carry a load, by their scarcest resource. */
-import type { EngineTraits } from '@limelead/types';
+import type { EngineCapabilities } from '@limelead/types';
 
 /** Current or forecast load. */
 export interface ServiceLoad {
@@ -33,7 +33,7 @@
 export default function estimateTargetNeed(
   { promptTokensPerSecond, runs }: ServiceLoad,
   { prefillMsPerToken, tokensPerRun }: TargetPerformance,
-  { slots, memoryTokens }: EngineTraits,
+  { slots, memoryTokens }: EngineCapabilities,
 ): TargetNeed {
   return {
     prefill: (promptTokensPerSecond * prefillMsPerToken) / MS_PER_SECOND,
--- a/packages/run-generation/src/generation.ts
+++ b/packages/run-generation/src/generation.ts
@@ -1,5 +1,5 @@
 /** One running generation: feeds events to the session and carries out its commands. */
-import { estimateCost, type RoutingRequest } from '@limelead/choose-target';
+import { estimateCost, type RoutingCriteria } from '@limelead/choose-target';
 import { LimeleadError, type ErrorKind } from '@limelead/errors';
 import advanceSession, {
   createSession,
@@ -179,7 +179,7 @@
     const { attempt } = command;
     const version = command.modelVersion ?? currentVersion(this.request.service);
     const now = clock.now();
-    const usable = version === undefined ? [] : targets.usableEngines(now, version);
+    const usable = version === undefined ? [] : targets.listUsableEngines(now, version);
     const routing = this.describeRouting(command.exclude);
     const choice = this.dependencies.chooseTarget(usable, routing, random);
     if (version === undefined || choice === undefined) {
@@ -202,7 +202,7 @@
     this.mailbox.post({ kind: 'target-chosen', attempt, targetId: target.id, binding });
   }
 
-  private describeRouting(exclude: string[]): RoutingRequest {
+  private describeRouting(exclude: string[]): RoutingCriteria {
     const promptTokens = Math.ceil(this.request.prompt.length / CHARACTERS_PER_TOKEN);
     return {
       prefixHashes: this.prefixHashes,
