--- a/packages/apply-placement-plan/src/placement-doer.test.ts
+++ b/packages/apply-placement-plan/src/placement-controller.test.ts
@@ -11,7 +11,7 @@
 import type { ModelVersion, PlacementRule } from '@limelead/types';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { createPlacementDoer } from './index.js';
+import { createPlacementController } from './index.js';
 
 const OLD: ModelVersion = { model: 'tutor', adapter: '', version: '1' };
 const NEW: ModelVersion = { model: 'tutor', adapter: '', version: '2' };
@@ -24,7 +24,7 @@
   doer(
     incarnation: string,
     beforeOrder?: () => Promise<void>,
-  ): ReturnType<typeof createPlacementDoer>;
+  ): ReturnType<typeof createPlacementController>;
 }
 
 async function withSystem(
@@ -41,16 +41,16 @@
   const store = createInProcessStore(createKeyValueState(clock));
   const rules: PlacementRule[] = [];
   const doer: System['doer'] = (incarnation, beforeOrder) =>
-    createPlacementDoer({
+    createPlacementController({
       store,
       clock,
       metrics: createMetrics(),
       bus: createEventBus(incarnation, clock),
       incarnation,
       limits: { maxPendingLoads: 10, retainMs: 1_000 },
-      view: () => ({
+      readView: () => ({
         rules,
-        current: [],
+        currentVersions: [],
         targets: engines.map((engine) => ({
           id: engine.id,
           failureDomain: 'suwon',
@@ -58,7 +58,7 @@
           load: 0,
         })),
       }),
-      engineOf: (id) => {
+      findEngine: (id) => {
         const engine = engines.find((candidate) => candidate.id === id);
         const port = connector.engine('127.0.0.1', engine?.port ?? 0);
         return {
@@ -86,12 +86,12 @@
   withSystem(true, async ({ engines, rules, time, doer }) => {
     const [first, second] = [doer('vm-1'), doer('vm-2')];
     rules.push({ name: 'r', ...NEW, targets: 1, failureDomains: [] });
-    await first.work();
+    await first.reconcile();
     rules.splice(0, 1, { name: 'r', ...NEW, targets: 2, failureDomains: [] });
-    await second.work();
+    await second.reconcile();
     assert.is(engines.flatMap((engine) => engine.orders()).length, 1);
     await time.advance(6_001);
-    await second.work();
+    await second.reconcile();
     assert.equal(engines.map(versionsOf), [
       ['1', '2'],
       ['1', '2'],
@@ -102,14 +102,14 @@
   withSystem(true, async ({ engines, rules, time, doer }) => {
     const only = doer('vm-1');
     rules.push({ name: 'r', ...NEW, targets: 2, failureDomains: [] });
-    await only.work();
+    await only.reconcile();
     assert.equal(engines.map(versionsOf), [
       ['1', '2'],
       ['1', '2'],
     ]);
-    await only.work();
+    await only.reconcile();
     await time.advance(1_001);
-    await only.work();
+    await only.reconcile();
     assert.equal(engines.map(versionsOf), [['2'], ['2']]);
   }));
 
@@ -118,10 +118,10 @@
     let wake: () => void = () => undefined;
     const paused = doer('vm-1', () => new Promise((resolve) => (wake = resolve)));
     rules.push({ name: 'r', ...NEW, targets: 2, failureDomains: [] });
-    const work = paused.work();
+    const work = paused.reconcile();
     await time.advance(6_001);
     const fresh = doer('vm-2');
-    await fresh.work();
+    await fresh.reconcile();
     assert.is(engines.flatMap((engine) => engine.orders()).length, 2);
     wake();
     await work;
@@ -132,18 +132,18 @@
   withSystem(false, async ({ engines, rules, time, doer }) => {
     let wake: () => void = () => undefined;
     const paused = doer('vm-1', () => new Promise((resolve) => (wake = resolve)));
-    await paused.work();
+    await paused.reconcile();
     await time.advance(1_001);
-    const work = paused.work();
+    const work = paused.reconcile();
     await time.advance(6_001);
     // The operators want the old version again, while a doer sleeps on its unload order.
     rules.push({ name: 'r', ...OLD, targets: 2, failureDomains: [] });
     const fresh = doer('vm-2');
-    await fresh.work();
+    await fresh.reconcile();
     wake();
     await work;
     assert.is(engines.filter((engine) => versionsOf(engine).length === 0).length, 1);
-    await fresh.work();
+    await fresh.reconcile();
     assert.equal(engines.map(versionsOf), [['1'], ['1']]);
   }));
 
--- a/packages/apply-placement-plan/src/placement-doer.ts
+++ b/packages/apply-placement-plan/src/placement-controller.ts
@@ -7,13 +7,13 @@
  * plan, because plans are made from what targets report.
  */
 import assemblePlacementPlan, {
-  findUnwanted,
+  findUnusedVersions,
   type PendingLoad,
   type PlacedTarget,
   type PlacementLimits,
-  type PlannedOrder,
+  type PlacementOrder,
 } from '@limelead/assemble-placement-plan';
-import { HeldDuty, KeyValueSeat } from '@limelead/hold-duty';
+import { LeasedDuty, KeyValueLease } from '@limelead/hold-duty';
 import type { Metrics } from '@limelead/metrics';
 import type { EventBus } from '@limelead/observe-events';
 import type { KeyValueStore, ModelEngine } from '@limelead/ports';
@@ -33,21 +33,21 @@
 /** Part of the lease's time that is left unused, for clocks that run at different speeds. */
 const LEASE_MARGIN_MS = 1_000;
 /** Late orders are fenced or mended by the next plan: nothing waits for them to arrive. */
-const ARRIVAL_MS = 0;
+const ORDER_ARRIVAL_MS = 0;
 /** For the same reason a holder that wins the lease back goes on at once. */
-const NO_QUIET_MS = 0;
+const REACQUIRE_DELAY_MS = 0;
 /** An ordered load that does not show within this time is ordered again. */
 const LOAD_TIMEOUT_MS = 120_000;
 
 /** What the doer sees at one moment. */
 export interface PlacementView {
   rules: PlacementRule[];
-  current: ModelVersion[];
+  currentVersions: ModelVersion[];
   targets: PlacedTarget[];
 }
 
 /** What a doer needs. */
-export interface PlacementDoerDependencies {
+export interface PlacementControllerOptions {
   store: KeyValueStore;
   clock: Clock;
   metrics: Metrics;
@@ -55,42 +55,42 @@
   /** Unique to this start of this VM's process. */
   incarnation: string;
   limits: PlacementLimits;
-  view(): PlacementView;
-  engineOf(target: TargetId): ModelEngine | undefined;
+  readView(): PlacementView;
+  findEngine(target: TargetId): ModelEngine | undefined;
 }
 
 /** Does placement while it holds the lease. */
-export interface PlacementDoer {
+export interface PlacementController {
   /** Renews the lease, plans, and gives orders; called at intervals. */
-  work(): Promise<void>;
+  reconcile(): Promise<void>;
   /** Gives the lease up, so that another VM goes on at once. */
   release(): Promise<void>;
 }
 
-interface DatedLoad extends PendingLoad {
+interface TimedPendingLoad extends PendingLoad {
   orderedAtMs: Millis;
 }
 
 /** Creates the doer of one VM. */
-export default function createPlacementDoer(
-  dependencies: PlacementDoerDependencies,
-): PlacementDoer {
+export default function createPlacementController(
+  dependencies: PlacementControllerOptions,
+): PlacementController {
   const { store, clock, metrics, bus, incarnation, limits } = dependencies;
   let epoch = 0;
-  let pending: DatedLoad[] = [];
-  const unwantedSince = new Map<string, Millis>();
-  const seat = new KeyValueSeat({
+  let pendingLoads: TimedPendingLoad[] = [];
+  const unusedSinceMs = new Map<string, Millis>();
+  const seat = new KeyValueLease({
     store,
     name: LEASE_NAME,
     incarnation,
     ttlMs: LEASE_TTL_MS,
     clock,
   });
-  const duty = new HeldDuty({
+  const duty = new LeasedDuty({
     // The clock of this interface is the time of day, which counts a suspension by itself.
     ...{ holder: incarnation, clock, timeOfDay: clock },
-    ...{ quietMs: NO_QUIET_MS, marginMs: LEASE_MARGIN_MS },
-    onTaken(token) {
+    ...{ reacquireDelayMs: REACQUIRE_DELAY_MS, marginMs: LEASE_MARGIN_MS },
+    onAcquired(token) {
       if (token !== epoch) {
         epoch = token;
         forgetWhatOthersMayHaveDone();
@@ -98,7 +98,7 @@
       tell(token, 'held');
     },
     onLost: (token) => tell(token, 'lost'),
-    onLostTime: () => undefined,
+    onClockJump: () => undefined,
   });
 
   const tell = (token: number, state: 'held' | 'lost'): void =>
@@ -106,35 +106,35 @@
 
   async function renew(): Promise<void> {
     const answer = await seat.renew()();
-    duty.noteTime();
+    duty.checkExpiry();
     if (E.isRight(answer)) {
-      duty.noteAnswer(answer.right);
+      duty.onLeaseAnswer(answer.right);
     } else {
       metrics.count('limelead_lease_calls_failed_total', 1, { cause: answer.left.reason });
     }
   }
 
   function forgetWhatOthersMayHaveDone(): void {
-    pending = [];
-    unwantedSince.clear();
+    pendingLoads = [];
+    unusedSinceMs.clear();
   }
 
   async function work(): Promise<void> {
     await renew();
-    if (duty.permit(ARRIVAL_MS) === undefined) {
+    if (duty.permit(ORDER_ARRIVAL_MS) === undefined) {
       return;
     }
-    const view = dependencies.view();
-    notePending(view);
-    const situation = { ...view, pending, now: clock.now(), limits };
-    noteUnwanted(findUnwanted(situation));
-    for (const order of assemblePlacementPlan({ ...situation, unwantedSince })) {
+    const view = dependencies.readView();
+    updatePendingLoads(view);
+    const situation = { ...view, pendingLoads, now: clock.now(), limits };
+    updateUnused(findUnusedVersions(situation));
+    for (const order of assemblePlacementPlan({ ...situation, unusedSinceMs })) {
       await give(order);
     }
   }
 
-  function notePending({ targets }: PlacementView): void {
-    const isUnderWay = (load: DatedLoad): boolean => {
+  function updatePendingLoads({ targets }: PlacementView): void {
+    const isUnderWay = (load: TimedPendingLoad): boolean => {
       const target = targets.find(({ id }) => id === load.targetId);
       const shows = target?.loaded.some((version) =>
         isSameModelVersion(version, load.modelVersion),
@@ -142,25 +142,25 @@
       const isOld = clock.now() - load.orderedAtMs > LOAD_TIMEOUT_MS;
       return target !== undefined && shows !== true && !isOld;
     };
-    pending = pending.filter(isUnderWay);
+    pendingLoads = pendingLoads.filter(isUnderWay);
   }
 
-  function noteUnwanted(unwanted: ModelVersion[]): void {
-    const names = new Set(unwanted.map(describeModelVersion));
-    for (const name of unwantedSince.keys()) {
+  function updateUnused(unused: ModelVersion[]): void {
+    const names = new Set(unused.map(describeModelVersion));
+    for (const name of unusedSinceMs.keys()) {
       if (!names.has(name)) {
-        unwantedSince.delete(name);
+        unusedSinceMs.delete(name);
       }
     }
     for (const name of names) {
-      unwantedSince.set(name, unwantedSince.get(name) ?? clock.now());
+      unusedSinceMs.set(name, unusedSinceMs.get(name) ?? clock.now());
     }
   }
 
-  async function give(order: PlannedOrder): Promise<void> {
-    const engine = dependencies.engineOf(order.targetId);
+  async function give(order: PlacementOrder): Promise<void> {
+    const engine = dependencies.findEngine(order.targetId);
     // Looked at again for each order: the process may have been paused since the last.
-    const permit = duty.permit(ARRIVAL_MS);
+    const permit = duty.permit(ORDER_ARRIVAL_MS);
     if (engine === undefined || permit === undefined) {
       return;
     }
@@ -169,7 +169,7 @@
     const outcome = await engine.order({ action, modelVersion, fence: token })();
     const result = E.isRight(outcome) ? 'taken' : outcome.left.reason;
     if (E.isRight(outcome) && action === 'load') {
-      pending = [...pending, { targetId, modelVersion, orderedAtMs: clock.now() }];
+      pendingLoads = [...pendingLoads, { targetId, modelVersion, orderedAtMs: clock.now() }];
     }
     metrics.count('limelead_orders_total', 1, { action, outcome: result });
     bus.publish('', () => ({
@@ -182,7 +182,7 @@
   }
 
   return {
-    work,
+    reconcile: work,
     async release() {
       if (duty.sentAtMs !== undefined) {
         duty.giveUp();
--- a/packages/assemble-placement-plan/src/index.test.ts
+++ b/packages/assemble-placement-plan/src/index.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import assemblePlacementPlan, { type PlacedTarget, type PlacementSituation } from './index.js';
+import assemblePlacementPlan, { type PlacedTarget, type PlacementInputs } from './index.js';
 
 const OLD: ModelVersion = { model: 'tutor', adapter: '', version: '1' };
 const NEW: ModelVersion = { model: 'tutor', adapter: '', version: '2' };
@@ -20,13 +20,13 @@
   return { id: `e${index}`, failureDomain, loaded, load: 0 };
 }
 
-function situation(change: Partial<PlacementSituation>): PlacementSituation {
+function situation(change: Partial<PlacementInputs>): PlacementInputs {
   return {
     rules: [],
-    current: [],
+    currentVersions: [],
     targets: [],
-    pending: [],
-    unwantedSince: new Map(),
+    pendingLoads: [],
+    unusedSinceMs: new Map(),
     now: 100_000,
     limits: { maxPendingLoads: 2, retainMs: 60_000 },
     ...change,
@@ -44,23 +44,30 @@
 
 test('a load that is under way is not ordered again', () => {
   const targets = [target(0, [])];
-  const pending = [{ targetId: 'e0', modelVersion: NEW }];
-  assert.equal(assemblePlacementPlan(situation({ rules: [rule(NEW, 1)], targets, pending })), []);
+  const pendingLoads = [{ targetId: 'e0', modelVersion: NEW }];
+  assert.equal(
+    assemblePlacementPlan(situation({ rules: [rule(NEW, 1)], targets, pendingLoads })),
+    [],
+  );
 });
 
 test('the old version stays until the new one is everywhere it should be, and some time more', () => {
   const rules = [rule(NEW, 2)];
-  const unwantedSince = new Map([['tutor/-@1', 0]]);
+  const unusedSinceMs = new Map([['tutor/-@1', 0]]);
   const half = [target(0, [OLD, NEW]), target(1, [OLD])];
   const whole = [target(0, [OLD, NEW]), target(1, [OLD, NEW])];
-  const actions = (change: Partial<PlacementSituation>) =>
-    assemblePlacementPlan(situation({ rules, unwantedSince, ...change })).map(
+  const actions = (change: Partial<PlacementInputs>) =>
+    assemblePlacementPlan(situation({ rules, unusedSinceMs, ...change })).map(
       ({ action }) => action,
     );
   assert.equal(actions({ targets: half }), ['load']);
   assert.equal(actions({ targets: whole }), ['unload', 'unload']);
-  assert.equal(actions({ targets: whole, unwantedSince: new Map([['tutor/-@1', 90_000]]) }), []);
-  assert.equal(actions({ targets: whole, current: [OLD] }), [], 'a service still begins with it');
+  assert.equal(actions({ targets: whole, unusedSinceMs: new Map([['tutor/-@1', 90_000]]) }), []);
+  assert.equal(
+    actions({ targets: whole, currentVersions: [OLD] }),
+    [],
+    'a service still begins with it',
+  );
 });
 
 test('carried out again and again, a plan meets every rule that can be met, and then rests', () => {
--- a/packages/assemble-placement-plan/src/index.ts
+++ b/packages/assemble-placement-plan/src/index.ts
@@ -25,15 +25,15 @@
 }
 
 /** Everything that a plan is made from. */
-export interface PlacementSituation {
+export interface PlacementInputs {
   rules: PlacementRule[];
   /** Versions with which new answers begin now. */
-  current: ModelVersion[];
+  currentVersions: ModelVersion[];
   /** Engines with a fresh report that are not leaving. */
   targets: PlacedTarget[];
-  pending: PendingLoad[];
+  pendingLoads: PendingLoad[];
   /** Since when a version was wanted by nothing; by its description. */
-  unwantedSince: ReadonlyMap<string, Millis>;
+  unusedSinceMs: ReadonlyMap<string, Millis>;
   now: Millis;
   limits: PlacementLimits;
 }
@@ -47,7 +47,7 @@
 }
 
 /** One order, and why. */
-export interface PlannedOrder {
+export interface PlacementOrder {
   targetId: TargetId;
   action: 'load' | 'unload';
   modelVersion: ModelVersion;
@@ -55,29 +55,31 @@
 }
 
 /** Assembles the orders; none where everything is as it should be. */
-export default function assemblePlacementPlan(situation: PlacementSituation): PlannedOrder[] {
+export default function assemblePlacementPlan(situation: PlacementInputs): PlacementOrder[] {
   const loads = planLoads(situation);
   // Unloading waits until every rule is met, so that a change of version never
   // takes capacity away before its successor has it.
-  const isSettled = loads.length === 0 && situation.pending.length === 0;
-  return isSettled && meetsRules(situation) ? planUnloads(situation) : loads;
+  const isSettled = loads.length === 0 && situation.pendingLoads.length === 0;
+  return isSettled && areRulesMet(situation) ? planUnloads(situation) : loads;
 }
 
 /** Versions that are loaded somewhere and that neither a rule nor a service wants. */
-export function findUnwanted(situation: Omit<PlacementSituation, 'unwantedSince'>): ModelVersion[] {
+export function findUnusedVersions(
+  situation: Omit<PlacementInputs, 'unusedSinceMs'>,
+): ModelVersion[] {
   const seen = new Map<string, ModelVersion>();
   for (const version of situation.targets.flatMap(({ loaded }) => loaded)) {
-    if (!isWanted(situation, version)) {
+    if (!isUsed(situation, version)) {
       seen.set(describeModelVersion(version), version);
     }
   }
   return [...seen.values()];
 }
 
-function planLoads(situation: PlacementSituation): PlannedOrder[] {
-  const planned: PlannedOrder[] = [];
+function planLoads(situation: PlacementInputs): PlacementOrder[] {
+  const planned: PlacementOrder[] = [];
   const room = (): number =>
-    situation.limits.maxPendingLoads - situation.pending.length - planned.length;
+    situation.limits.maxPendingLoads - situation.pendingLoads.length - planned.length;
   for (const rule of situation.rules) {
     let missing = rule.targets - countPlaced(situation, rule);
     while (missing > 0 && room() > 0) {
@@ -95,13 +97,13 @@
 
 /** Spreads over failure domains first, then takes the least busy. */
 function chooseTarget(
-  situation: PlacementSituation,
+  situation: PlacementInputs,
   rule: PlacementRule,
-  planned: PlannedOrder[],
+  planned: PlacementOrder[],
 ): PlacedTarget | undefined {
   const version = versionOf(rule);
   const isTaken = (target: PlacedTarget): boolean =>
-    hasOrAwaits(situation, target, version) ||
+    hasOrIsLoading(situation, target, version) ||
     planned.some(
       (order) => order.targetId === target.id && isSameModelVersion(order.modelVersion, version),
     );
@@ -119,11 +121,11 @@
   )[0];
 }
 
-function planUnloads(situation: PlacementSituation): PlannedOrder[] {
-  const { now, limits, unwantedSince } = situation;
-  return findUnwanted(situation)
+function planUnloads(situation: PlacementInputs): PlacementOrder[] {
+  const { now, limits, unusedSinceMs } = situation;
+  return findUnusedVersions(situation)
     .filter((version) => {
-      const since = unwantedSince.get(describeModelVersion(version));
+      const since = unusedSinceMs.get(describeModelVersion(version));
       return since !== undefined && now - since >= limits.retainMs;
     })
     .flatMap((version) =>
@@ -138,26 +140,26 @@
     );
 }
 
-function meetsRules(situation: PlacementSituation): boolean {
+function areRulesMet(situation: PlacementInputs): boolean {
   return situation.rules.every((rule) => countPlaced(situation, rule) >= rule.targets);
 }
 
 /** Allowed targets that have the rule's version, or are about to. */
-function countPlaced(situation: PlacementSituation, rule: PlacementRule): number {
+function countPlaced(situation: PlacementInputs, rule: PlacementRule): number {
   const version = versionOf(rule);
   return situation.targets.filter(
-    (target) => isAllowed(rule, target) && hasOrAwaits(situation, target, version),
+    (target) => isAllowed(rule, target) && hasOrIsLoading(situation, target, version),
   ).length;
 }
 
-function hasOrAwaits(
-  { pending }: PlacementSituation,
+function hasOrIsLoading(
+  { pendingLoads }: PlacementInputs,
   target: PlacedTarget,
   version: ModelVersion,
 ): boolean {
   return (
     target.loaded.some((loaded) => isSameModelVersion(loaded, version)) ||
-    pending.some(
+    pendingLoads.some(
       (load) => load.targetId === target.id && isSameModelVersion(load.modelVersion, version),
     )
   );
@@ -167,11 +169,11 @@
   return rule.failureDomains.length === 0 || rule.failureDomains.includes(target.failureDomain);
 }
 
-function isWanted(
-  { rules, current }: Pick<PlacementSituation, 'rules' | 'current'>,
+function isUsed(
+  { rules, currentVersions }: Pick<PlacementInputs, 'rules' | 'currentVersions'>,
   version: ModelVersion,
 ): boolean {
-  const wanted = [...rules.map(versionOf), ...current];
+  const wanted = [...rules.map(versionOf), ...currentVersions];
   return wanted.some((other) => isSameModelVersion(other, version));
 }
 
--- a/packages/daemon/src/place-models.ts
+++ b/packages/daemon/src/place-models.ts
@@ -1,5 +1,8 @@
 /** Does placement on this VM while it is one of the few that may, and holds the lease. */
-import { createPlacementDoer, type PlacementDoer } from '@limelead/apply-placement-plan';
+import {
+  createPlacementController,
+  type PlacementController,
+} from '@limelead/apply-placement-plan';
 import { listSpecs } from '@limelead/configuration-state';
 import { estimateLoad } from '@limelead/track-targets';
 import type { ModelVersion } from '@limelead/types';
@@ -26,27 +29,27 @@
   const loop = startLoop(context, WORK_INTERVAL_MS, async () => {
     // The VMs that watch already; so the lease costs the service few calls.
     if (hasRules(context) && isWatcher(context)) {
-      await doer.work();
+      await doer.reconcile();
     }
   });
   return { stop: () => loop.stop(), release: () => doer.release() };
 }
 
-function createDoer(context: VmContext): PlacementDoer {
+function createDoer(context: VmContext): PlacementController {
   const { outside, clock, metrics, bus, incarnation, targets } = context;
-  return createPlacementDoer({
+  return createPlacementController({
     store: outside.store,
     clock,
     metrics,
     bus,
     incarnation,
     limits: { maxPendingLoads: MAX_PENDING_LOADS, retainMs: RETAIN_MS },
-    view: () => ({
+    readView: () => ({
       rules: listSpecs(context.configuration.configuration, 'placementRule'),
-      current: listCurrentVersions(context),
+      currentVersions: listCurrentVersions(context),
       targets: listPlacedTargets(context),
     }),
-    engineOf: (id) => {
+    findEngine: (id) => {
       const target = targets.find(id);
       return target === undefined ? undefined : outside.connector.engine(target.host, target.port);
     },
--- a/packages/gateway/src/capacity.test.ts
+++ b/packages/gateway/src/capacity.test.ts
@@ -30,7 +30,7 @@
   } as unknown as FleetPartContext;
   const part = createCapacity(context, {
     duties: { callsPerSecond: 9 } as never,
-    duty: { holder: 'vm1', permit: () => undefined, noteOutdated: () => undefined },
+    duty: { holder: 'vm1', permit: () => undefined, markTokenOutdated: () => undefined },
     dutyPlatform: {
       reportUsage: () => async () => E.right<never, DutyAnswer>('taken'),
       orderTargets: () => async () => E.right<never, DutyAnswer>('invalid'),
--- a/packages/gateway/src/duty-part.ts
+++ b/packages/gateway/src/duty-part.ts
@@ -1,5 +1,5 @@
 /** The part that stands for the duties of one VM at a time, and holds them where it can. */
-import { ConditionalSeat, DutyKeeper, HeldDuty, type Duty } from '@limelead/hold-duty';
+import { ConditionalStoreLease, DutyElector, LeasedDuty, type Duty } from '@limelead/hold-duty';
 import { systemClock } from '@limelead/types';
 import { randomUUID } from 'node:crypto';
 import type { FleetPart, FleetPartContext } from './fleet-part.js';
@@ -34,13 +34,13 @@
 ): DutyPart {
   const { settings, platform, clock, timers, random, log, metrics, knowledge } = context;
   const startedAtMs = clock.now();
-  const duty = new HeldDuty({
+  const duty = new LeasedDuty({
     holder: settings.vm,
     clock,
     timeOfDay: systemClock,
-    quietMs: leaseMs,
+    reacquireDelayMs: leaseMs,
     marginMs: LEASE_MARGIN_MS,
-    onTaken(token, mayActInMs) {
+    onAcquired(token, mayActInMs) {
       metrics.count('limelead_duty_changes_total', 1, { change: 'taken' });
       log.write('duty-taken', { token, mayActInMs: Math.round(mayActInMs) });
     },
@@ -48,7 +48,7 @@
       metrics.count('limelead_duty_changes_total', 1, { change: loss });
       log.write('duty-lost', { token, loss, leaseAgeMs: Math.round(leaseAgeMs) });
     },
-    onLostTime(lostMs) {
+    onClockJump(lostMs) {
       metrics.count('limelead_time_lost_total');
       log.write('time-lost', { lostMs: Math.round(lostMs) });
     },
@@ -64,7 +64,7 @@
     const place = candidates.indexOf(formatAddress(settings.peers));
     return place < 0 ? undefined : place;
   };
-  const seat = new ConditionalSeat({
+  const seat = new ConditionalStoreLease({
     store: platform.storeItems,
     key,
     vm: settings.vm,
@@ -72,16 +72,16 @@
     ttlMs: leaseMs,
     clock,
   });
-  const keeper = new DutyKeeper({
-    seat,
+  const keeper = new DutyElector({
+    lease: seat,
     duty,
     clock,
     timers,
     random,
     ttlMs: leaseMs,
-    readPlace,
-    readCutOffSinceMs: () => context.readExchange()?.cutOffSinceMs,
-    isTaken: () => (knowledge.revision > 0 ? knowledge.has(key) : undefined),
+    readCandidateRank: readPlace,
+    readIsolatedSinceMs: () => context.readExchange()?.cutOffSinceMs,
+    isHeldInStore: () => (knowledge.revision > 0 ? knowledge.has(key) : undefined),
     onFault: (step, { reason, sent, message }) =>
       log.write('duty-call-failed', { step, reason, sent, message }),
   });
@@ -92,7 +92,7 @@
       const others = context.readExchange()?.linkedCandidates ?? [];
       if (others.length > 0) {
         log.write('duty-left-to-others', { candidates: others.map(({ peer }) => peer) });
-        keeper.stepAside();
+        keeper.yieldToOthers();
       }
     },
     start: () => keeper.start(),
--- a/packages/hold-duty/src/lost-time.test.ts
+++ b/packages/hold-duty/src/clock-jump-detector.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import HeldDuty from './held-duty.js';
+import LeasedDuty from './leased-duty.js';
 
 const TTL_MS = 3_000;
 const MARGIN_MS = 200;
@@ -11,15 +11,15 @@
   dayMs = 1_000_000;
   readonly jumps: number[] = [];
   readonly lost: string[] = [];
-  readonly duty = new HeldDuty({
+  readonly duty = new LeasedDuty({
     holder: 'vm-1',
     clock: { now: () => this.steadyMs },
     timeOfDay: { now: () => this.dayMs },
-    quietMs: 0,
+    reacquireDelayMs: 0,
     marginMs: MARGIN_MS,
-    onTaken: () => undefined,
+    onAcquired: () => undefined,
     onLost: (_, loss) => this.lost.push(loss),
-    onLostTime: (jumpMs) => this.jumps.push(jumpMs),
+    onClockJump: (jumpMs) => this.jumps.push(jumpMs),
   });
 
   constructor() {
@@ -37,7 +37,7 @@
   }
 
   renew(sentAtMs = this.steadyMs): void {
-    this.duty.noteAnswer({ kind: 'ours', token: 4, sentAtMs, ttlMs: TTL_MS });
+    this.duty.onLeaseAnswer({ kind: 'ours', token: 4, sentAtMs, ttlMs: TTL_MS });
   }
 
   get mayAct(): boolean {
@@ -92,7 +92,7 @@
     const world = new World();
     world.lose(stepMs);
     world.pass(100);
-    world.duty.noteTime();
+    world.duty.checkExpiry();
     world.pass(10);
     world.renew();
     assert.ok(world.mayAct);
--- a/packages/hold-duty/src/lost-time.ts
+++ b/packages/hold-duty/src/clock-jump-detector.ts
@@ -9,13 +9,13 @@
  * A time of day that gets ahead of the steady clock by less is taken for correction, in
  * milliseconds: both drift by a thousandth at most, and a lease keeps a margin as large.
  */
-const LEAST_JUMP_MS = 150;
+const MIN_JUMP_MS = 150;
 
 /** Jumps kept; a lease is renewed several times before as many could come. */
-const MOST_JUMPS = 16;
+const MAX_JUMPS = 16;
 
 /** Compares two clocks. */
-export default class LostTime {
+export default class ClockJumpDetector {
   /** How far the time of day was ahead of the steady clock when last looked at. */
   private aheadMs: Millis;
   /** Jumps, the newest last. */
@@ -31,24 +31,24 @@
   }
 
   /** Time that may have passed uncounted since a steady time, in milliseconds. */
-  since(atMs: Millis): Millis {
-    this.look();
+  jumpedSince(atMs: Millis): Millis {
+    this.check();
     return this.jumps
       .filter((jump) => jump.atMs >= atMs)
       .reduce((sum, { jumpMs }) => sum + jumpMs, 0);
   }
 
   /** Notices what was lost until now; the sooner, the less counts as sent before it. */
-  look(): void {
+  check(): void {
     const now = this.steady.now();
     const aheadMs = this.timeOfDay.now() - now;
     const jumpMs = aheadMs - this.aheadMs;
-    if (jumpMs > 0 && jumpMs < LEAST_JUMP_MS) {
+    if (jumpMs > 0 && jumpMs < MIN_JUMP_MS) {
       return;
     }
     this.aheadMs = aheadMs;
-    if (jumpMs >= LEAST_JUMP_MS) {
-      this.jumps = [...this.jumps.slice(1 - MOST_JUMPS), { atMs: now, jumpMs }];
+    if (jumpMs >= MIN_JUMP_MS) {
+      this.jumps = [...this.jumps.slice(1 - MAX_JUMPS), { atMs: now, jumpMs }];
       this.onJump(jumpMs);
     }
   }
--- a/packages/hold-duty/src/conditional-seat.ts
+++ b/packages/hold-duty/src/conditional-store-lease.ts
@@ -3,12 +3,12 @@
 import type { Clock, Millis } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
 import * as t from 'io-ts';
-import type { LeaseSeat, SeatAnswer } from './lease-seat.js';
+import type { DutyLease, LeaseAnswer } from './duty-lease.js';
 
 const holderCodec = t.type({ vm: t.string, incarnation: t.string, lease: t.number });
 
 /** What a seat needs. */
-export interface ConditionalSeatOptions {
+export interface ConditionalStoreLeaseOptions {
   store: ConditionalStore;
   key: string;
   /** Name of the VM, for operators who look into the store. */
@@ -21,17 +21,17 @@
 }
 
 /** The token is the revision of the write that took the seat, which the store only lets rise. */
-export default class ConditionalSeat implements LeaseSeat {
+export default class ConditionalStoreLease implements DutyLease {
   private lease: number | undefined;
   private token = 0;
   private leaseTtlMs: Millis;
 
-  constructor(private readonly options: ConditionalSeatOptions) {
+  constructor(private readonly options: ConditionalStoreLeaseOptions) {
     this.leaseTtlMs = options.ttlMs;
   }
 
   /** Reads first: a write whose answer was lost may have been done meanwhile. */
-  take(): PortCall<SeatAnswer> {
+  acquire(): PortCall<LeaseAnswer> {
     return async () => {
       const found = await this.options.store.read(this.options.key)();
       if (E.isLeft(found)) {
@@ -41,11 +41,11 @@
     };
   }
 
-  renew(): PortCall<SeatAnswer> {
+  renew(): PortCall<LeaseAnswer> {
     return async () => {
       const sentAtMs = this.options.clock.now();
       const renewed = await this.options.store.renewLease(this.lease ?? 0)();
-      return E.map((stands: boolean): SeatAnswer => {
+      return E.map((stands: boolean): LeaseAnswer => {
         const { token, leaseTtlMs } = this;
         return stands ? { kind: 'ours', token, sentAtMs, ttlMs: leaseTtlMs } : { kind: 'free' };
       })(renewed);
@@ -62,7 +62,7 @@
   }
 
   /** A key of this process that stands lasts as long as its lease, which a renewal tells. */
-  private async readHolder({ value, revision }: StoreEntry): ReturnType<PortCall<SeatAnswer>> {
+  private async readHolder({ value, revision }: StoreEntry): ReturnType<PortCall<LeaseAnswer>> {
     const holder = decode(value);
     if (holder?.incarnation !== this.options.incarnation) {
       return E.right({ kind: 'taken' });
@@ -72,7 +72,7 @@
     return this.renew()();
   }
 
-  private async write(): ReturnType<PortCall<SeatAnswer>> {
+  private async write(): ReturnType<PortCall<LeaseAnswer>> {
     const { store, key, vm, incarnation, ttlMs, clock } = this.options;
     const sentAtMs = clock.now();
     const granted = await store.grantLease(ttlMs)();
--- a/packages/hold-duty/src/duty-keeper.test.ts
+++ b/packages/hold-duty/src/duty-elector.test.ts
@@ -4,9 +4,9 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import DutyKeeper from './duty-keeper.js';
-import HeldDuty from './held-duty.js';
-import type { SeatAnswer } from './lease-seat.js';
+import DutyElector from './duty-elector.js';
+import LeasedDuty from './leased-duty.js';
+import type { LeaseAnswer } from './duty-lease.js';
 
 const LEASE_MS = 3_000;
 /** Longer than a VM without a place keeps the duty, and than the pause behind its release. */
@@ -15,8 +15,8 @@
 
 interface Scene {
   time: ManualTime;
-  duty: HeldDuty;
-  keeper: DutyKeeper;
+  duty: LeasedDuty;
+  keeper: DutyElector;
   place: number | undefined;
   cutOffSinceMs: number | undefined;
   /** What the store says to who asks; its time is that of the call. */
@@ -30,25 +30,25 @@
 function createScene(): Scene {
   const time = createManualTime(0);
   const { clock, timers } = time;
-  const duty = new HeldDuty({
+  const duty = new LeasedDuty({
     holder: 'a',
     clock,
     timeOfDay: clock,
-    quietMs: 0,
+    reacquireDelayMs: 0,
     marginMs: 100,
-    onTaken: () => undefined,
+    onAcquired: () => undefined,
     onLost: () => undefined,
-    onLostTime: () => undefined,
+    onClockJump: () => undefined,
   });
-  const answer = (): E.Either<never, SeatAnswer> => {
+  const answer = (): E.Either<never, LeaseAnswer> => {
     const { seat, token } = scene;
     return seat === 'ours'
       ? E.right({ kind: seat, token, sentAtMs: clock.now(), ttlMs: LEASE_MS })
       : E.right({ kind: seat });
   };
-  const keeper = new DutyKeeper({
-    seat: {
-      take: () => async () => {
+  const keeper = new DutyElector({
+    lease: {
+      acquire: () => async () => {
         scene.takes += 1;
         return answer();
       },
@@ -68,9 +68,9 @@
     timers,
     random: { next: () => 0 },
     ttlMs: LEASE_MS,
-    readPlace: () => scene.place,
-    readCutOffSinceMs: () => scene.cutOffSinceMs,
-    isTaken: () => scene.duty.sentAtMs !== undefined,
+    readCandidateRank: () => scene.place,
+    readIsolatedSinceMs: () => scene.cutOffSinceMs,
+    isHeldInStore: () => scene.duty.sentAtMs !== undefined,
     onFault: () => undefined,
   });
   const scene: Scene = {
--- a/packages/hold-duty/src/duty-keeper.ts
+++ b/packages/hold-duty/src/duty-elector.ts
@@ -2,51 +2,51 @@
 import type { PortFault } from '@limelead/errors';
 import { delay, type Clock, type Millis, type Random, type Timers } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
-import type HeldDuty from './held-duty.js';
-import type { LeaseSeat, SeatAnswer } from './lease-seat.js';
-import planStep, { type DutySituation, type DutyStep } from './plan-step.js';
+import type LeasedDuty from './leased-duty.js';
+import type { DutyLease, LeaseAnswer } from './duty-lease.js';
+import planStep, { type DutyStatus, type DutyStep } from './plan-step.js';
 
 /** Time between two looks at the situation; no look costs a call. */
-const LOOK_EVERY_MS = 200;
+const STEP_INTERVAL_MS = 200;
 /** Renewals that fit into a lease, so that one may fail and the next still be in time. */
-const RENEWALS_A_LEASE = 3;
+const RENEWALS_PER_LEASE = 3;
 /** Pause behind a renewal that failed: while the lease lasts another try is worth its call. */
-const RENEW_AGAIN_MS = 300;
+const RENEW_RETRY_MS = 300;
 /** Pause behind a try that found the duty taken, and behind the first that failed. */
-const FIRST_PAUSE_MS = 500;
+const MIN_BACKOFF_MS = 500;
 /**
  * Longest pause between tries, in milliseconds, for a store that is away for long: each call has
  * its price, and a window that ended meanwhile is due 10 s behind its end.
  */
-const LONGEST_PAUSE_MS = 2_000;
+const MAX_BACKOFF_MS = 2_000;
 /**
  * Time for which a VM that can't carry a duty out leaves it to others, in milliseconds: one of
  * them has taken it and tried by then.
  */
-const ASIDE_MS = 10_000;
+const YIELD_MS = 10_000;
 /** Share of a pause that is drawn, so that VMs that failed together do not try together. */
-const DRAWN_SHARE = 0.3;
+const JITTER_SHARE = 0.3;
 
 /** What a keeper needs. */
-export interface DutyKeeperOptions {
-  seat: LeaseSeat;
-  duty: HeldDuty;
+export interface DutyElectorOptions {
+  lease: DutyLease;
+  duty: LeasedDuty;
   clock: Clock;
   timers: Timers;
   random: Random;
   /** Time that a lease lasts, in milliseconds. */
   ttlMs: Millis;
   /** Places behind the first of the VMs that stand for the duty; undefined where others stand. */
-  readPlace(): number | undefined;
+  readCandidateRank(): number | undefined;
   /** Since when this VM has no links to most of the others; undefined where it has. */
-  readCutOffSinceMs(): Millis | undefined;
+  readIsolatedSinceMs(): Millis | undefined;
   /** Whether somebody holds the duty by news of the store; undefined where they tell nothing. */
-  isTaken(): boolean | undefined;
+  isHeldInStore(): boolean | undefined;
   onFault(step: DutyStep, fault: PortFault): void;
 }
 
 /** Runs from the start of the process to its end. */
-export default class DutyKeeper {
+export default class DutyElector {
   private vacantSinceMs: Millis | undefined;
   private outOfPlaceSinceMs: Millis | undefined;
   private askedAtMs: Millis = -Infinity;
@@ -57,20 +57,20 @@
   private isStopping = false;
   private underWay: Promise<void> = Promise.resolve();
 
-  constructor(private readonly options: DutyKeeperOptions) {}
+  constructor(private readonly options: DutyElectorOptions) {}
 
   /** Begins to stand. */
   start(): void {
     this.underWay = this.look().finally(() => {
       if (!this.isStopping) {
-        this.options.timers.after(LOOK_EVERY_MS, () => this.start());
+        this.options.timers.after(STEP_INTERVAL_MS, () => this.start());
       }
     });
   }
 
   /** This VM holds the duty and can't carry it out: another may, for a while. */
-  stepAside(): void {
-    this.asideUntilMs = this.options.clock.now() + ASIDE_MS;
+  yieldToOthers(): void {
+    this.asideUntilMs = this.options.clock.now() + YIELD_MS;
   }
 
   /** Gives the duty up, once all that was permitted arrived; resolves when another may take it. */
@@ -82,7 +82,7 @@
 
   private async look(): Promise<void> {
     const { duty } = this.options;
-    duty.noteTime();
+    duty.checkExpiry();
     if (this.wasHeld && duty.sentAtMs === undefined) {
       // The store's news still show this VM's own hold.
       this.askedAtMs = -Infinity;
@@ -93,47 +93,51 @@
     this.wasHeld = duty.sentAtMs !== undefined;
   }
 
-  private readSituation(): DutySituation {
-    const { duty, clock, ttlMs, readPlace, readCutOffSinceMs, isTaken } = this.options;
+  private readSituation(): DutyStatus {
+    const { duty, clock, ttlMs, readCandidateRank, readIsolatedSinceMs, isHeldInStore } =
+      this.options;
     const now = clock.now();
-    const place = readPlace();
-    this.vacantSinceMs = isTaken() === false ? (this.vacantSinceMs ?? now) : undefined;
+    const place = readCandidateRank();
+    this.vacantSinceMs = isHeldInStore() === false ? (this.vacantSinceMs ?? now) : undefined;
     const isOutOfPlace = duty.sentAtMs !== undefined && place === undefined;
     this.outOfPlaceSinceMs = isOutOfPlace ? (this.outOfPlaceSinceMs ?? now) : undefined;
     return {
       now,
-      place,
+      candidateRank: place,
       sentAtMs: duty.sentAtMs,
-      outOfPlaceSinceMs: this.outOfPlaceSinceMs,
-      cutOffSinceMs: readCutOffSinceMs(),
+      notCandidateSinceMs: this.outOfPlaceSinceMs,
+      isolatedSinceMs: readIsolatedSinceMs(),
       heldSinceMs: duty.heldSinceMs,
       vacantSinceMs: this.vacantSinceMs,
-      askedAtMs: this.askedAtMs,
-      asideUntilMs: this.asideUntilMs,
+      holderCheckedAtMs: this.askedAtMs,
+      yieldUntilMs: this.asideUntilMs,
       retryAtMs: this.retryAtMs,
-      renewEveryMs: ttlMs / RENEWALS_A_LEASE,
+      renewalIntervalMs: ttlMs / RENEWALS_PER_LEASE,
     };
   }
 
   private async carryOut(step: DutyStep): Promise<void> {
-    const { seat } = this.options;
+    const { lease } = this.options;
     if (step === 'renew') {
-      await this.takeAnswer(step, await seat.renew()());
+      await this.takeAnswer(step, await lease.renew()());
     } else if (step === 'take') {
       this.askedAtMs = this.options.clock.now();
-      await this.takeAnswer(step, await seat.take()());
+      await this.takeAnswer(step, await lease.acquire()());
     } else if (step === 'release') {
       await this.release();
     }
   }
 
-  private async takeAnswer(step: DutyStep, answer: E.Either<PortFault, SeatAnswer>): Promise<void> {
+  private async takeAnswer(
+    step: DutyStep,
+    answer: E.Either<PortFault, LeaseAnswer>,
+  ): Promise<void> {
     if (E.isLeft(answer)) {
       this.options.onFault(step, answer.left);
-      this.pause(step === 'renew' ? RENEW_AGAIN_MS : this.lengthenPause());
+      this.pause(step === 'renew' ? RENEW_RETRY_MS : this.lengthenPause());
       return;
     }
-    const isUsable = this.options.duty.noteAnswer(answer.right);
+    const isUsable = this.options.duty.onLeaseAnswer(answer.right);
     if (isUsable && answer.right.kind === 'ours') {
       this.failures = 0;
       return;
@@ -141,7 +145,7 @@
     if (answer.right.kind === 'taken') {
       // The store works and told all there is to know: the next vacancy is not waited out.
       this.failures = 0;
-      this.pause(FIRST_PAUSE_MS);
+      this.pause(MIN_BACKOFF_MS);
       return;
     }
     if (!isUsable) {
@@ -152,32 +156,32 @@
   }
 
   private lengthenPause(): Millis {
-    const pauseMs = Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** this.failures);
+    const pauseMs = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** this.failures);
     this.failures += 1;
     return pauseMs;
   }
 
   private pause(milliseconds: Millis): void {
     const { clock, random } = this.options;
-    const drawnMs = milliseconds * DRAWN_SHARE * random.next();
+    const drawnMs = milliseconds * JITTER_SHARE * random.next();
     this.retryAtMs = clock.now() + milliseconds + drawnMs;
   }
 
   /** Waits until calls on their way have arrived, so that none comes behind a later holder's. */
   private async release(): Promise<void> {
-    const { duty, seat, clock, timers } = this.options;
+    const { duty, lease, clock, timers } = this.options;
     const token = duty.giveUp();
     const onTheirWayMs = duty.lastArrivalMs - clock.now();
     if (token !== undefined && onTheirWayMs > 0) {
       await delay(timers, onTheirWayMs);
     }
-    const released = await seat.release()();
+    const released = await lease.release()();
     if (E.isLeft(released)) {
       this.options.onFault('release', released.left);
       // It may be done at any time, also behind a renewal of the lease: whoever takes the
       // duty then would act beside this VM.
-      duty.noteOutdated(token ?? 0);
+      duty.markTokenOutdated(token ?? 0);
     }
-    this.pause(LONGEST_PAUSE_MS);
+    this.pause(MAX_BACKOFF_MS);
   }
 }
--- a/packages/hold-duty/src/lease-seat.ts
+++ b/packages/hold-duty/src/duty-lease.ts
@@ -3,7 +3,7 @@
 import type { Millis } from '@limelead/types';
 
 /** How the seat of a duty stands, by a read or write that the store answered for certain. */
-export type SeatAnswer =
+export type LeaseAnswer =
   | {
       kind: 'ours';
       /** Higher for each later holder. */
@@ -19,11 +19,11 @@
   | { kind: 'free' };
 
 /** A seat that one process at a time holds. Calls are made one at a time. */
-export interface LeaseSeat {
+export interface DutyLease {
   /** Takes it where it is free, and finds it taken where an earlier try did that unheard. */
-  take(): PortCall<SeatAnswer>;
+  acquire(): PortCall<LeaseAnswer>;
   /** Makes it last longer. */
-  renew(): PortCall<SeatAnswer>;
+  renew(): PortCall<LeaseAnswer>;
   /** Gives it up, with whatever earlier tries may still bring. */
   release(): PortCall<void>;
 }
--- a/packages/hold-duty/src/world.fixture.ts
+++ b/packages/hold-duty/src/duty-simulation.fixture.ts
@@ -3,10 +3,10 @@
 import type { ConditionalStore, PortCall, StoreWrite, WriteCondition } from '@limelead/ports';
 import type { Millis, Timers } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
-import ConditionalSeat from './conditional-seat.js';
+import ConditionalStoreLease from './conditional-store-lease.js';
 import type { Duty } from './duty.js';
-import DutyKeeper from './duty-keeper.js';
-import HeldDuty, { type HeldDutyOptions } from './held-duty.js';
+import DutyElector from './duty-elector.js';
+import LeasedDuty, { type LeasedDutyOptions } from './leased-duty.js';
 
 export const LEASE_MS = 3_000;
 const KEY = 'duties';
@@ -21,7 +21,7 @@
 const MICROTASKS_TO_SETTLE = 12;
 
 /** What befalls one VM, or the store where `vm` says 'store'. */
-export interface Trouble {
+export interface InjectedFault {
   atMs: Millis;
   vm: number | 'store';
   kind:
@@ -30,7 +30,7 @@
 }
 
 /** A call as it reached the platform. */
-export interface Act {
+export interface PlatformCall {
   atMs: Millis;
   vm: number;
   incarnation: string;
@@ -143,10 +143,10 @@
   lateUntilMs: Millis = -Infinity;
   starts = 0;
   duty: Duty | undefined;
-  keeper: DutyKeeper | undefined;
+  keeper: DutyElector | undefined;
 
   constructor(
-    readonly world: World,
+    readonly world: DutySimulation,
     readonly number: number,
   ) {}
 
@@ -157,7 +157,7 @@
     const timers = this.createTimers(this.starts);
     const clock = { now: () => time.now };
     const incarnation = `${this.number}/${this.starts}`;
-    const seat = new ConditionalSeat({
+    const seat = new ConditionalStoreLease({
       store: this.createStore(timers),
       key: KEY,
       vm: `vm-${this.number}`,
@@ -169,23 +169,23 @@
       holder: `vm-${this.number}`,
       clock,
       timeOfDay: clock,
-      quietMs: LEASE_MS,
+      reacquireDelayMs: LEASE_MS,
       marginMs: 100,
-      onTaken: () => undefined,
+      onAcquired: () => undefined,
       onLost: () => undefined,
-      onLostTime: () => undefined,
+      onClockJump: () => undefined,
     });
     this.duty = duty;
-    this.keeper = new DutyKeeper({
-      seat,
+    this.keeper = new DutyElector({
+      lease: seat,
       duty,
       clock,
       timers,
-      random: { next: () => options.draw() },
+      random: { next: () => options.random() },
       ttlMs: LEASE_MS,
-      readPlace: () => this.number,
-      readCutOffSinceMs: () => undefined,
-      isTaken: () => this.world.store.read(KEY) !== undefined,
+      readCandidateRank: () => this.number,
+      readIsolatedSinceMs: () => undefined,
+      isHeldInStore: () => this.world.store.read(KEY) !== undefined,
       onFault: () => undefined,
     });
     this.keeper.start();
@@ -197,18 +197,18 @@
   }
 
   private act(duty: Duty, incarnation: string): void {
-    const { time, options, acts } = this.world;
+    const { time, options, calls } = this.world;
     const permit = duty.permit(ARRIVAL_MS);
     if (permit !== undefined) {
       const { token } = permit;
-      const arrivalMs = time.now + options.draw() * ARRIVAL_MS;
+      const arrivalMs = time.now + options.random() * ARRIVAL_MS;
       time.at(arrivalMs, () => {
         if (options.isFenced && token < this.world.highestToken) {
-          duty.noteOutdated(token);
+          duty.markTokenOutdated(token);
           return;
         }
         this.world.highestToken = Math.max(token, this.world.highestToken);
-        acts.push({ atMs: time.now, vm: this.number, incarnation, token });
+        calls.push({ atMs: time.now, vm: this.number, incarnation, token });
       });
     }
   }
@@ -246,7 +246,7 @@
           if (time.now < Math.max(this.cutUntilMs, this.world.downUntilMs)) {
             lose();
           } else if (isWrite && time.now < this.lateUntilMs) {
-            time.at(time.now + 1_000 + options.draw() * 5_000, () => void run());
+            time.at(time.now + 1_000 + options.random() * 5_000, () => void run());
             lose();
           } else if (time.now < this.losesUntilMs) {
             run();
@@ -276,39 +276,39 @@
 }
 
 /** How a world is made. */
-export interface WorldOptions {
+export interface SimulationOptions {
   vms: number;
   isFenced: boolean;
-  troubles: readonly Trouble[];
+  faults: readonly InjectedFault[];
   /** In [0, 1). */
-  draw: () => number;
-  createDuty?: ((options: HeldDutyOptions) => HeldDuty) | undefined;
+  random: () => number;
+  createDuty?: ((options: LeasedDutyOptions) => LeasedDuty) | undefined;
 }
 
 /** Everything. */
-export default class World {
+export default class DutySimulation {
   readonly time = new Time();
   readonly store = new StoreState(this.time);
-  readonly acts: Act[] = [];
+  readonly calls: PlatformCall[] = [];
   readonly vms: Vm[];
-  readonly options: WorldOptions & { createDuty: (options: HeldDutyOptions) => HeldDuty };
+  readonly options: SimulationOptions & { createDuty: (options: LeasedDutyOptions) => LeasedDuty };
   downUntilMs: Millis = -Infinity;
   /** That the platform has seen. */
   highestToken = 0;
 
-  constructor(options: WorldOptions) {
-    const createDuty = options.createDuty ?? ((duty: HeldDutyOptions) => new HeldDuty(duty));
+  constructor(options: SimulationOptions) {
+    const createDuty = options.createDuty ?? ((duty: LeasedDutyOptions) => new LeasedDuty(duty));
     this.options = { ...options, createDuty };
     this.vms = Array.from({ length: options.vms }, (_, number) => new Vm(this, number));
     this.vms.forEach((vm) => vm.start());
-    options.troubles.forEach((trouble) => this.time.at(trouble.atMs, () => this.begin(trouble)));
+    options.faults.forEach((trouble) => this.time.at(trouble.atMs, () => this.begin(trouble)));
   }
 
-  playUntil(untilMs: Millis): Promise<void> {
+  runUntil(untilMs: Millis): Promise<void> {
     return this.time.playUntil(untilMs);
   }
 
-  private begin({ vm: number, kind, forMs }: Trouble): void {
+  private begin({ vm: number, kind, forMs }: InjectedFault): void {
     const untilMs = this.time.now + forMs;
     if (number === 'store') {
       this.downUntilMs = untilMs;
@@ -330,7 +330,7 @@
     } else if (kind === 'late') {
       vm.lateUntilMs = untilMs;
     } else if (kind === 'aside') {
-      vm.keeper?.stepAside();
+      vm.keeper?.yieldToOthers();
     } else if (kind === 'kill') {
       vm.starts += 1;
       this.time.at(untilMs, () => vm.start());
@@ -349,7 +349,7 @@
 }
 
 /** What holders must not do; empty where they did not. */
-export function findBroken(acts: readonly Act[]): string[] {
+export function findViolations(acts: readonly PlatformCall[]): string[] {
   const broken: string[] = [];
   const holderOf = new Map<number, string>();
   const lastActMs = new Map<number, Millis>();
--- a/packages/hold-duty/src/duty.ts
+++ b/packages/hold-duty/src/duty.ts
@@ -21,5 +21,5 @@
    */
   permit(arrivalMs: Millis): DutyPermit | undefined;
   /** A later holder's token was seen by somebody: this one is never used again. */
-  noteOutdated(token: number): void;
+  markTokenOutdated(token: number): void;
 }
--- a/packages/hold-duty/src/hold-duty.test.ts
+++ b/packages/hold-duty/src/hold-duty.test.ts
@@ -2,27 +2,32 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { DutyPermit } from './duty.js';
-import HeldDuty, { type HeldDutyOptions } from './held-duty.js';
-import World, { findBroken, LEASE_MS, type Trouble, type WorldOptions } from './world.fixture.js';
+import LeasedDuty, { type LeasedDutyOptions } from './leased-duty.js';
+import DutySimulation, {
+  findViolations,
+  LEASE_MS,
+  type InjectedFault,
+  type SimulationOptions,
+} from './duty-simulation.fixture.js';
 
 const RUNS = 2_000;
 const TROUBLED_MS = 10_000;
-/** Behind the last trouble: a pause between tries, a lease, the time in which nobody acts. */
+/** Behind the last faultArbitrary: a pause between tries, a lease, the time in which nobody acts. */
 const CALM_MS = 14_000;
 
-/** Longest trouble of a schedule. */
+/** Longest faultArbitrary of a schedule. */
 const LONGEST_MS = 5_000;
 /** Time that single failures are played for. */
 const SINGLE_MS = 16_000;
 
 /** Believes in its last renewal for as long as it hears nothing else. */
-class Careless extends HeldDuty {
+class Careless extends LeasedDuty {
   private token: number | undefined;
 
-  constructor(options: HeldDutyOptions) {
+  constructor(options: LeasedDutyOptions) {
     super({
       ...options,
-      onTaken: (token) => (this.token = token),
+      onAcquired: (token) => (this.token = token),
       onLost: () => (this.token = undefined),
     });
   }
@@ -33,7 +38,7 @@
 }
 
 /** Looks at the clock, but not at the time that a call may take. */
-class Hasty extends HeldDuty {
+class Hasty extends LeasedDuty {
   override permit(): DutyPermit | undefined {
     return super.permit(0);
   }
@@ -48,151 +53,177 @@
   };
 }
 
-async function play(options: Partial<WorldOptions>, untilMs = SINGLE_MS): Promise<World> {
-  const world = new World({
+async function play(
+  options: Partial<SimulationOptions>,
+  untilMs = SINGLE_MS,
+): Promise<DutySimulation> {
+  const world = new DutySimulation({
     vms: 2,
     isFenced: false,
-    troubles: [],
-    draw: createDraw(1),
+    faults: [],
+    random: createDraw(1),
     ...options,
   });
-  await world.playUntil(untilMs);
+  await world.runUntil(untilMs);
   return world;
 }
 
 /** Who acted, in order, without repeats. */
-function listHolders({ acts }: World): string[] {
-  return acts.map(({ incarnation }) => incarnation).filter((name, at, all) => name !== all[at - 1]);
+function listHolders({ calls }: DutySimulation): string[] {
+  return calls
+    .map(({ incarnation }) => incarnation)
+    .filter((name, at, all) => name !== all[at - 1]);
 }
 
 /** Longest time in which nobody acted behind the first act. */
-function longestGap({ acts }: World): number {
-  return Math.max(...acts.map(({ atMs }, index) => atMs - (acts[index - 1]?.atMs ?? atMs)));
+function longestGap({ calls }: DutySimulation): number {
+  return Math.max(...calls.map(({ atMs }, index) => atMs - (calls[index - 1]?.atMs ?? atMs)));
 }
 
-const one = (kind: Trouble['kind'], forMs: number, vm: Trouble['vm'] = 0): Trouble[] => [
-  { atMs: 6_050, vm, kind, forMs },
-];
+const one = (
+  kind: InjectedFault['kind'],
+  forMs: number,
+  vm: InjectedFault['vm'] = 0,
+): InjectedFault[] => [{ atMs: 6_050, vm, kind, forMs }];
 
 test('one VM holds the duty from three seconds on', async () => {
   const world = await play({});
   assert.equal(listHolders(world), ['0/1']);
-  assert.ok((world.acts[0]?.atMs ?? Infinity) < LEASE_MS + 1_200);
+  assert.ok((world.calls[0]?.atMs ?? Infinity) < LEASE_MS + 1_200);
 });
 
 test('a holder that is killed is replaced in about the time of a lease', async () => {
-  const world = await play({ troubles: one('kill', 60_000) });
+  const world = await play({ faults: one('kill', 60_000) });
   assert.equal(listHolders(world), ['0/1', '1/1']);
   assert.ok(longestGap(world) < LEASE_MS + 1_500, `${longestGap(world)}`);
 });
 
 test('a holder that stops hands over within a second and a half', async () => {
-  const world = await play({ troubles: one('stop', 60_000) });
+  const world = await play({ faults: one('stop', 60_000) });
   assert.equal(listHolders(world), ['0/1', '1/1']);
   assert.ok(longestGap(world) < 2_500, `${longestGap(world)}`);
 });
 
 test('a holder that steps aside has the other one in its place for a while', async () => {
-  const world = await play({ troubles: one('aside', 0) }, 30_000);
+  const world = await play({ faults: one('aside', 0) }, 30_000);
   assert.equal(listHolders(world), ['0/1', '1/1']);
 });
 
 test('a holder that stood still for longer than its lease does not act again', async () => {
-  const world = await play({ troubles: one('pause', 5_000) });
+  const world = await play({ faults: one('pause', 5_000) });
   assert.equal(listHolders(world), ['0/1', '1/1']);
-  assert.equal(findBroken(world.acts), []);
+  assert.equal(findViolations(world.calls), []);
 });
 
 test('a holder that the store turns away steps down in time', async () => {
-  const world = await play({ troubles: one('cut', 60_000) });
+  const world = await play({ faults: one('cut', 60_000) });
   assert.equal(listHolders(world), ['0/1', '1/1']);
-  assert.equal(findBroken(world.acts), []);
+  assert.equal(findViolations(world.calls), []);
 });
 
 test('one lost answer to a renewal changes no holder', async () => {
-  const world = await play({ troubles: one('lose', 1_100) });
+  const world = await play({ faults: one('lose', 1_100) });
   assert.equal(listHolders(world), ['0/1']);
 });
 
 test('an election whose write is done late has one holder', async () => {
-  const late: Trouble = { atMs: 0, vm: 0, kind: 'late', forMs: 4_000 };
-  const world = await play({ troubles: [late] });
-  assert.equal(findBroken(world.acts), []);
-  assert.ok(world.acts.length > 20);
+  const late: InjectedFault = { atMs: 0, vm: 0, kind: 'late', forMs: 4_000 };
+  const world = await play({ faults: [late] });
+  assert.equal(findViolations(world.calls), []);
+  assert.ok(world.calls.length > 20);
 });
 
 for (const kind of ['down-lapsing', 'down-waiting'] as const) {
   test(`a store that is away, ${kind}: nobody acts on a lease that may be over`, async () => {
-    const world = await play({ troubles: one(kind, 5_000, 'store') }, 30_000);
-    assert.equal(findBroken(world.acts), []);
-    assert.ok(world.acts.every(({ atMs }) => atMs < 6_050 + LEASE_MS || atMs > 11_050));
-    assert.ok(world.acts.some(({ atMs }) => atMs > 12_000));
+    const world = await play({ faults: one(kind, 5_000, 'store') }, 30_000);
+    assert.equal(findViolations(world.calls), []);
+    assert.ok(world.calls.every(({ atMs }) => atMs < 6_050 + LEASE_MS || atMs > 11_050));
+    assert.ok(world.calls.some(({ atMs }) => atMs > 12_000));
   });
 }
 
 test('a token that somebody called outdated is never used again', async () => {
   const world = await play({ vms: 1 });
-  const token = world.acts.at(-1)?.token ?? 0;
-  world.vms[0]?.duty?.noteOutdated(token);
-  const before = world.acts.length;
-  await world.playUntil(30_000);
+  const token = world.calls.at(-1)?.token ?? 0;
+  world.vms[0]?.duty?.markTokenOutdated(token);
+  const before = world.calls.length;
+  await world.runUntil(30_000);
   // What was on its way when the word came still arrives.
-  const later = world.acts.slice(before).filter(({ atMs }) => atMs > SINGLE_MS + 1_000);
+  const later = world.calls.slice(before).filter(({ atMs }) => atMs > SINGLE_MS + 1_000);
   assert.ok(later.length > 0 && later.every((act) => act.token > token));
 });
 
 test('all VMs are killed and come back', async () => {
-  const troubles = [0, 1].map((vm): Trouble => ({ atMs: 6_050, vm, kind: 'kill', forMs: 300 }));
-  const world = await play({ troubles }, 30_000);
-  assert.equal(findBroken(world.acts), []);
+  const faults = [0, 1].map((vm): InjectedFault => ({
+    atMs: 6_050,
+    vm,
+    kind: 'kill',
+    forMs: 300,
+  }));
+  const world = await play({ faults: faults }, 30_000);
+  assert.equal(findViolations(world.calls), []);
   assert.ok(longestGap(world) < 2 * LEASE_MS + 2_000, `${longestGap(world)}`);
 });
 
 test('a rolling restart of all VMs', async () => {
-  const troubles = [0, 1, 2].map((vm): Trouble => {
+  const faults = [0, 1, 2].map((vm): InjectedFault => {
     return { atMs: 6_000 + vm * 2_000, vm, kind: 'stop', forMs: 800 };
   });
-  const world = await play({ vms: 3, troubles }, 30_000);
-  assert.equal(findBroken(world.acts), []);
+  const world = await play({ vms: 3, faults: faults }, 30_000);
+  assert.equal(findViolations(world.calls), []);
   assert.ok(longestGap(world) < 2 * LEASE_MS + 2_000, `${longestGap(world)}`);
 });
 
-const trouble: fc.Arbitrary<Trouble> = fc.oneof(
+const faultArbitrary: fc.Arbitrary<InjectedFault> = fc.oneof(
   fc.record({
     atMs: fc.integer({ min: 0, max: TROUBLED_MS }),
-    vm: fc.constantFrom<Trouble['vm']>(0, 1, 2),
-    kind: fc.constantFrom<Trouble['kind']>('pause', 'kill', 'stop', 'aside', 'cut', 'lose', 'late'),
+    vm: fc.constantFrom<InjectedFault['vm']>(0, 1, 2),
+    kind: fc.constantFrom<InjectedFault['kind']>(
+      'pause',
+      'kill',
+      'stop',
+      'aside',
+      'cut',
+      'lose',
+      'late',
+    ),
     forMs: fc.integer({ min: 50, max: LONGEST_MS }),
   }),
   fc.record({
     atMs: fc.integer({ min: 0, max: TROUBLED_MS }),
-    vm: fc.constant<Trouble['vm']>('store'),
-    kind: fc.constantFrom<Trouble['kind']>('down-waiting', 'down-lapsing'),
+    vm: fc.constant<InjectedFault['vm']>('store'),
+    kind: fc.constantFrom<InjectedFault['kind']>('down-waiting', 'down-lapsing'),
     forMs: fc.integer({ min: 50, max: LONGEST_MS }),
   }),
 );
 
-/** Plays seeded schedules of troubles; gives what the first broken one broke. */
+/** Plays seeded schedules of faults; gives what the first broken one broke. */
 function searchBroken(
   runs: number,
-  createDuty?: WorldOptions['createDuty'],
-): Promise<fc.RunDetails<[Trouble[], boolean, number]>> {
+  createDuty?: SimulationOptions['createDuty'],
+): Promise<fc.RunDetails<[InjectedFault[], boolean, number]>> {
   const property = fc.asyncProperty(
-    fc.array(trouble, { minLength: 1, maxLength: 6 }),
+    fc.array(faultArbitrary, { minLength: 1, maxLength: 6 }),
     fc.boolean(),
     fc.nat(),
-    async (troubles, isFenced, seed) => {
-      const world = new World({ vms: 3, isFenced, troubles, draw: createDraw(seed), createDuty });
+    async (faults, isFenced, seed) => {
+      const world = new DutySimulation({
+        vms: 3,
+        isFenced,
+        faults: faults,
+        random: createDraw(seed),
+        createDuty,
+      });
       const untilMs = TROUBLED_MS + LONGEST_MS + CALM_MS;
-      await world.playUntil(untilMs);
-      assert.equal(findBroken(world.acts), []);
-      assert.ok((world.acts.at(-1)?.atMs ?? 0) > untilMs - 3_000, 'somebody acts in the end');
+      await world.runUntil(untilMs);
+      assert.equal(findViolations(world.calls), []);
+      assert.ok((world.calls.at(-1)?.atMs ?? 0) > untilMs - 3_000, 'somebody acts in the end');
     },
   );
   return fc.check(property, { numRuns: runs, seed: 33 });
 }
 
-test(`${RUNS} schedules of troubles, fenced or not: tokens and holders keep their order`, async () => {
+test(`${RUNS} schedules of faults, fenced or not: tokens and holders keep their order`, async () => {
   const details = await searchBroken(RUNS);
   assert.not.ok(details.failed, fc.defaultReportMessage(details) ?? '');
 });
@@ -208,26 +239,28 @@
 });
 
 test('a VM that wins the duty back waits until it is no second A of A, B, A', async () => {
-  const troubles: Trouble[] = [
+  const faults: InjectedFault[] = [
     { atMs: 6_000, vm: 0, kind: 'stop', forMs: 1_000 },
     { atMs: 7_700, vm: 1, kind: 'stop', forMs: 60_000 },
   ];
-  const playWith = async (createDuty?: WorldOptions['createDuty']): Promise<World> => {
+  const playWith = async (
+    createDuty?: SimulationOptions['createDuty'],
+  ): Promise<DutySimulation> => {
     let isLate = true;
     // The first VM's last call arrives late, all that follow at once.
-    const options = { vms: 2, isFenced: false, troubles, createDuty };
-    const world = new World({ ...options, draw: () => (isLate ? 0.95 : 0.05) });
-    await world.playUntil(6_000);
+    const options = { vms: 2, isFenced: false, faults, createDuty };
+    const world = new DutySimulation({ ...options, random: () => (isLate ? 0.95 : 0.05) });
+    await world.runUntil(6_000);
     isLate = false;
-    await world.playUntil(SINGLE_MS);
+    await world.runUntil(SINGLE_MS);
     return world;
   };
   const world = await playWith();
   assert.equal(listHolders(world), ['0/1', '1/1', '0/3']);
-  assert.equal(findBroken(world.acts), []);
-  const hasty = await playWith((options) => new HeldDuty({ ...options, quietMs: 0 }));
+  assert.equal(findViolations(world.calls), []);
+  const hasty = await playWith((options) => new LeasedDuty({ ...options, reacquireDelayMs: 0 }));
   assert.equal(listHolders(hasty), ['0/1', '1/1', '0/3']);
-  assert.ok(findBroken(hasty.acts).length > 0);
+  assert.ok(findViolations(hasty.calls).length > 0);
 });
 
 test.run();
--- a/packages/hold-duty/src/index.ts
+++ b/packages/hold-duty/src/index.ts
@@ -1,8 +1,11 @@
 /** One VM at a time does a duty. */
-export { default as ConditionalSeat, type ConditionalSeatOptions } from './conditional-seat.js';
-export { default as DutyKeeper, type DutyKeeperOptions } from './duty-keeper.js';
+export {
+  default as ConditionalStoreLease,
+  type ConditionalStoreLeaseOptions,
+} from './conditional-store-lease.js';
+export { default as DutyElector, type DutyElectorOptions } from './duty-elector.js';
 export type { Duty, DutyPermit } from './duty.js';
-export { default as HeldDuty, type DutyLoss, type HeldDutyOptions } from './held-duty.js';
-export { default as KeyValueSeat, type KeyValueSeatOptions } from './key-value-seat.js';
-export type { LeaseSeat, SeatAnswer } from './lease-seat.js';
+export { default as LeasedDuty, type DutyLoss, type LeasedDutyOptions } from './leased-duty.js';
+export { default as KeyValueLease, type KeyValueLeaseOptions } from './key-value-lease.js';
+export type { DutyLease, LeaseAnswer } from './duty-lease.js';
 export type { DutyStep } from './plan-step.js';
--- a/packages/hold-duty/src/key-value-seat.ts
+++ b/packages/hold-duty/src/key-value-lease.ts
@@ -2,10 +2,10 @@
 import type { KeyValueStore, Lease, PortCall } from '@limelead/ports';
 import type { Clock, Millis } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
-import type { LeaseSeat, SeatAnswer } from './lease-seat.js';
+import type { DutyLease, LeaseAnswer } from './duty-lease.js';
 
 /** What a seat needs. */
-export interface KeyValueSeatOptions {
+export interface KeyValueLeaseOptions {
   store: KeyValueStore;
   /** Name of the lease. */
   name: string;
@@ -17,24 +17,24 @@
 }
 
 /** The token is the lease's epoch, which the service raises with each change of holder. */
-export default class KeyValueSeat implements LeaseSeat {
-  constructor(private readonly options: KeyValueSeatOptions) {}
+export default class KeyValueLease implements DutyLease {
+  constructor(private readonly options: KeyValueLeaseOptions) {}
 
   /** One call takes and renews, and tells who holds the lease. */
-  take(): PortCall<SeatAnswer> {
+  acquire(): PortCall<LeaseAnswer> {
     return async () => {
       const { store, name, incarnation, ttlMs, clock } = this.options;
       const sentAtMs = clock.now();
       const lease = await store.acquireLease(name, incarnation, ttlMs)();
-      return E.map(({ holder, epoch }: Lease): SeatAnswer => {
+      return E.map(({ holder, epoch }: Lease): LeaseAnswer => {
         const isOurs = holder === incarnation;
         return isOurs ? { kind: 'ours', token: epoch, sentAtMs, ttlMs } : { kind: 'taken' };
       })(lease);
     };
   }
 
-  renew(): PortCall<SeatAnswer> {
-    return this.take();
+  renew(): PortCall<LeaseAnswer> {
+    return this.acquire();
   }
 
   release(): PortCall<void> {
--- a/packages/hold-duty/src/held-duty.ts
+++ b/packages/hold-duty/src/leased-duty.ts
@@ -1,8 +1,8 @@
 /** What this VM knows for certain about its hold on a duty, and which calls that allows. */
 import type { Clock, Millis } from '@limelead/types';
 import type { Duty, DutyPermit } from './duty.js';
-import type { SeatAnswer } from './lease-seat.js';
-import LostTime from './lost-time.js';
+import type { LeaseAnswer } from './duty-lease.js';
+import ClockJumpDetector from './clock-jump-detector.js';
 
 /** Why a duty was lost. */
 export type DutyLoss =
@@ -16,7 +16,7 @@
   | 'given-up';
 
 /** What a held duty needs. */
-export interface HeldDutyOptions {
+export interface LeasedDutyOptions {
   holder: string;
   /** Steady. */
   clock: Clock;
@@ -27,13 +27,13 @@
    * before this process started, and what it does next: holders never act in the order
    * A, B, A within it. 0 where nobody asks for that.
    */
-  quietMs: Millis;
+  reacquireDelayMs: Millis;
   /** Part of the lease's time that is left unused, for clocks that run at different speeds. */
   marginMs: Millis;
-  onTaken(token: number, mayActInMs: Millis): void;
+  onAcquired(token: number, mayActInMs: Millis): void;
   onLost(token: number, loss: DutyLoss, leaseAgeMs: Millis): void;
   /** The steady clock may not have counted so much; nothing is done until the lease is confirmed. */
-  onLostTime(lostMs: Millis): void;
+  onClockJump(lostMs: Millis): void;
 }
 
 interface Hold extends DutyPermit {
@@ -44,18 +44,18 @@
 }
 
 /** Holds a duty, or does not. */
-export default class HeldDuty implements Duty {
+export default class LeasedDuty implements Duty {
   readonly holder: string;
   private hold: Hold | undefined;
   /** No token up to this one is used any more. */
   private outdatedToken = 0;
   /** When the last call that was permitted has arrived or is lost; at first that of the process before. */
   private quietSinceMs: Millis;
-  private readonly lostTime: LostTime;
+  private readonly lostTime: ClockJumpDetector;
 
-  constructor(private readonly options: HeldDutyOptions) {
-    const { clock, timeOfDay, onLostTime } = options;
-    this.lostTime = new LostTime(clock, timeOfDay, onLostTime);
+  constructor(private readonly options: LeasedDutyOptions) {
+    const { clock, timeOfDay, onClockJump } = options;
+    this.lostTime = new ClockJumpDetector(clock, timeOfDay, onClockJump);
     this.holder = options.holder;
     this.quietSinceMs = options.clock.now();
   }
@@ -82,7 +82,7 @@
       return undefined;
     }
     // By the steady clock alone a VM that was suspended acted beside the next holder.
-    const arrivesAtMs = now + arrivalMs + this.lostTime.since(hold.sentAtMs);
+    const arrivesAtMs = now + arrivalMs + this.lostTime.jumpedSince(hold.sentAtMs);
     if (arrivesAtMs > this.validUntilMs(hold)) {
       return undefined;
     }
@@ -93,7 +93,7 @@
     return { token: hold.token, heldSinceMs: hold.heldSinceMs };
   }
 
-  noteOutdated(token: number): void {
+  markTokenOutdated(token: number): void {
     this.outdatedToken = Math.max(this.outdatedToken, token);
     if (this.hold !== undefined && this.hold.token <= this.outdatedToken) {
       this.lose('outdated');
@@ -101,7 +101,7 @@
   }
 
   /** The store answered; false where its token may not be used, so that it has to be given back. */
-  noteAnswer(answer: SeatAnswer): boolean {
+  onLeaseAnswer(answer: LeaseAnswer): boolean {
     if (answer.kind !== 'ours') {
       this.lose('ended');
       return true;
@@ -119,8 +119,8 @@
   }
 
   /** Time went by; the duty is lost where nothing renewed it. */
-  noteTime(): void {
-    this.lostTime.look();
+  checkExpiry(): void {
+    this.lostTime.check();
     if (this.hold !== undefined && this.options.clock.now() >= this.validUntilMs(this.hold)) {
       this.lose('lapsed');
     }
@@ -135,11 +135,12 @@
 
   private take(token: number, sentAtMs: Millis, ttlMs: Millis): void {
     this.lose('ended');
-    const { clock, quietMs, onTaken } = this.options;
+    const { clock, reacquireDelayMs, onAcquired } = this.options;
     const now = clock.now();
-    const actsFromMs = quietMs === 0 ? now : Math.max(now, this.quietSinceMs + quietMs);
+    const actsFromMs =
+      reacquireDelayMs === 0 ? now : Math.max(now, this.quietSinceMs + reacquireDelayMs);
     this.hold = { token, heldSinceMs: now, sentAtMs, ttlMs, actsFromMs };
-    onTaken(token, actsFromMs - now);
+    onAcquired(token, actsFromMs - now);
   }
 
   private lose(loss: DutyLoss): void {
--- a/packages/meter-usage/src/reporting.fixture.ts
+++ b/packages/meter-usage/src/reporting.fixture.ts
@@ -76,7 +76,7 @@
         const token = readToken();
         return token === undefined ? undefined : { token, heldSinceMs: 0 };
       },
-      noteOutdated: (token) => void this.lines.push(`outdated ${token}`),
+      markTokenOutdated: (token) => void this.lines.push(`outdated ${token}`),
     };
   }
 
--- a/packages/meter-usage/src/usage-reporter.test.ts
+++ b/packages/meter-usage/src/usage-reporter.test.ts
@@ -1,7 +1,7 @@
 import * as fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { HeldDuty } from '@limelead/hold-duty';
+import { LeasedDuty } from '@limelead/hold-duty';
 import Reporting, { SETTLE_AFTER_MS, WINDOW_MS, type Fate } from './reporting.fixture.js';
 import type UsageReporter from './usage-reporter.js';
 
@@ -122,18 +122,18 @@
 /** Reports of a real holder whose process stood still for so long while it settled. */
 async function standStill(forMs: number): Promise<Reporting> {
   const reporting = new Reporting();
-  const duty = new HeldDuty({
+  const duty = new LeasedDuty({
     holder: 'a',
     clock: { now: () => reporting.now },
     timeOfDay: { now: () => reporting.now },
-    quietMs: 0,
+    reacquireDelayMs: 0,
     marginMs: 100,
-    onTaken: () => undefined,
+    onAcquired: () => undefined,
     onLost: () => undefined,
-    onLostTime: () => undefined,
+    onClockJump: () => undefined,
   });
   reporting.now = WINDOW_MS + SETTLE_AFTER_MS;
-  duty.noteAnswer({ kind: 'ours', token: 1, sentAtMs: reporting.now, ttlMs: 3_000 });
+  duty.onLeaseAnswer({ kind: 'ours', token: 1, sentAtMs: reporting.now, ttlMs: 3_000 });
   reporting.onWrite = () => void (reporting.now += forMs);
   const vm = reporting.createReporter(duty);
   for (let look = 0; look < 3; look += 1) {
--- a/packages/meter-usage/src/usage-reporter.ts
+++ b/packages/meter-usage/src/usage-reporter.ts
@@ -200,7 +200,7 @@
     }
     this.noteFailure('report', window, answer);
     if (answer === 'refused') {
-      duty.noteOutdated(known.token);
+      duty.markTokenOutdated(known.token);
     } else if (answer === 'invalid') {
       this.invalid += 1;
       if (this.invalid >= INVALID_TRIES) {
--- a/packages/order-capacity/src/capacity-controller.ts
+++ b/packages/order-capacity/src/capacity-controller.ts
@@ -167,7 +167,7 @@
           orders.onSpotRefused(order, now);
         } else {
           orders.backOff(order, now, false);
-          duty.noteOutdated(token);
+          duty.markTokenOutdated(token);
         }
         break;
       case 'too-many':
--- a/packages/order-capacity/src/fleet.fixture.ts
+++ b/packages/order-capacity/src/fleet.fixture.ts
@@ -39,7 +39,7 @@
       holder: vm,
       permit: () =>
         state.token === undefined ? undefined : { token: state.token, heldSinceMs: 0 },
-      noteOutdated: (outdated) => {
+      markTokenOutdated: (outdated) => {
         state.outdated = outdated;
         state.token = undefined;
       },
