--- a/packages/gateway/src/usage-part.ts
+++ b/packages/gateway/src/usage-part.ts
@@ -1,14 +1,14 @@
 /** The part that counts usage, tells it to those that stand for the duties, and reports it. */
 import { TimeEstimate } from '@limelead/estimate-time';
 import {
-  UsageBook,
+  UsageTable,
   UsageCounter,
   UsageRecord,
   UsageReporter,
-  UsageTeller,
+  UsagePublisher,
   type SettledWindow,
   type UsageEvents,
-  type UsageListener,
+  type UsageSubscriber,
   type WindowCounts,
 } from '@limelead/meter-usage';
 import type { DutyPlatform } from '@limelead/ports';
@@ -57,10 +57,10 @@
   const counter = new UsageCounter({
     trueTime,
     windowMs,
-    onCounted: (window, organisation) => teller.note(window, organisation),
+    onCounted: (window, organisation) => teller.recordChange(window, organisation),
   });
-  const teller = new UsageTeller(counter);
-  const book = new UsageBook({ trueTime, windowMs });
+  const teller = new UsagePublisher(counter);
+  const book = new UsageTable({ trueTime, windowMs });
   const reporter = new UsageReporter({
     duty: dutyPart.duty,
     platform: dutyPlatform,
@@ -70,15 +70,15 @@
     windowMs,
     settleAfterMs: Math.min(SETTLE_AFTER_MS, usageDueMs * SETTLE_SHARE),
     sum(window) {
-      book.hear(incarnation, counter.list(), readOwnFirst());
+      book.recordCounts(incarnation, counter.listWindows(), readOwnFirst());
       return book.sum(window);
     },
-    isCutOff: (heldSinceMs) => heldSinceMs < (readExchange()?.cutOffSinceMs ?? -Infinity),
+    isIsolated: (heldSinceMs) => heldSinceMs < (readExchange()?.cutOffSinceMs ?? -Infinity),
     readCountedFrom() {
       return Math.min(readOwnFirst(), book.countedFrom ?? Infinity);
     },
-    onUnreached: () => dutyPart.stepAside(),
-    events: createEvents(context, (window) => book.countTellers(window)),
+    onPlatformUnreachable: () => dutyPart.stepAside(),
+    events: createEvents(context, (window) => book.countReportingVms(window)),
   });
 
   function readOwnFirst(): number {
@@ -89,7 +89,7 @@
   function tell(): void {
     const exchange = readExchange();
     const countedFrom = readOwnFirst();
-    teller.tell(
+    teller.publish(
       listListeners(exchange, (peer, windows) =>
         exchange?.reportTo(peer, { kind: 'usage', incarnation, countedFrom, windows }),
       ),
@@ -98,7 +98,7 @@
 
   function look(): void {
     tell();
-    void reporter.look();
+    void reporter.reportDue();
     timers.after(LOOK_EVERY_MS, look);
   }
 
@@ -117,7 +117,7 @@
     },
     onReport(peer, report) {
       if (report.kind === 'usage') {
-        book.hear(report.incarnation, report.windows, report.countedFrom);
+        book.recordCounts(report.incarnation, report.windows, report.countedFrom);
       } else if (report.kind === 'time-of-day') {
         trueTime.hear(peer, report.incarnation, report.timeMs);
       }
@@ -139,7 +139,7 @@
 function listListeners(
   exchange: EvidenceExchange | undefined,
   tell: (peer: PeerId, windows: WindowCounts[]) => void,
-): UsageListener[] {
+): UsageSubscriber[] {
   return (exchange?.linkedCandidates ?? []).map(({ peer, linkedAtMs }) => ({
     link: `${peer} ${linkedAtMs}`,
     tell: (windows) => tell(peer, windows),
--- a/packages/meter-usage/src/index.ts
+++ b/packages/meter-usage/src/index.ts
@@ -1,12 +1,12 @@
 /** Counts the requests of each organisation by window, settles them once and reports them once. */
 export type { SkippedWindows } from './plan-windows.js';
 export type { WindowCounts } from './types.js';
-export { default as UsageBook, type UsageBookOptions } from './usage-book.js';
+export { default as UsageTable, type UsageTableOptions } from './usage-table.js';
 export { default as UsageCounter, type UsageCounterOptions } from './usage-counter.js';
-export { default as UsageRecord, type KnownRecord, type SettledWindow } from './usage-record.js';
+export { default as UsageRecord, type StoredUsage, type SettledWindow } from './usage-record.js';
 export {
   default as UsageReporter,
   type UsageEvents,
   type UsageReporterOptions,
 } from './usage-reporter.js';
-export { default as UsageTeller, type UsageListener } from './usage-teller.js';
+export { default as UsagePublisher, type UsageSubscriber } from './usage-publisher.js';
--- a/packages/meter-usage/src/plan-windows.ts
+++ b/packages/meter-usage/src/plan-windows.ts
@@ -1,9 +1,9 @@
 /** Pure decision: which window is reported next, and which can't be reported any more. */
 import type { Millis } from '@limelead/types';
-import { KEPT_WINDOWS } from './open-window.js';
+import { RETAINED_WINDOWS } from './retained-windows.js';
 
 /** What is known at one moment. */
-export interface WindowSituation {
+export interface WindowStatus {
   /** True time, in milliseconds since 1970. */
   nowMs: Millis;
   windowMs: Millis;
@@ -31,20 +31,20 @@
 }
 
 /** The last window that ended long enough ago. */
-export function findLastRipe({
+export function findLastDueWindow({
   nowMs,
   windowMs,
   settleAfterMs,
-}: Pick<WindowSituation, 'nowMs' | 'windowMs' | 'settleAfterMs'>): number {
+}: Pick<WindowStatus, 'nowMs' | 'windowMs' | 'settleAfterMs'>): number {
   return Math.floor((nowMs - settleAfterMs) / windowMs) - 1;
 }
 
 /** Plans. */
-export default function planWindows(situation: WindowSituation): WindowPlan {
+export default function planWindows(situation: WindowStatus): WindowPlan {
   const { nowMs, windowMs, doneUpTo, countedFrom } = situation;
-  const lastRipe = findLastRipe(situation);
+  const lastRipe = findLastDueWindow(situation);
   const first = doneUpTo === undefined ? countedFrom : doneUpTo + 1;
-  const firstKept = Math.floor(nowMs / windowMs) - KEPT_WINDOWS + 1;
+  const firstKept = Math.floor(nowMs / windowMs) - RETAINED_WINDOWS + 1;
   if (first > lastRipe) {
     return {};
   }
--- a/packages/meter-usage/src/reporting.fixture.ts
+++ b/packages/meter-usage/src/reporting.fixture.ts
@@ -18,20 +18,20 @@
 const USAGE_KEY = 'usage';
 
 /** What becomes of one call: done and answered, done unheard, done later unheard, or not done. */
-export type Fate = 'answered' | 'unheard' | 'late' | 'undone';
+export type CallOutcome = 'answered' | 'unheard' | 'late' | 'undone';
 
 /** Everything that several VMs share, and what they did to it. */
-export default class Reporting {
+export default class ReportingSimulation {
   now = 0;
   readonly reports: { window: number; counts: string; token: number }[] = [];
   readonly lines: string[] = [];
   /** Fates of the calls to come, in order; what follows is answered. */
-  writeFates: Fate[] = [];
-  callFates: (Fate | DutyAnswer)[] = [];
+  writeOutcomes: CallOutcome[] = [];
+  callOutcomes: (CallOutcome | DutyAnswer)[] = [];
   /** Writes that are carried out later. */
   readonly late: (() => void)[] = [];
   token = 1;
-  isCutOff = false;
+  isIsolated = false;
   /** Called when the store carries a write out. */
   onWrite: () => void = () => undefined;
   private revision = 100;
@@ -54,9 +54,9 @@
       windowMs: WINDOW_MS,
       settleAfterMs: SETTLE_AFTER_MS,
       sum: (window) => new Map([[duty.holder, window]]),
-      isCutOff: () => this.isCutOff,
+      isIsolated: () => this.isIsolated,
       readCountedFrom: () => countedFrom,
-      onUnreached: () => void this.lines.push('unreached'),
+      onPlatformUnreachable: () => void this.lines.push('unreached'),
       events: {
         onSettled: ({ window }) => void this.lines.push(`settled ${window}`),
         onReported: ({ window }) => void this.lines.push(`reported ${window}`),
@@ -102,7 +102,7 @@
       reportUsage:
         ({ token }, { window, counts }) =>
         async () => {
-          const fate = this.callFates.shift() ?? 'answered';
+          const fate = this.callOutcomes.shift() ?? 'answered';
           const take = (): void =>
             void this.reports.push({ window, counts: JSON.stringify([...counts]), token });
           return perform(fate, take, this.late, 'taken');
@@ -117,7 +117,7 @@
     return {
       read: (key) => async () => E.right(this.record && { key, ...this.record }),
       write: (conditions, writes) => async () => {
-        const fate = this.writeFates.shift() ?? 'answered';
+        const fate = this.writeOutcomes.shift() ?? 'answered';
         let outcome: WriteOutcome = { kind: 'mismatch' };
         const write = (): void => {
           this.onWrite();
@@ -143,7 +143,7 @@
 }
 
 function perform<Value>(
-  fate: Fate | DutyAnswer,
+  fate: CallOutcome | DutyAnswer,
   run: () => void,
   late: (() => void)[],
   value: Value,
--- a/packages/meter-usage/src/usage-counter.ts
+++ b/packages/meter-usage/src/usage-counter.ts
@@ -1,6 +1,6 @@
 /** Counts what began for the callers of this VM, by window and organisation. */
 import type { Clock, Millis } from '@limelead/types';
-import openWindow, { isKept } from './open-window.js';
+import addWindow, { isRetained } from './retained-windows.js';
 import type { WindowCounts } from './types.js';
 
 /** What a counter needs. */
@@ -28,21 +28,21 @@
   }
 
   /** The sum of one organisation in one window. */
-  read(window: number, organisation: string): number {
+  getCount(window: number, organisation: string): number {
     return this.windows.get(window)?.get(organisation) ?? 0;
   }
 
   /** Everything that is of use. */
-  list(): WindowCounts[] {
+  listWindows(): WindowCounts[] {
     const present = this.readPresent();
     return [...this.windows]
-      .filter(([window]) => isKept(window, present))
+      .filter(([window]) => isRetained(window, present))
       .map(([window, counts]) => ({ window, counts: [...counts] }));
   }
 
   private open(window: number): Map<string, number> {
     const counts = new Map<string, number>();
-    openWindow(this.windows, window, counts, window);
+    addWindow(this.windows, window, counts, window);
     return counts;
   }
 
--- a/packages/meter-usage/src/usage-teller.ts
+++ b/packages/meter-usage/src/usage-publisher.ts
@@ -3,33 +3,33 @@
 import type UsageCounter from './usage-counter.js';
 
 /** Counts in one message: 20 KB with names of 16 letters. The rest goes with the next. */
-const MAX_COUNTS = 1_000;
+const MAX_COUNTS_PER_MESSAGE = 1_000;
 
 /** One VM that is told, as long as one link to it stands. */
-export interface UsageListener {
+export interface UsageSubscriber {
   /** Another for each link. */
   link: string;
   tell(windows: WindowCounts[]): void;
 }
 
 /** Organisations by window that one listener does not know of. */
-type Untold = Map<number, Set<string>>;
+type PendingChanges = Map<number, Set<string>>;
 
 /** Remembers what each listener was told. */
-export default class UsageTeller {
-  private readonly untold = new Map<string, Untold>();
+export default class UsagePublisher {
+  private readonly untold = new Map<string, PendingChanges>();
 
   constructor(private readonly counter: UsageCounter) {}
 
   /** A count rose. */
-  note(window: number, organisation: string): void {
+  recordChange(window: number, organisation: string): void {
     for (const untold of this.untold.values()) {
       untold.set(window, (untold.get(window) ?? new Set<string>()).add(organisation));
     }
   }
 
   /** Tells those that listen now what they do not know. */
-  tell(listeners: readonly UsageListener[]): void {
+  publish(listeners: readonly UsageSubscriber[]): void {
     const links = new Set(listeners.map(({ link }) => link));
     for (const link of [...this.untold.keys()]) {
       if (!links.has(link)) {
@@ -46,10 +46,10 @@
     }
   }
 
-  private listAll(): Untold {
+  private listAll(): PendingChanges {
     return new Map(
       this.counter
-        .list()
+        .listWindows()
         .map(({ window, counts }) => [
           window,
           new Set(counts.map(([organisation]) => organisation)),
@@ -57,9 +57,9 @@
     );
   }
 
-  private take(untold: Untold): WindowCounts[] {
+  private take(untold: PendingChanges): WindowCounts[] {
     const windows: WindowCounts[] = [];
-    let room = MAX_COUNTS;
+    let room = MAX_COUNTS_PER_MESSAGE;
     for (const [window, organisations] of listByUrgency(untold)) {
       const taken = [...organisations].slice(0, room);
       room -= taken.length;
@@ -70,7 +70,7 @@
       if (taken.length > 0) {
         windows.push({
           window,
-          counts: taken.map((name) => [name, this.counter.read(window, name)]),
+          counts: taken.map((name) => [name, this.counter.getCount(window, name)]),
         });
       }
     }
@@ -82,7 +82,7 @@
  * The window that is settled next and the present one, then older ones, the latest first: over
  * a new link those that are done would keep the others back.
  */
-function listByUrgency(untold: Untold): [number, Set<string>][] {
+function listByUrgency(untold: PendingChanges): [number, Set<string>][] {
   const latestFirst = [...untold].sort(([one], [other]) => other - one);
   return [...latestFirst.slice(0, 2).reverse(), ...latestFirst.slice(2)];
 }
--- a/packages/meter-usage/src/usage-record.ts
+++ b/packages/meter-usage/src/usage-record.ts
@@ -21,7 +21,7 @@
 export type SettledWindow = t.TypeOf<typeof settledCodec>;
 
 /** The item as it was read, or written by this process. */
-export interface KnownRecord {
+export interface StoredUsage {
   /** 0 where there is none. */
   revision: number;
   /** Undefined where nothing was ever reported. */
@@ -44,7 +44,7 @@
   ) {}
 
   /** An item that makes no sense is told as such; the next one that is settled replaces it. */
-  async read(): Promise<E.Either<PortFault, KnownRecord>> {
+  async read(): Promise<E.Either<PortFault, StoredUsage>> {
     const found = await this.store.read(this.key)();
     return E.map((entry: StoreEntry | undefined) =>
       entry === undefined ? { revision: 0 } : { revision: entry.revision, ...parse(entry.value) },
@@ -54,7 +54,7 @@
   /** Written only by the holder of a token, and only upon the item that it knows. */
   settle(
     token: number,
-    { revision, doneUpTo }: KnownRecord,
+    { revision, doneUpTo }: StoredUsage,
     settled: SettledWindow,
   ): Promise<E.Either<PortFault, WriteOutcome>> {
     const value = Buffer.from(JSON.stringify({ settled, doneUpTo }));
--- a/packages/meter-usage/src/usage-reporter.ts
+++ b/packages/meter-usage/src/usage-reporter.ts
@@ -8,26 +8,26 @@
 import type { DutyAnswer, DutyPlatform } from '@limelead/ports';
 import type { Clock, Millis } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
-import planWindows, { findLastRipe, type SkippedWindows } from './plan-windows.js';
+import planWindows, { findLastDueWindow, type SkippedWindows } from './plan-windows.js';
 import type UsageRecord from './usage-record.js';
-import type { KnownRecord, SettledWindow } from './usage-record.js';
+import type { StoredUsage, SettledWindow } from './usage-record.js';
 
 /**
  * Longest time until a report arrived or is lost, in milliseconds: so long its sender waits
  * for the answer, and closes the connection then.
  */
-const ARRIVAL_MS = 1_000;
+const REPORT_TIMEOUT_MS = 1_000;
 /** Pause behind a call that failed; doubled each time, for a platform that is away. */
-const FIRST_PAUSE_MS = 300;
+const MIN_BACKOFF_MS = 300;
 /** Longest such pause: with it a window is in time once the platform is back. */
-const LONGEST_PAUSE_MS = 2_000;
+const MAX_BACKOFF_MS = 2_000;
 /**
  * Time without any answer of the platform after which another VM may try, in milliseconds:
  * three calls, and time enough is left for a window to come from there before it is due.
  */
-const UNREACHED_MS = 3_500;
+const UNREACHABLE_AFTER_MS = 3_500;
 /** Times that a report which the platform calls invalid is sent: it may be a bad moment of its own. */
-const INVALID_TRIES = 3;
+const MAX_INVALID_ATTEMPTS = 3;
 
 /** What a reporter needs. */
 export interface UsageReporterOptions {
@@ -47,11 +47,11 @@
    * Whether what VMs told since this VM took the duty is incomplete, as it has lost its links
    * to most of them: it gives the duty up, and settles nothing meanwhile.
    */
-  isCutOff(heldSinceMs: Millis): boolean;
+  isIsolated(heldSinceMs: Millis): boolean;
   /** The first window that was counted from its beginning. */
   readCountedFrom(): number;
   /** The platform answered none of this VM's reports for a while. */
-  onUnreached(): void;
+  onPlatformUnreachable(): void;
   events: UsageEvents;
 }
 
@@ -68,7 +68,7 @@
   onCallFailed(call: 'read' | 'settle' | 'report', window: number | undefined, why: string): void;
 }
 
-interface KnownByToken extends KnownRecord {
+interface KnownByToken extends StoredUsage {
   token: number;
 }
 
@@ -86,7 +86,7 @@
   constructor(private readonly options: UsageReporterOptions) {}
 
   /** Does what is due next; nothing where this VM does not hold the duty. */
-  async look(): Promise<void> {
+  async reportDue(): Promise<void> {
     const { duty, clock } = this.options;
     if (this.isBusy || clock.now() < this.retryAtMs) {
       return;
@@ -109,7 +109,7 @@
       await this.read(token);
     } else if (known.settled !== undefined && known.settled.window > (known.doneUpTo ?? -1)) {
       await this.report(known, known.settled);
-    } else if (!this.options.isCutOff(heldSinceMs)) {
+    } else if (!this.options.isIsolated(heldSinceMs)) {
       await this.advance(known);
     }
   }
@@ -126,12 +126,12 @@
   }
 
   /** Windows up to the last ripe one may be settled with counts that nobody can read any more. */
-  private leaveOutUnreadable(record: KnownRecord): KnownRecord {
+  private leaveOutUnreadable(record: StoredUsage): StoredUsage {
     if (record.isUnreadable === undefined) {
       return record;
     }
     const { trueTime, windowMs, settleAfterMs, events } = this.options;
-    const doneUpTo = findLastRipe({ nowMs: trueTime.now(), windowMs, settleAfterMs }) - 1;
+    const doneUpTo = findLastDueWindow({ nowMs: trueTime.now(), windowMs, settleAfterMs }) - 1;
     events.onUnreadable(record.revision, doneUpTo);
     return { revision: record.revision, doneUpTo };
   }
@@ -174,7 +174,7 @@
     const { window } = settled;
     const counts = new Map(settled.counts);
     // Asked last of all: the process may have stood still since it settled.
-    const permit = duty.permit(ARRIVAL_MS);
+    const permit = duty.permit(REPORT_TIMEOUT_MS);
     if (permit?.token !== known.token) {
       return;
     }
@@ -203,7 +203,7 @@
       duty.markTokenOutdated(known.token);
     } else if (answer === 'invalid') {
       this.invalid += 1;
-      if (this.invalid >= INVALID_TRIES) {
+      if (this.invalid >= MAX_INVALID_ATTEMPTS) {
         this.finish(known, window);
         events.onGivenUp(window);
       }
@@ -212,9 +212,9 @@
 
   private noteUnanswered(sentAtMs: Millis): void {
     this.unansweredSinceMs ??= sentAtMs;
-    if (this.options.clock.now() - this.unansweredSinceMs >= UNREACHED_MS) {
+    if (this.options.clock.now() - this.unansweredSinceMs >= UNREACHABLE_AFTER_MS) {
       this.unansweredSinceMs = undefined;
-      this.options.onUnreached();
+      this.options.onPlatformUnreachable();
     }
   }
 
@@ -229,7 +229,7 @@
     window: number | undefined,
     why: string,
   ): void {
-    const pauseMs = Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** this.failures);
+    const pauseMs = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** this.failures);
     this.failures += 1;
     this.retryAtMs = this.options.clock.now() + pauseMs;
     this.options.events.onCallFailed(call, window, why);
--- a/packages/meter-usage/src/usage-book.ts
+++ b/packages/meter-usage/src/usage-table.ts
@@ -3,26 +3,26 @@
  * the largest of each incarnation counts, whatever is lost, repeated or reordered.
  */
 import type { Clock, Millis } from '@limelead/types';
-import openWindow, { isKept } from './open-window.js';
+import addWindow, { isRetained } from './retained-windows.js';
 import type { WindowCounts } from './types.js';
 
 /** Counts by incarnation of the VM that told them, then by organisation. */
-type WindowBook = Map<string, Map<string, number>>;
+type WindowTable = Map<string, Map<string, number>>;
 
 /** What a book needs. */
-export interface UsageBookOptions {
+export interface UsageTableOptions {
   /** Gives true time, in milliseconds since 1970. */
   trueTime: Clock;
   windowMs: Millis;
 }
 
 /** Adds up. */
-export default class UsageBook {
-  private readonly windows = new Map<number, WindowBook>();
+export default class UsageTable {
+  private readonly windows = new Map<number, WindowTable>();
   /** By incarnation, of those that told of a window that is kept. */
   private readonly firstWhole = new Map<string, number>();
 
-  constructor(private readonly options: UsageBookOptions) {}
+  constructor(private readonly options: UsageTableOptions) {}
 
   /** The first window that a VM counted from its beginning; undefined where nobody told of any. */
   get countedFrom(): number | undefined {
@@ -34,9 +34,9 @@
    * @param countedFrom the first window that it counted from its beginning, as it says now: by
    * its first words alone, a VM whose clock was behind at its start had counted what it did not
    */
-  hear(incarnation: string, told: readonly WindowCounts[], countedFrom: number): void {
+  recordCounts(incarnation: string, told: readonly WindowCounts[], countedFrom: number): void {
     const present = this.readPresent();
-    for (const { window, counts } of told.filter((word) => isKept(word.window, present))) {
+    for (const { window, counts } of told.filter((word) => isRetained(word.window, present))) {
       const book = this.windows.get(window) ?? this.open(window, present);
       const largest = book.get(incarnation) ?? new Map<string, number>();
       book.set(incarnation, largest);
@@ -59,13 +59,13 @@
   }
 
   /** Number of VMs that told of one window. */
-  countTellers(window: number): number {
+  countReportingVms(window: number): number {
     return this.windows.get(window)?.size ?? 0;
   }
 
-  private open(window: number, present: number): WindowBook {
-    const book: WindowBook = new Map();
-    openWindow(this.windows, window, book, present);
+  private open(window: number, present: number): WindowTable {
+    const book: WindowTable = new Map();
+    addWindow(this.windows, window, book, present);
     this.forgetSilent();
     return book;
   }
