--- a/packages/apply-placement-plan/src/index.ts
+++ b/packages/apply-placement-plan/src/index.ts
@@ -1,4 +1,4 @@
-/** Gives the orders of a placement plan under a lease, whose epoch is their fence. */
+/** Sends the orders of a placement plan under a lease, fenced by the lease's epoch. */
 export { default as createPlacementController } from './placement-controller.js';
 export type {
   PlacementController,
--- a/packages/apply-placement-plan/src/placement-controller.test.ts
+++ b/packages/apply-placement-plan/src/placement-controller.test.ts
@@ -20,8 +20,8 @@
   engines: Engine[];
   rules: PlacementRule[];
   time: ReturnType<typeof createManualTime>;
-  /** Creates a doer; a paused one is simply not asked to work. */
-  doer(
+  /** Creates a controller; a paused one is not called. */
+  createController(
     incarnation: string,
     beforeOrder?: () => Promise<void>,
   ): ReturnType<typeof createPlacementController>;
@@ -40,7 +40,7 @@
   );
   const store = createInProcessStore(createKeyValueState(clock));
   const rules: PlacementRule[] = [];
-  const doer: System['doer'] = (incarnation, beforeOrder) =>
+  const createController: System['createController'] = (incarnation, beforeOrder) =>
     createPlacementController({
       store,
       clock,
@@ -71,7 +71,7 @@
       },
     });
   try {
-    await run({ engines, rules, time, doer });
+    await run({ engines, rules, time, createController });
   } finally {
     await Promise.all(engines.map((engine) => engine.stop()));
     await transport.close();
@@ -82,25 +82,28 @@
   return (engine?.loaded() ?? []).map(({ version }) => version).sort();
 }
 
-test('of two doers one works, and after its loss the other goes on', () =>
-  withSystem(true, async ({ engines, rules, time, doer }) => {
-    const [first, second] = [doer('vm-1'), doer('vm-2')];
+test('only one controller sends orders, and the other one continues after its loss', () =>
+  withSystem(true, async ({ engines, rules, time, createController }) => {
+    const [firstController, secondController] = [
+      createController('vm-1'),
+      createController('vm-2'),
+    ];
     rules.push({ name: 'r', ...NEW, targets: 1, failureDomains: [] });
-    await first.reconcile();
+    await firstController.reconcile();
     rules.splice(0, 1, { name: 'r', ...NEW, targets: 2, failureDomains: [] });
-    await second.reconcile();
+    await secondController.reconcile();
     assert.is(engines.flatMap((engine) => engine.orders()).length, 1);
     await time.advance(6_001);
-    await second.reconcile();
+    await secondController.reconcile();
     assert.equal(engines.map(versionsOf), [
       ['1', '2'],
       ['1', '2'],
     ]);
   }));
 
-test('a change of version: the new one is loaded everywhere before the old one goes', () =>
-  withSystem(true, async ({ engines, rules, time, doer }) => {
-    const only = doer('vm-1');
+test('a new version is loaded everywhere before the old one is unloaded', () =>
+  withSystem(true, async ({ engines, rules, time, createController }) => {
+    const only = createController('vm-1');
     rules.push({ name: 'r', ...NEW, targets: 2, failureDomains: [] });
     await only.reconcile();
     assert.equal(engines.map(versionsOf), [
@@ -113,14 +116,14 @@
     assert.equal(engines.map(versionsOf), [['2'], ['2']]);
   }));
 
-test('a doer that is paused in the middle of an order is fenced where targets check', () =>
-  withSystem(true, async ({ engines, rules, time, doer }) => {
+test('a late order of a paused controller is refused by targets that check fences', () =>
+  withSystem(true, async ({ engines, rules, time, createController }) => {
     let wake: () => void = () => undefined;
-    const paused = doer('vm-1', () => new Promise((resolve) => (wake = resolve)));
+    const paused = createController('vm-1', () => new Promise((resolve) => (wake = resolve)));
     rules.push({ name: 'r', ...NEW, targets: 2, failureDomains: [] });
     const work = paused.reconcile();
     await time.advance(6_001);
-    const fresh = doer('vm-2');
+    const fresh = createController('vm-2');
     await fresh.reconcile();
     assert.is(engines.flatMap((engine) => engine.orders()).length, 2);
     wake();
@@ -128,17 +131,18 @@
     assert.is(engines.flatMap((engine) => engine.orders()).length, 2, 'the late order was refused');
   }));
 
-test('where targets do not check, a late unload is mended by the next plan', () =>
-  withSystem(false, async ({ engines, rules, time, doer }) => {
+test('the next plan corrects a late unload at targets that do not check fences', () =>
+  withSystem(false, async ({ engines, rules, time, createController }) => {
     let wake: () => void = () => undefined;
-    const paused = doer('vm-1', () => new Promise((resolve) => (wake = resolve)));
+    const paused = createController('vm-1', () => new Promise((resolve) => (wake = resolve)));
     await paused.reconcile();
     await time.advance(1_001);
     const work = paused.reconcile();
     await time.advance(6_001);
-    // The operators want the old version again, while a doer sleeps on its unload order.
+    // The old version is required again while the first controller is paused before its unload
+    // order.
     rules.push({ name: 'r', ...OLD, targets: 2, failureDomains: [] });
-    const fresh = doer('vm-2');
+    const fresh = createController('vm-2');
     await fresh.reconcile();
     wake();
     await work;
--- a/packages/apply-placement-plan/src/placement-controller.ts
+++ b/packages/apply-placement-plan/src/placement-controller.ts
@@ -1,10 +1,7 @@
 /**
- * The one doer of placement. Any VM may become it by taking the lease. It gives
- * an order only while, by its own clock, its lease can not have lapsed; the
- * fence stops what a paused doer sends late at targets that check it. At those
- * that do not, orders are harmless when repeated or late: a load that is there
- * is no work, and a version that was unloaded late is loaded again by the next
- * plan, because plans are made from what targets report.
+ * Places model versions while this VM holds the placement lease. Orders carry the lease's epoch as
+ * a fence. Targets that do not check it may carry out late orders of an earlier holder; the next
+ * plan corrects these, since plans are made from what targets report.
  */
 import assemblePlacementPlan, {
   findUnusedVersions,
@@ -30,40 +27,40 @@
 
 const LEASE_NAME = 'limelead/placement';
 const LEASE_TTL_MS = 6_000;
-/** Part of the lease's time that is left unused, for clocks that run at different speeds. */
+/** Unused end of the lease, for clocks that run at different speeds. */
 const LEASE_MARGIN_MS = 1_000;
-/** Late orders are fenced or mended by the next plan: nothing waits for them to arrive. */
+/** Late orders are fenced or corrected by the next plan, so nothing waits for them to arrive. */
 const ORDER_ARRIVAL_MS = 0;
-/** For the same reason a holder that wins the lease back goes on at once. */
+/** For the same reason a VM that regains the lease continues at once. */
 const REACQUIRE_DELAY_MS = 0;
-/** An ordered load that does not show within this time is ordered again. */
+/** Time after which an ordered load that is not reported is ordered again. */
 const LOAD_TIMEOUT_MS = 120_000;
 
-/** What the doer sees at one moment. */
+/** Rules, versions and targets at one moment. */
 export interface PlacementView {
   rules: PlacementRule[];
   currentVersions: ModelVersion[];
   targets: PlacedTarget[];
 }
 
-/** What a doer needs. */
+/** Dependencies of the placement controller. */
 export interface PlacementControllerOptions {
   store: KeyValueStore;
   clock: Clock;
   metrics: Metrics;
   bus: EventBus;
-  /** Unique to this start of this VM's process. */
+  /** Unique id of this process. */
   incarnation: string;
   limits: PlacementLimits;
   readView(): PlacementView;
   findEngine(target: TargetId): ModelEngine | undefined;
 }
 
-/** Does placement while it holds the lease. */
+/** Sends placement orders while it holds the lease. */
 export interface PlacementController {
-  /** Renews the lease, plans, and gives orders; called at intervals. */
+  /** Renews the lease, plans and sends orders; called at intervals. */
   reconcile(): Promise<void>;
-  /** Gives the lease up, so that another VM goes on at once. */
+  /** Releases the lease, so that another VM can take over at once. */
   release(): Promise<void>;
 }
 
@@ -71,7 +68,7 @@
   orderedAtMs: Millis;
 }
 
-/** Creates the doer of one VM. */
+/** Creates the placement controller of one VM. */
 export default function createPlacementController(
   dependencies: PlacementControllerOptions,
 ): PlacementController {
@@ -79,7 +76,7 @@
   let epoch = 0;
   let pendingLoads: TimedPendingLoad[] = [];
   const unusedSinceMs = new Map<string, Millis>();
-  const seat = new KeyValueLease({
+  const lease = new KeyValueLease({
     store,
     name: LEASE_NAME,
     incarnation,
@@ -87,25 +84,25 @@
     clock,
   });
   const duty = new LeasedDuty({
-    // The clock of this interface is the time of day, which counts a suspension by itself.
+    // The clock is the time of day, so no time is lost while the VM is suspended.
     ...{ holder: incarnation, clock, timeOfDay: clock },
     ...{ reacquireDelayMs: REACQUIRE_DELAY_MS, marginMs: LEASE_MARGIN_MS },
     onAcquired(token) {
       if (token !== epoch) {
         epoch = token;
-        forgetWhatOthersMayHaveDone();
+        resetState();
       }
-      tell(token, 'held');
+      publishLease(token, 'held');
     },
-    onLost: (token) => tell(token, 'lost'),
+    onLost: (token) => publishLease(token, 'lost'),
     onClockJump: () => undefined,
   });
 
-  const tell = (token: number, state: 'held' | 'lost'): void =>
+  const publishLease = (token: number, state: 'held' | 'lost'): void =>
     bus.publish('', () => ({ kind: 'leaseChanged', lease: LEASE_NAME, epoch: token, state }));
 
   async function renew(): Promise<void> {
-    const answer = await seat.renew()();
+    const answer = await lease.renew()();
     duty.checkExpiry();
     if (E.isRight(answer)) {
       duty.onLeaseAnswer(answer.right);
@@ -114,35 +111,35 @@
     }
   }
 
-  function forgetWhatOthersMayHaveDone(): void {
+  function resetState(): void {
     pendingLoads = [];
     unusedSinceMs.clear();
   }
 
-  async function work(): Promise<void> {
+  async function reconcile(): Promise<void> {
     await renew();
     if (duty.permit(ORDER_ARRIVAL_MS) === undefined) {
       return;
     }
     const view = dependencies.readView();
     updatePendingLoads(view);
-    const situation = { ...view, pendingLoads, now: clock.now(), limits };
-    updateUnused(findUnusedVersions(situation));
-    for (const order of assemblePlacementPlan({ ...situation, unusedSinceMs })) {
-      await give(order);
+    const inputs = { ...view, pendingLoads, now: clock.now(), limits };
+    updateUnused(findUnusedVersions(inputs));
+    for (const order of assemblePlacementPlan({ ...inputs, unusedSinceMs })) {
+      await sendOrder(order);
     }
   }
 
   function updatePendingLoads({ targets }: PlacementView): void {
-    const isUnderWay = (load: TimedPendingLoad): boolean => {
+    const isInProgress = (load: TimedPendingLoad): boolean => {
       const target = targets.find(({ id }) => id === load.targetId);
-      const shows = target?.loaded.some((version) =>
+      const isReported = target?.loaded.some((version) =>
         isSameModelVersion(version, load.modelVersion),
       );
-      const isOld = clock.now() - load.orderedAtMs > LOAD_TIMEOUT_MS;
-      return target !== undefined && shows !== true && !isOld;
+      const isExpired = clock.now() - load.orderedAtMs > LOAD_TIMEOUT_MS;
+      return target !== undefined && isReported !== true && !isExpired;
     };
-    pendingLoads = pendingLoads.filter(isUnderWay);
+    pendingLoads = pendingLoads.filter(isInProgress);
   }
 
   function updateUnused(unused: ModelVersion[]): void {
@@ -157,9 +154,9 @@
     }
   }
 
-  async function give(order: PlacementOrder): Promise<void> {
+  async function sendOrder(order: PlacementOrder): Promise<void> {
     const engine = dependencies.findEngine(order.targetId);
-    // Looked at again for each order: the process may have been paused since the last.
+    // Checked before each order, since the process may have been paused.
     const permit = duty.permit(ORDER_ARRIVAL_MS);
     if (engine === undefined || permit === undefined) {
       return;
@@ -182,11 +179,11 @@
   }
 
   return {
-    reconcile: work,
+    reconcile,
     async release() {
       if (duty.sentAtMs !== undefined) {
         duty.giveUp();
-        await seat.release()();
+        await lease.release()();
       }
     },
   };
--- a/packages/assemble-placement-plan/src/index.test.ts
+++ b/packages/assemble-placement-plan/src/index.test.ts
@@ -20,7 +20,7 @@
   return { id: `e${index}`, failureDomain, loaded, load: 0 };
 }
 
-function situation(change: Partial<PlacementInputs>): PlacementInputs {
+function createInputs(change: Partial<PlacementInputs>): PlacementInputs {
   return {
     rules: [],
     currentVersions: [],
@@ -35,29 +35,29 @@
 
 test('loads are spread over failure domains and paced', () => {
   const targets = Array.from({ length: 6 }, (_, index) => target(index, []));
-  const orders = assemblePlacementPlan(situation({ rules: [rule(NEW, 4)], targets }));
+  const orders = assemblePlacementPlan(createInputs({ rules: [rule(NEW, 4)], targets }));
   assert.equal(
     orders.map(({ targetId }) => targetId),
     ['e0', 'e1'],
   );
 });
 
-test('a load that is under way is not ordered again', () => {
+test('a load in progress is not ordered again', () => {
   const targets = [target(0, [])];
   const pendingLoads = [{ targetId: 'e0', modelVersion: NEW }];
   assert.equal(
-    assemblePlacementPlan(situation({ rules: [rule(NEW, 1)], targets, pendingLoads })),
+    assemblePlacementPlan(createInputs({ rules: [rule(NEW, 1)], targets, pendingLoads })),
     [],
   );
 });
 
-test('the old version stays until the new one is everywhere it should be, and some time more', () => {
+test('the old version is unloaded only after the new one is loaded everywhere and a delay has passed', () => {
   const rules = [rule(NEW, 2)];
   const unusedSinceMs = new Map([['tutor/-@1', 0]]);
   const half = [target(0, [OLD, NEW]), target(1, [OLD])];
   const whole = [target(0, [OLD, NEW]), target(1, [OLD, NEW])];
   const actions = (change: Partial<PlacementInputs>) =>
-    assemblePlacementPlan(situation({ rules, unusedSinceMs, ...change })).map(
+    assemblePlacementPlan(createInputs({ rules, unusedSinceMs, ...change })).map(
       ({ action }) => action,
     );
   assert.equal(actions({ targets: half }), ['load']);
@@ -66,11 +66,11 @@
   assert.equal(
     actions({ targets: whole, currentVersions: [OLD] }),
     [],
-    'a service still begins with it',
+    'a service still starts answers with it',
   );
 });
 
-test('carried out again and again, a plan meets every rule that can be met, and then rests', () => {
+test('repeated plans meet every rule that can be met, and then send no more orders', () => {
   const versions = fc.constantFrom(OLD, NEW);
   fc.assert(
     fc.property(
@@ -81,8 +81,8 @@
         const targets = loads.map((loaded, index) => target(index, [...new Set(loaded)]));
         const rules = [rule(OLD, oldTargets), rule(NEW, newTargets, ['suwon'])];
         for (let round = 0; round < 30; round += 1) {
-          for (const order of assemblePlacementPlan(situation({ rules, targets }))) {
-            assert.is(order.action, 'load', 'both versions are wanted');
+          for (const order of assemblePlacementPlan(createInputs({ rules, targets }))) {
+            assert.is(order.action, 'load', 'both versions are used');
             targets.find(({ id }) => id === order.targetId)?.loaded.push(order.modelVersion);
           }
         }
@@ -95,7 +95,7 @@
         const inSuwon = targets.filter(({ failureDomain }) => failureDomain === 'suwon').length;
         assert.ok(count(OLD) >= Math.min(oldTargets, targets.length));
         assert.ok(count(NEW, 'suwon') >= Math.min(newTargets, inSuwon));
-        assert.equal(assemblePlacementPlan(situation({ rules, targets })), []);
+        assert.equal(assemblePlacementPlan(createInputs({ rules, targets })), []);
       },
     ),
     { seed: 10 },
--- a/packages/assemble-placement-plan/src/index.ts
+++ b/packages/assemble-placement-plan/src/index.ts
@@ -1,4 +1,4 @@
-/** Pure decision: which targets load or unload which model versions. */
+/** Plans which targets load or unload which model versions; free of side effects. */
 import {
   describeModelVersion,
   isSameModelVersion,
@@ -8,31 +8,31 @@
   type TargetId,
 } from '@limelead/types';
 
-/** An engine as the planner sees it. */
+/** A model engine, as the planner sees it. */
 export interface PlacedTarget {
   id: TargetId;
   failureDomain: string;
-  /** Versions that its last fresh report names. */
+  /** Versions named in its last fresh report. */
   loaded: ModelVersion[];
   /** Generations that run or wait there. */
   load: number;
 }
 
-/** A load order that its target does not yet show. */
+/** An ordered load that the target does not report yet. */
 export interface PendingLoad {
   targetId: TargetId;
   modelVersion: ModelVersion;
 }
 
-/** Everything that a plan is made from. */
+/** Inputs of a plan. */
 export interface PlacementInputs {
   rules: PlacementRule[];
-  /** Versions with which new answers begin now. */
+  /** Versions that new answers start with. */
   currentVersions: ModelVersion[];
   /** Engines with a fresh report that are not leaving. */
   targets: PlacedTarget[];
   pendingLoads: PendingLoad[];
-  /** Since when a version was wanted by nothing; by its description. */
+  /** When each version became unused, by the version's description. */
   unusedSinceMs: ReadonlyMap<string, Millis>;
   now: Millis;
   limits: PlacementLimits;
@@ -40,13 +40,13 @@
 
 /** Limits on the orders of one plan. */
 export interface PlacementLimits {
-  /** Loads under way at a time; the weight store is rate-limited. */
+  /** Maximum loads in progress; the weight store is rate-limited. */
   maxPendingLoads: number;
-  /** Time for which a version stays loaded that nothing wants, for answers that began with it. */
+  /** Time for which an unused version stays loaded, so that answers started with it can finish. */
   retainMs: number;
 }
 
-/** One order, and why. */
+/** One order with its reason. */
 export interface PlacementOrder {
   targetId: TargetId;
   action: 'load' | 'unload';
@@ -54,40 +54,37 @@
   reason: string;
 }
 
-/** Assembles the orders; none where everything is as it should be. */
-export default function assemblePlacementPlan(situation: PlacementInputs): PlacementOrder[] {
-  const loads = planLoads(situation);
-  // Unloading waits until every rule is met, so that a change of version never
-  // takes capacity away before its successor has it.
-  const isSettled = loads.length === 0 && situation.pendingLoads.length === 0;
-  return isSettled && areRulesMet(situation) ? planUnloads(situation) : loads;
+/** Returns the orders to send; none if the targets match the rules. */
+export default function assemblePlacementPlan(inputs: PlacementInputs): PlacementOrder[] {
+  const loads = planLoads(inputs);
+  // Unloads wait until every rule is met, so that a change of version never reduces capacity.
+  const areLoadsComplete = loads.length === 0 && inputs.pendingLoads.length === 0;
+  return areLoadsComplete && areRulesMet(inputs) ? planUnloads(inputs) : loads;
 }
 
-/** Versions that are loaded somewhere and that neither a rule nor a service wants. */
-export function findUnusedVersions(
-  situation: Omit<PlacementInputs, 'unusedSinceMs'>,
-): ModelVersion[] {
+/** Returns the loaded versions that no rule and no service uses. */
+export function findUnusedVersions(inputs: Omit<PlacementInputs, 'unusedSinceMs'>): ModelVersion[] {
   const seen = new Map<string, ModelVersion>();
-  for (const version of situation.targets.flatMap(({ loaded }) => loaded)) {
-    if (!isUsed(situation, version)) {
+  for (const version of inputs.targets.flatMap(({ loaded }) => loaded)) {
+    if (!isUsed(inputs, version)) {
       seen.set(describeModelVersion(version), version);
     }
   }
   return [...seen.values()];
 }
 
-function planLoads(situation: PlacementInputs): PlacementOrder[] {
+function planLoads(inputs: PlacementInputs): PlacementOrder[] {
   const planned: PlacementOrder[] = [];
-  const room = (): number =>
-    situation.limits.maxPendingLoads - situation.pendingLoads.length - planned.length;
-  for (const rule of situation.rules) {
-    let missing = rule.targets - countPlaced(situation, rule);
-    while (missing > 0 && room() > 0) {
-      const target = chooseTarget(situation, rule, planned);
+  const remainingLoads = (): number =>
+    inputs.limits.maxPendingLoads - inputs.pendingLoads.length - planned.length;
+  for (const rule of inputs.rules) {
+    let missing = rule.targets - countPlaced(inputs, rule);
+    while (missing > 0 && remainingLoads() > 0) {
+      const target = chooseTarget(inputs, rule, planned);
       if (target === undefined) {
         break;
       }
-      const reason = `rule ${rule.name} lacks ${missing}`;
+      const reason = `rule ${rule.name} needs ${missing} more targets`;
       planned.push({ targetId: target.id, action: 'load', modelVersion: versionOf(rule), reason });
       missing -= 1;
     }
@@ -95,23 +92,23 @@
   return planned;
 }
 
-/** Spreads over failure domains first, then takes the least busy. */
+/** Spreads over failure domains first, then prefers the least loaded target. */
 function chooseTarget(
-  situation: PlacementInputs,
+  inputs: PlacementInputs,
   rule: PlacementRule,
   planned: PlacementOrder[],
 ): PlacedTarget | undefined {
   const version = versionOf(rule);
-  const isTaken = (target: PlacedTarget): boolean =>
-    hasOrIsLoading(situation, target, version) ||
+  const hasVersion = (target: PlacedTarget): boolean =>
+    hasOrIsLoading(inputs, target, version) ||
     planned.some(
       (order) => order.targetId === target.id && isSameModelVersion(order.modelVersion, version),
     );
-  const candidates = situation.targets.filter(
-    (target) => isAllowed(rule, target) && !isTaken(target),
+  const candidates = inputs.targets.filter(
+    (target) => isAllowed(rule, target) && !hasVersion(target),
   );
   const placedIn = (domain: string): number =>
-    situation.targets.filter((target) => target.failureDomain === domain && isTaken(target)).length;
+    inputs.targets.filter((target) => target.failureDomain === domain && hasVersion(target)).length;
   return candidates.sort(
     (a, b) =>
       placedIn(a.failureDomain) - placedIn(b.failureDomain) ||
@@ -121,34 +118,34 @@
   )[0];
 }
 
-function planUnloads(situation: PlacementInputs): PlacementOrder[] {
-  const { now, limits, unusedSinceMs } = situation;
-  return findUnusedVersions(situation)
+function planUnloads(inputs: PlacementInputs): PlacementOrder[] {
+  const { now, limits, unusedSinceMs } = inputs;
+  return findUnusedVersions(inputs)
     .filter((version) => {
       const since = unusedSinceMs.get(describeModelVersion(version));
       return since !== undefined && now - since >= limits.retainMs;
     })
     .flatMap((version) =>
-      situation.targets
+      inputs.targets
         .filter(({ loaded }) => loaded.some((other) => isSameModelVersion(other, version)))
         .map(({ id }) => ({
           targetId: id,
           action: 'unload' as const,
           modelVersion: version,
-          reason: 'wanted by no rule and no service',
+          reason: 'not used by any rule or service',
         })),
     );
 }
 
-function areRulesMet(situation: PlacementInputs): boolean {
-  return situation.rules.every((rule) => countPlaced(situation, rule) >= rule.targets);
+function areRulesMet(inputs: PlacementInputs): boolean {
+  return inputs.rules.every((rule) => countPlaced(inputs, rule) >= rule.targets);
 }
 
-/** Allowed targets that have the rule's version, or are about to. */
-function countPlaced(situation: PlacementInputs, rule: PlacementRule): number {
+/** Counts the allowed targets that have the rule's version or are loading it. */
+function countPlaced(inputs: PlacementInputs, rule: PlacementRule): number {
   const version = versionOf(rule);
-  return situation.targets.filter(
-    (target) => isAllowed(rule, target) && hasOrIsLoading(situation, target, version),
+  return inputs.targets.filter(
+    (target) => isAllowed(rule, target) && hasOrIsLoading(inputs, target, version),
   ).length;
 }
 
@@ -173,8 +170,8 @@
   { rules, currentVersions }: Pick<PlacementInputs, 'rules' | 'currentVersions'>,
   version: ModelVersion,
 ): boolean {
-  const wanted = [...rules.map(versionOf), ...currentVersions];
-  return wanted.some((other) => isSameModelVersion(other, version));
+  const used = [...rules.map(versionOf), ...currentVersions];
+  return used.some((other) => isSameModelVersion(other, version));
 }
 
 function versionOf({ model, adapter, version }: PlacementRule): ModelVersion {
--- a/packages/hold-duty/src/clock-jump-detector.test.ts
+++ b/packages/hold-duty/src/clock-jump-detector.test.ts
@@ -5,16 +5,16 @@
 const TTL_MS = 3_000;
 const MARGIN_MS = 200;
 
-/** A duty that was taken at 0, with two clocks that are moved by hand. */
-class World {
-  steadyMs = 0;
-  dayMs = 1_000_000;
+/** A duty that was acquired at 0, with two manual clocks. */
+class TestClocks {
+  steadyTimeMs = 0;
+  timeOfDayMs = 1_000_000;
   readonly jumps: number[] = [];
   readonly lost: string[] = [];
   readonly duty = new LeasedDuty({
     holder: 'vm-1',
-    clock: { now: () => this.steadyMs },
-    timeOfDay: { now: () => this.dayMs },
+    clock: { now: () => this.steadyTimeMs },
+    timeOfDay: { now: () => this.timeOfDayMs },
     reacquireDelayMs: 0,
     marginMs: MARGIN_MS,
     onAcquired: () => undefined,
@@ -26,89 +26,89 @@
     this.renew(0);
   }
 
-  pass(ms: number): void {
-    this.steadyMs += ms;
-    this.dayMs += ms;
+  advance(ms: number): void {
+    this.steadyTimeMs += ms;
+    this.timeOfDayMs += ms;
   }
 
-  /** The steady clock stands still meanwhile; or somebody sets the time of day. */
-  lose(ms: number): void {
-    this.dayMs += ms;
+  /** Advances only the time of day, as when the VM is suspended or the time is set. */
+  jump(ms: number): void {
+    this.timeOfDayMs += ms;
   }
 
-  renew(sentAtMs = this.steadyMs): void {
+  renew(sentAtMs = this.steadyTimeMs): void {
     this.duty.onLeaseAnswer({ kind: 'ours', token: 4, sentAtMs, ttlMs: TTL_MS });
   }
 
-  get mayAct(): boolean {
+  get isPermitted(): boolean {
     return this.duty.permit(100) !== undefined;
   }
 }
 
-test('a VM that was suspended past its lease does nothing before the store confirmed it', () => {
-  const world = new World();
-  world.pass(100);
-  assert.ok(world.mayAct);
-  world.lose(TTL_MS);
-  assert.not(world.mayAct);
-  world.pass(10);
-  assert.not(world.mayAct);
-  world.renew();
-  assert.ok(world.mayAct);
-  assert.equal(world.jumps, [TTL_MS]);
+test('a VM suspended for longer than its lease makes no calls before the store confirms the lease', () => {
+  const clocks = new TestClocks();
+  clocks.advance(100);
+  assert.ok(clocks.isPermitted);
+  clocks.jump(TTL_MS);
+  assert.not(clocks.isPermitted);
+  clocks.advance(10);
+  assert.not(clocks.isPermitted);
+  clocks.renew();
+  assert.ok(clocks.isPermitted);
+  assert.equal(clocks.jumps, [TTL_MS]);
 });
 
-test('an answer to what was sent before the suspension confirms nothing', () => {
-  const world = new World();
-  const sentAtMs = world.steadyMs;
-  world.lose(TTL_MS);
-  world.renew(sentAtMs);
-  assert.not(world.mayAct);
+test('an answer to a call from before the suspension confirms nothing', () => {
+  const clocks = new TestClocks();
+  const sentAtMs = clocks.steadyTimeMs;
+  clocks.jump(TTL_MS);
+  clocks.renew(sentAtMs);
+  assert.not(clocks.isPermitted);
 });
 
-test('a short suspension leaves what is left of the lease', () => {
-  const world = new World();
-  world.pass(500);
-  world.lose(1_000);
-  assert.ok(world.mayAct);
-  world.pass(1_300);
-  assert.not(world.mayAct);
+test('a short suspension shortens the lease', () => {
+  const clocks = new TestClocks();
+  clocks.advance(500);
+  clocks.jump(1_000);
+  assert.ok(clocks.isPermitted);
+  clocks.advance(1_300);
+  assert.not(clocks.isPermitted);
 });
 
-test('several suspensions add up until the store confirmed the lease', () => {
-  const world = new World();
+test('suspensions add up until the store confirms the lease', () => {
+  const clocks = new TestClocks();
   for (let time = 0; time < 3; time += 1) {
-    world.lose(1_000);
-    world.pass(10);
-    world.duty.permit(0);
+    clocks.jump(1_000);
+    clocks.advance(10);
+    clocks.duty.permit(0);
   }
-  assert.not(world.mayAct);
-  world.renew();
-  assert.ok(world.mayAct);
+  assert.not(clocks.isPermitted);
+  clocks.renew();
+  assert.ok(clocks.isPermitted);
 });
 
-test('a time of day that is set costs no duty, ahead or back', () => {
+test('setting the time of day ahead or back does not end the hold', () => {
   for (const stepMs of [3_600_000, -3_600_000]) {
-    const world = new World();
-    world.lose(stepMs);
-    world.pass(100);
-    world.duty.checkExpiry();
-    world.pass(10);
-    world.renew();
-    assert.ok(world.mayAct);
-    assert.equal(world.lost, []);
+    const clocks = new TestClocks();
+    clocks.jump(stepMs);
+    clocks.advance(100);
+    clocks.duty.checkExpiry();
+    clocks.advance(10);
+    clocks.renew();
+    assert.ok(clocks.isPermitted);
+    assert.equal(clocks.lost, []);
   }
 });
 
-test('small corrections add up to nothing', () => {
-  const world = new World();
+test('small clock corrections do not add up', () => {
+  const clocks = new TestClocks();
   for (let step = 0; step < 20; step += 1) {
-    world.pass(100);
-    world.lose(1);
-    world.renew();
+    clocks.advance(100);
+    clocks.jump(1);
+    clocks.renew();
   }
-  assert.ok(world.mayAct);
-  assert.equal(world.jumps, []);
+  assert.ok(clocks.isPermitted);
+  assert.equal(clocks.jumps, []);
 });
 
 test.run();
--- a/packages/hold-duty/src/clock-jump-detector.ts
+++ b/packages/hold-duty/src/clock-jump-detector.ts
@@ -1,27 +1,25 @@
 /**
- * Time that the steady clock may not have counted. A VM that is suspended stands still with its
- * steady clock; its time of day has gone on when it wakes up. A time of day that somebody
- * sets ahead looks the same, so what follows from it has to be harmless.
+ * Detects time that the steady clock missed, as when the VM was suspended, by comparing it with the
+ * time of day. A time of day that is set ahead looks the same, so reactions must be harmless.
  */
 import type { Clock, Millis } from '@limelead/types';
 
-/**
- * A time of day that gets ahead of the steady clock by less is taken for correction, in
- * milliseconds: both drift by a thousandth at most, and a lease keeps a margin as large.
- */
+/** Minimum difference that counts as a jump; smaller ones are clock drift and corrections. */
 const MIN_JUMP_MS = 150;
 
-/** Jumps kept; a lease is renewed several times before as many could come. */
+/** Number of jumps kept; a lease is renewed several times before as many can occur. */
 const MAX_JUMPS = 16;
 
-/** Compares two clocks. */
+/** Compares a steady clock with the time of day. */
 export default class ClockJumpDetector {
-  /** How far the time of day was ahead of the steady clock when last looked at. */
+  /** Offset of the time of day from the steady clock at the last check. */
   private aheadMs: Millis;
-  /** Jumps, the newest last. */
+  /** Jumps, newest last. */
   private jumps: { atMs: Millis; jumpMs: Millis }[] = [];
 
-  /** @param onJump called with the time that may have been lost, in milliseconds */
+  /**
+   * @param onJump called with the time that may have been missed
+   */
   constructor(
     private readonly steady: Clock,
     private readonly timeOfDay: Clock,
@@ -30,7 +28,7 @@
     this.aheadMs = timeOfDay.now() - steady.now();
   }
 
-  /** Time that may have passed uncounted since a steady time, in milliseconds. */
+  /** Returns the time that may have been missed since a steady time. */
   jumpedSince(atMs: Millis): Millis {
     this.check();
     return this.jumps
@@ -38,7 +36,7 @@
       .reduce((sum, { jumpMs }) => sum + jumpMs, 0);
   }
 
-  /** Notices what was lost until now; the sooner, the less counts as sent before it. */
+  /** Records a jump since the last check. */
   check(): void {
     const now = this.steady.now();
     const aheadMs = this.timeOfDay.now() - now;
--- a/packages/hold-duty/src/conditional-store-lease.ts
+++ b/packages/hold-duty/src/conditional-store-lease.ts
@@ -1,4 +1,4 @@
-/** A seat in a store with conditional writes: one key of ours that hangs on a lease. */
+/** A duty lease as a key with a lease in a store with conditional writes. */
 import type { ConditionalStore, PortCall, StoreEntry } from '@limelead/ports';
 import type { Clock, Millis } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
@@ -7,20 +7,20 @@
 
 const holderCodec = t.type({ vm: t.string, incarnation: t.string, lease: t.number });
 
-/** What a seat needs. */
+/** Dependencies of the lease. */
 export interface ConditionalStoreLeaseOptions {
   store: ConditionalStore;
   key: string;
-  /** Name of the VM, for operators who look into the store. */
+  /** Name of the VM, for operators who inspect the store. */
   vm: string;
-  /** Unique to this start of the process: a restart is another holder. */
+  /** Unique id of this process; a restarted process is another holder. */
   incarnation: string;
-  /** Time after which a holder that fell silent loses the seat. */
+  /** Time after which a silent holder loses the lease. */
   ttlMs: Millis;
   clock: Clock;
 }
 
-/** The token is the revision of the write that took the seat, which the store only lets rise. */
+/** Uses the revision of the acquiring write as token, since revisions only increase. */
 export default class ConditionalStoreLease implements DutyLease {
   private lease: number | undefined;
   private token = 0;
@@ -30,14 +30,14 @@
     this.leaseTtlMs = options.ttlMs;
   }
 
-  /** Reads first: a write whose answer was lost may have been done meanwhile. */
+  /** Reads first, since an earlier write with a lost answer may have been carried out. */
   acquire(): PortCall<LeaseAnswer> {
     return async () => {
-      const found = await this.options.store.read(this.options.key)();
-      if (E.isLeft(found)) {
-        return found;
+      const entry = await this.options.store.read(this.options.key)();
+      if (E.isLeft(entry)) {
+        return entry;
       }
-      return found.right === undefined ? this.write() : this.readHolder(found.right);
+      return entry.right === undefined ? this.write() : this.readHolder(entry.right);
     };
   }
 
@@ -45,14 +45,14 @@
     return async () => {
       const sentAtMs = this.options.clock.now();
       const renewed = await this.options.store.renewLease(this.lease ?? 0)();
-      return E.map((stands: boolean): LeaseAnswer => {
+      return E.map((isAlive: boolean): LeaseAnswer => {
         const { token, leaseTtlMs } = this;
-        return stands ? { kind: 'ours', token, sentAtMs, ttlMs: leaseTtlMs } : { kind: 'free' };
+        return isAlive ? { kind: 'ours', token, sentAtMs, ttlMs: leaseTtlMs } : { kind: 'free' };
       })(renewed);
     };
   }
 
-  /** The key goes with its lease, and a write that is still on its way finds none. */
+  /** Ends the lease, which deletes the key and makes a late write fail. */
   release(): PortCall<void> {
     return async () => {
       const { lease } = this;
@@ -61,7 +61,7 @@
     };
   }
 
-  /** A key of this process that stands lasts as long as its lease, which a renewal tells. */
+  /** Renews the lease if the key belongs to this process. */
   private async readHolder({ value, revision }: StoreEntry): ReturnType<PortCall<LeaseAnswer>> {
     const holder = decode(value);
     if (holder?.incarnation !== this.options.incarnation) {
@@ -103,7 +103,7 @@
     const decoded = holderCodec.decode(JSON.parse(value.toString()));
     return E.isRight(decoded) ? decoded.right : undefined;
   } catch {
-    // Not of this program: another holds the seat, as the caller tells.
+    // Not written by this program, so another holder has the lease.
     return undefined;
   }
 }
--- a/packages/hold-duty/src/duty-elector.test.ts
+++ b/packages/hold-duty/src/duty-elector.test.ts
@@ -1,4 +1,4 @@
-/** A keeper beside a seat whose answers the test chooses. */
+/** Tests an elector with a lease whose answers the test controls. */
 import { PortFault } from '@limelead/errors';
 import { createManualTime, type ManualTime } from '@limelead/stand-ins';
 import * as E from 'fp-ts/lib/Either.js';
@@ -9,25 +9,25 @@
 import type { LeaseAnswer } from './duty-lease.js';
 
 const LEASE_MS = 3_000;
-/** Longer than a VM without a place keeps the duty, and than the pause behind its release. */
-const OUT_OF_PLACE_MS = 3_500;
-const RELEASE_PAUSE_MS = 6_000;
+/** Longer than a VM that is no candidate keeps the duty, and than the backoff after a release. */
+const NOT_CANDIDATE_MS = 3_500;
+const RELEASE_BACKOFF_MS = 6_000;
 
-interface Scene {
+interface TestSetup {
   time: ManualTime;
   duty: LeasedDuty;
-  keeper: DutyElector;
-  place: number | undefined;
-  cutOffSinceMs: number | undefined;
-  /** What the store says to who asks; its time is that of the call. */
-  seat: 'ours' | 'taken' | 'free';
+  elector: DutyElector;
+  candidateRank: number | undefined;
+  isolatedSinceMs: number | undefined;
+  /** The store's answers to calls. */
+  leaseState: 'ours' | 'taken' | 'free';
   token: number;
-  releaseIsHeard: boolean;
-  takes: number;
+  isReleaseAnswered: boolean;
+  acquisitions: number;
   releases: number;
 }
 
-function createScene(): Scene {
+function createSetup(): TestSetup {
   const time = createManualTime(0);
   const { clock, timers } = time;
   const duty = new LeasedDuty({
@@ -41,25 +41,25 @@
     onClockJump: () => undefined,
   });
   const answer = (): E.Either<never, LeaseAnswer> => {
-    const { seat, token } = scene;
-    return seat === 'ours'
-      ? E.right({ kind: seat, token, sentAtMs: clock.now(), ttlMs: LEASE_MS })
-      : E.right({ kind: seat });
+    const { leaseState, token } = setup;
+    return leaseState === 'ours'
+      ? E.right({ kind: leaseState, token, sentAtMs: clock.now(), ttlMs: LEASE_MS })
+      : E.right({ kind: leaseState });
   };
-  const keeper = new DutyElector({
+  const elector = new DutyElector({
     lease: {
       acquire: () => async () => {
-        scene.takes += 1;
+        setup.acquisitions += 1;
         return answer();
       },
       renew: () => async () => answer(),
       release: () => async () => {
-        scene.releases += 1;
-        if (!scene.releaseIsHeard) {
+        setup.releases += 1;
+        if (!setup.isReleaseAnswered) {
           return E.left(new PortFault('timeout', 'maybe', 'unheard'));
         }
-        // Whoever takes it next has a new token.
-        scene.token += 1;
+        // The next holder has a new token.
+        setup.token += 1;
         return E.right(undefined);
       },
     },
@@ -68,71 +68,71 @@
     timers,
     random: { next: () => 0 },
     ttlMs: LEASE_MS,
-    readCandidateRank: () => scene.place,
-    readIsolatedSinceMs: () => scene.cutOffSinceMs,
-    isHeldInStore: () => scene.duty.sentAtMs !== undefined,
+    readCandidateRank: () => setup.candidateRank,
+    readIsolatedSinceMs: () => setup.isolatedSinceMs,
+    isHeldInStore: () => setup.duty.sentAtMs !== undefined,
     onFault: () => undefined,
   });
-  const scene: Scene = {
+  const setup: TestSetup = {
     time,
     duty,
-    keeper,
-    place: 0,
-    cutOffSinceMs: undefined,
-    seat: 'ours',
+    elector,
+    candidateRank: 0,
+    isolatedSinceMs: undefined,
+    leaseState: 'ours',
     token: 1,
-    releaseIsHeard: true,
-    takes: 0,
+    isReleaseAnswered: true,
+    acquisitions: 0,
     releases: 0,
   };
-  keeper.start();
-  return scene;
+  elector.start();
+  return setup;
 }
 
-test('a lease whose release was not heard of is released again and never used again', async () => {
-  const scene = createScene();
-  await scene.time.advance(1_000);
-  assert.is(scene.duty.permit(0)?.token, 1);
-  scene.releaseIsHeard = false;
-  scene.place = undefined;
-  await scene.time.advance(OUT_OF_PLACE_MS);
-  assert.is(scene.releases, 1);
-  // The release is still on its way, so the key stands when this VM asks again.
-  scene.place = 0;
-  scene.releaseIsHeard = true;
-  await scene.time.advance(RELEASE_PAUSE_MS);
-  assert.is(scene.releases, 2);
-  assert.is(scene.duty.permit(0)?.token, 2);
+test('a lease whose release got no answer is released again and never used again', async () => {
+  const setup = createSetup();
+  await setup.time.advance(1_000);
+  assert.is(setup.duty.permit(0)?.token, 1);
+  setup.isReleaseAnswered = false;
+  setup.candidateRank = undefined;
+  await setup.time.advance(NOT_CANDIDATE_MS);
+  assert.is(setup.releases, 1);
+  // The release has not been carried out yet, so the key still exists.
+  setup.candidateRank = 0;
+  setup.isReleaseAnswered = true;
+  await setup.time.advance(RELEASE_BACKOFF_MS);
+  assert.is(setup.releases, 2);
+  assert.is(setup.duty.permit(0)?.token, 2);
 });
 
-test('who found the duty taken, however often, asks again soon', async () => {
-  const scene = createScene();
-  scene.seat = 'taken';
-  await scene.time.advance(20_000);
+test('a VM that found the duty held any number of times asks again soon', async () => {
+  const setup = createSetup();
+  setup.leaseState = 'taken';
+  await setup.time.advance(20_000);
   for (let step = 0; step < 6; step += 1) {
-    const before = scene.takes;
-    await scene.time.advance(800);
-    assert.ok(scene.takes > before, `step ${step}`);
+    const before = setup.acquisitions;
+    await setup.time.advance(800);
+    assert.ok(setup.acquisitions > before, `step ${step}`);
   }
-  scene.seat = 'ours';
-  await scene.time.advance(800);
-  assert.is(scene.duty.permit(0)?.token, 1);
+  setup.leaseState = 'ours';
+  await setup.time.advance(800);
+  assert.is(setup.duty.permit(0)?.token, 1);
 });
 
-test('a holder that is cut off gives the duty up, and takes it again where nobody does', async () => {
-  const scene = createScene();
-  await scene.time.advance(5_000);
-  scene.cutOffSinceMs = 5_000;
-  await scene.time.advance(1_900);
-  assert.is(scene.releases, 0);
-  await scene.time.advance(500);
-  assert.is(scene.releases, 1);
-  assert.is(scene.duty.permit(0), undefined);
-  await scene.time.advance(3_500);
-  assert.is(scene.takes, 1);
-  await scene.time.advance(20_000);
-  assert.is(scene.releases, 1);
-  assert.is(scene.duty.permit(0)?.token, 2);
+test('an isolated holder releases the duty, and acquires it again if no other VM does', async () => {
+  const setup = createSetup();
+  await setup.time.advance(5_000);
+  setup.isolatedSinceMs = 5_000;
+  await setup.time.advance(1_900);
+  assert.is(setup.releases, 0);
+  await setup.time.advance(500);
+  assert.is(setup.releases, 1);
+  assert.is(setup.duty.permit(0), undefined);
+  await setup.time.advance(3_500);
+  assert.is(setup.acquisitions, 1);
+  await setup.time.advance(20_000);
+  assert.is(setup.releases, 1);
+  assert.is(setup.duty.permit(0)?.token, 2);
 });
 
 test.run();
--- a/packages/hold-duty/src/duty-elector.ts
+++ b/packages/hold-duty/src/duty-elector.ts
@@ -1,4 +1,4 @@
-/** Stands for a duty, keeps it while it is held, and hands it over. */
+/** Competes for a duty, renews its lease while it is held, and hands it over. */
 import type { PortFault } from '@limelead/errors';
 import { delay, type Clock, type Millis, type Random, type Timers } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
@@ -6,41 +6,37 @@
 import type { DutyLease, LeaseAnswer } from './duty-lease.js';
 import planStep, { type DutyStatus, type DutyStep } from './plan-step.js';
 
-/** Time between two looks at the situation; no look costs a call. */
+/** Time between two decisions; a decision alone makes no call. */
 const STEP_INTERVAL_MS = 200;
-/** Renewals that fit into a lease, so that one may fail and the next still be in time. */
+/** Number of renewals per lease, so that one may fail and the next is still in time. */
 const RENEWALS_PER_LEASE = 3;
-/** Pause behind a renewal that failed: while the lease lasts another try is worth its call. */
+/** Backoff after a failed renewal. */
 const RENEW_RETRY_MS = 300;
-/** Pause behind a try that found the duty taken, and behind the first that failed. */
+/** Backoff after an attempt that found the duty held, and after the first failure. */
 const MIN_BACKOFF_MS = 500;
-/**
- * Longest pause between tries, in milliseconds, for a store that is away for long: each call has
- * its price, and a window that ended meanwhile is due 10 s behind its end.
- */
+/** Maximum backoff between attempts. */
 const MAX_BACKOFF_MS = 2_000;
-/**
- * Time for which a VM that can't carry a duty out leaves it to others, in milliseconds: one of
- * them has taken it and tried by then.
- */
+/** Time for which a VM that cannot carry a duty out leaves it to others. */
 const YIELD_MS = 10_000;
-/** Share of a pause that is drawn, so that VMs that failed together do not try together. */
+/** Share of a backoff that is random, so that VMs do not retry together. */
 const JITTER_SHARE = 0.3;
 
-/** What a keeper needs. */
+/** Dependencies of an elector. */
 export interface DutyElectorOptions {
   lease: DutyLease;
   duty: LeasedDuty;
   clock: Clock;
   timers: Timers;
   random: Random;
-  /** Time that a lease lasts, in milliseconds. */
+  /** Duration of the lease. */
   ttlMs: Millis;
-  /** Places behind the first of the VMs that stand for the duty; undefined where others stand. */
+  /** Position of this VM among the candidates, 0 for the first; undefined if it is no candidate. */
   readCandidateRank(): number | undefined;
-  /** Since when this VM has no links to most of the others; undefined where it has. */
+  /** Since when this VM is isolated from most others; undefined if it is not. */
   readIsolatedSinceMs(): Millis | undefined;
-  /** Whether somebody holds the duty by news of the store; undefined where they tell nothing. */
+  /**
+   * Whether any VM holds the duty according to the watched store; undefined if nothing is known.
+   */
   isHeldInStore(): boolean | undefined;
   onFault(step: DutyStep, fault: PortFault): void;
 }
@@ -48,93 +44,98 @@
 /** Runs from the start of the process to its end. */
 export default class DutyElector {
   private vacantSinceMs: Millis | undefined;
-  private outOfPlaceSinceMs: Millis | undefined;
-  private askedAtMs: Millis = -Infinity;
+  private notCandidateSinceMs: Millis | undefined;
+  private holderCheckedAtMs: Millis = -Infinity;
   private retryAtMs: Millis = -Infinity;
-  private asideUntilMs: Millis = -Infinity;
+  private yieldUntilMs: Millis = -Infinity;
   private failures = 0;
   private wasHeld = false;
   private isStopping = false;
-  private underWay: Promise<void> = Promise.resolve();
+  private currentStep: Promise<void> = Promise.resolve();
 
   constructor(private readonly options: DutyElectorOptions) {}
 
-  /** Begins to stand. */
+  /** Starts to compete for the duty. */
   start(): void {
-    this.underWay = this.look().finally(() => {
+    this.currentStep = this.runStep().finally(() => {
       if (!this.isStopping) {
         this.options.timers.after(STEP_INTERVAL_MS, () => this.start());
       }
     });
   }
 
-  /** This VM holds the duty and can't carry it out: another may, for a while. */
+  /**
+   * Releases the duty and leaves it to others for a while, because this VM cannot carry it out.
+   */
   yieldToOthers(): void {
-    this.asideUntilMs = this.options.clock.now() + YIELD_MS;
+    this.yieldUntilMs = this.options.clock.now() + YIELD_MS;
   }
 
-  /** Gives the duty up, once all that was permitted arrived; resolves when another may take it. */
+  /**
+   * Releases the duty after all permitted calls have arrived; resolves when another VM may acquire
+   * it.
+   */
   async handOver(): Promise<void> {
     this.isStopping = true;
-    await this.underWay;
+    await this.currentStep;
     await this.release();
   }
 
-  private async look(): Promise<void> {
+  private async runStep(): Promise<void> {
     const { duty } = this.options;
     duty.checkExpiry();
     if (this.wasHeld && duty.sentAtMs === undefined) {
-      // The store's news still show this VM's own hold.
-      this.askedAtMs = -Infinity;
+      // The watched store still shows this VM's own hold, so the store is asked again at once.
+      this.holderCheckedAtMs = -Infinity;
     }
     if (!this.isStopping) {
-      await this.carryOut(planStep(this.readSituation()));
+      await this.performStep(planStep(this.readStatus()));
     }
     this.wasHeld = duty.sentAtMs !== undefined;
   }
 
-  private readSituation(): DutyStatus {
+  private readStatus(): DutyStatus {
     const { duty, clock, ttlMs, readCandidateRank, readIsolatedSinceMs, isHeldInStore } =
       this.options;
     const now = clock.now();
-    const place = readCandidateRank();
+    const candidateRank = readCandidateRank();
     this.vacantSinceMs = isHeldInStore() === false ? (this.vacantSinceMs ?? now) : undefined;
-    const isOutOfPlace = duty.sentAtMs !== undefined && place === undefined;
-    this.outOfPlaceSinceMs = isOutOfPlace ? (this.outOfPlaceSinceMs ?? now) : undefined;
+    const isNotCandidate = duty.sentAtMs !== undefined && candidateRank === undefined;
+    this.notCandidateSinceMs = isNotCandidate ? (this.notCandidateSinceMs ?? now) : undefined;
     return {
       now,
-      candidateRank: place,
+      candidateRank,
       sentAtMs: duty.sentAtMs,
-      notCandidateSinceMs: this.outOfPlaceSinceMs,
+      notCandidateSinceMs: this.notCandidateSinceMs,
       isolatedSinceMs: readIsolatedSinceMs(),
       heldSinceMs: duty.heldSinceMs,
       vacantSinceMs: this.vacantSinceMs,
-      holderCheckedAtMs: this.askedAtMs,
-      yieldUntilMs: this.asideUntilMs,
+      holderCheckedAtMs: this.holderCheckedAtMs,
+      yieldUntilMs: this.yieldUntilMs,
       retryAtMs: this.retryAtMs,
       renewalIntervalMs: ttlMs / RENEWALS_PER_LEASE,
     };
   }
 
-  private async carryOut(step: DutyStep): Promise<void> {
+  private async performStep(step: DutyStep): Promise<void> {
     const { lease } = this.options;
     if (step === 'renew') {
-      await this.takeAnswer(step, await lease.renew()());
+      await this.handleAnswer(step, await lease.renew()());
     } else if (step === 'take') {
-      this.askedAtMs = this.options.clock.now();
-      await this.takeAnswer(step, await lease.acquire()());
+      this.holderCheckedAtMs = this.options.clock.now();
+      await this.handleAnswer(step, await lease.acquire()());
     } else if (step === 'release') {
       await this.release();
     }
   }
 
-  private async takeAnswer(
+  private async handleAnswer(
     step: DutyStep,
     answer: E.Either<PortFault, LeaseAnswer>,
   ): Promise<void> {
     if (E.isLeft(answer)) {
       this.options.onFault(step, answer.left);
-      this.pause(step === 'renew' ? RENEW_RETRY_MS : this.lengthenPause());
+      this.backOff(step === 'renew' ? RENEW_RETRY_MS : this.nextBackoffMs());
       return;
     }
     const isUsable = this.options.duty.onLeaseAnswer(answer.right);
@@ -143,45 +144,48 @@
       return;
     }
     if (answer.right.kind === 'taken') {
-      // The store works and told all there is to know: the next vacancy is not waited out.
+      // The store answered, so the next vacancy needs no long backoff.
       this.failures = 0;
-      this.pause(MIN_BACKOFF_MS);
+      this.backOff(MIN_BACKOFF_MS);
       return;
     }
     if (!isUsable) {
-      // The lease of a token that nobody may use would only keep others out.
+      // Keeping the lease of an unusable token would only keep others out.
       await this.release();
     }
-    this.pause(this.lengthenPause());
+    this.backOff(this.nextBackoffMs());
   }
 
-  private lengthenPause(): Millis {
-    const pauseMs = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** this.failures);
+  private nextBackoffMs(): Millis {
+    const backoffMs = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** this.failures);
     this.failures += 1;
-    return pauseMs;
+    return backoffMs;
   }
 
-  private pause(milliseconds: Millis): void {
+  private backOff(milliseconds: Millis): void {
     const { clock, random } = this.options;
-    const drawnMs = milliseconds * JITTER_SHARE * random.next();
-    this.retryAtMs = clock.now() + milliseconds + drawnMs;
+    const jitterMs = milliseconds * JITTER_SHARE * random.next();
+    this.retryAtMs = clock.now() + milliseconds + jitterMs;
   }
 
-  /** Waits until calls on their way have arrived, so that none comes behind a later holder's. */
+  /**
+   * Releases the lease after all permitted calls have arrived, so that none arrives after a later
+   * holder's.
+   */
   private async release(): Promise<void> {
     const { duty, lease, clock, timers } = this.options;
     const token = duty.giveUp();
-    const onTheirWayMs = duty.lastArrivalMs - clock.now();
-    if (token !== undefined && onTheirWayMs > 0) {
-      await delay(timers, onTheirWayMs);
+    const callsInFlightMs = duty.lastArrivalMs - clock.now();
+    if (token !== undefined && callsInFlightMs > 0) {
+      await delay(timers, callsInFlightMs);
     }
     const released = await lease.release()();
     if (E.isLeft(released)) {
       this.options.onFault('release', released.left);
-      // It may be done at any time, also behind a renewal of the lease: whoever takes the
-      // duty then would act beside this VM.
+      // The release may still be carried out, even after a renewal, so its token must not be used
+      // again.
       duty.markTokenOutdated(token ?? 0);
     }
-    this.pause(MAX_BACKOFF_MS);
+    this.backOff(MAX_BACKOFF_MS);
   }
 }
--- a/packages/hold-duty/src/duty-lease.ts
+++ b/packages/hold-duty/src/duty-lease.ts
@@ -1,29 +1,32 @@
-/** The lease that a duty hangs on, as both stores fill it. */
+/** Interface of the lease of a duty. */
 import type { PortCall } from '@limelead/ports';
 import type { Millis } from '@limelead/types';
 
-/** How the seat of a duty stands, by a read or write that the store answered for certain. */
+/** State of the lease by a certain answer of the store. */
 export type LeaseAnswer =
   | {
       kind: 'ours';
-      /** Higher for each later holder. */
+      /** Fencing token; higher for each later holder. */
       token: number;
-      /** Steady time from which the lease surely lasts: when its last call was sent. */
+      /** Steady time when the last call was sent; the lease lasts at least from then on. */
       sentAtMs: Millis;
-      /** Time that it lasts from then, as the store decided. */
+      /** Duration of the lease from then on, as granted by the store. */
       ttlMs: Millis;
     }
-  /** Another holds it. */
+  /** Another process holds the lease. */
   | { kind: 'taken' }
-  /** Nobody does, and it was not taken now. */
+  /** No process holds the lease, and it was not acquired now. */
   | { kind: 'free' };
 
-/** A seat that one process at a time holds. Calls are made one at a time. */
+/** A lease that one process at a time holds. Calls must not overlap. */
 export interface DutyLease {
-  /** Takes it where it is free, and finds it taken where an earlier try did that unheard. */
+  /**
+   * Acquires the lease if it is free, or confirms it if an earlier attempt with a lost answer
+   * acquired it.
+   */
   acquire(): PortCall<LeaseAnswer>;
-  /** Makes it last longer. */
+  /** Extends the lease. */
   renew(): PortCall<LeaseAnswer>;
-  /** Gives it up, with whatever earlier tries may still bring. */
+  /** Releases the lease, including one that an earlier attempt may still acquire. */
   release(): PortCall<void>;
 }
--- a/packages/hold-duty/src/duty-simulation.fixture.ts
+++ b/packages/hold-duty/src/duty-simulation.fixture.ts
@@ -1,4 +1,4 @@
-/** A store, a platform and some VMs on a clock of their own, with troubles at set times. */
+/** Simulates a store, a platform and VMs that compete for a duty, with scheduled faults. */
 import { PortFault } from '@limelead/errors';
 import type { ConditionalStore, PortCall, StoreWrite, WriteCondition } from '@limelead/ports';
 import type { Millis, Timers } from '@limelead/types';
@@ -10,17 +10,17 @@
 
 export const LEASE_MS = 3_000;
 const KEY = 'duties';
-/** An answer of the store takes this long, and is lost behind the other. */
+/** Time until an answer of the store arrives, or a call without one times out. */
 const ANSWER_MS = 4;
 const LOST_MS = 800;
-/** Calls of a duty arrive within this time. */
+/** Time within which calls of a duty arrive. */
 const ARRIVAL_MS = 1_000;
-/** A process that stops is killed behind this time. */
+/** Time after which a stopping process is killed. */
 const GRACE_MS = 3_000;
-const ACT_EVERY_MS = 300;
+const CALL_INTERVAL_MS = 300;
 const MICROTASKS_TO_SETTLE = 12;
 
-/** What befalls one VM, or the store where `vm` says 'store'. */
+/** A fault of one VM, or of the store. */
 export interface InjectedFault {
   atMs: Millis;
   vm: number | 'store';
@@ -43,19 +43,19 @@
   lease: number;
 }
 
-/** Time of the whole world. */
-class Time {
+/** Simulated time. */
+class SimulatedTime {
   now = 0;
-  /** In order. */
+  /** Sorted by time. */
   private readonly due: { atMs: Millis; run: () => void }[] = [];
 
-  at(atMs: Millis, run: () => void): void {
+  schedule(atMs: Millis, run: () => void): void {
     const timer = { atMs: Math.max(atMs, this.now), run };
-    const place = this.due.findLastIndex((other) => other.atMs <= timer.atMs);
-    this.due.splice(place + 1, 0, timer);
+    const position = this.due.findLastIndex((other) => other.atMs <= timer.atMs);
+    this.due.splice(position + 1, 0, timer);
   }
 
-  async playUntil(untilMs: Millis): Promise<void> {
+  async runUntil(untilMs: Millis): Promise<void> {
     for (;;) {
       const next = this.due[0];
       if (next === undefined || next.atMs > untilMs) {
@@ -72,13 +72,13 @@
   }
 }
 
-/** What the platform's store keeps, by its pages. */
+/** Items and leases of the simulated store. */
 class StoreState {
   private revision = 10;
   private readonly items = new Map<string, Item>();
   private readonly leases = new Map<number, Millis>();
 
-  constructor(private readonly time: Time) {}
+  constructor(private readonly time: SimulatedTime) {}
 
   read(key: string): Item | undefined {
     const item = this.items.get(key);
@@ -92,18 +92,18 @@
   }
 
   renew(lease: number): boolean {
-    const stands = this.isAlive(lease);
-    if (stands) {
+    const isAlive = this.isAlive(lease);
+    if (isAlive) {
       this.leases.set(lease, this.time.now + LEASE_MS);
     }
-    return stands;
+    return isAlive;
   }
 
   end(lease: number): void {
     this.leases.delete(lease);
   }
 
-  /** Leases stood still for so long. */
+  /** Extends all live leases, as after a pause of the store. */
   extend(milliseconds: Millis): void {
     this.leases.forEach((untilMs, lease) => {
       if (untilMs > this.time.now) {
@@ -113,10 +113,10 @@
   }
 
   write(conditions: WriteCondition[], writes: StoreWrite[]): number | 'mismatch' | 'lease-gone' {
-    const stands = conditions.every(
+    const isAlive = conditions.every(
       ({ key, revision }) => (this.read(key)?.revision ?? 0) === revision,
     );
-    if (!stands) {
+    if (!isAlive) {
       return 'mismatch';
     }
     const puts = writes.flatMap((write) => (write.kind === 'put' ? [write] : []));
@@ -135,29 +135,29 @@
   }
 }
 
-/** One VM, with the process that runs there now. */
+/** One VM with its current process. */
 class Vm {
   pausedUntilMs: Millis = -Infinity;
-  cutUntilMs: Millis = -Infinity;
-  losesUntilMs: Millis = -Infinity;
-  lateUntilMs: Millis = -Infinity;
+  isolatedUntilMs: Millis = -Infinity;
+  losesAnswersUntilMs: Millis = -Infinity;
+  delaysWritesUntilMs: Millis = -Infinity;
   starts = 0;
   duty: Duty | undefined;
-  keeper: DutyElector | undefined;
+  elector: DutyElector | undefined;
 
   constructor(
-    readonly world: DutySimulation,
+    readonly simulation: DutySimulation,
     readonly number: number,
   ) {}
 
-  /** Starts a process; the one before does nothing any more. */
+  /** Starts a process; timers of the previous one no longer fire. */
   start(): void {
     this.starts += 1;
-    const { time, options } = this.world;
+    const { time, options } = this.simulation;
     const timers = this.createTimers(this.starts);
     const clock = { now: () => time.now };
     const incarnation = `${this.number}/${this.starts}`;
-    const seat = new ConditionalStoreLease({
+    const lease = new ConditionalStoreLease({
       store: this.createStore(timers),
       key: KEY,
       vm: `vm-${this.number}`,
@@ -176,8 +176,8 @@
       onClockJump: () => undefined,
     });
     this.duty = duty;
-    this.keeper = new DutyElector({
-      lease: seat,
+    this.elector = new DutyElector({
+      lease: lease,
       duty,
       clock,
       timers,
@@ -185,57 +185,57 @@
       ttlMs: LEASE_MS,
       readCandidateRank: () => this.number,
       readIsolatedSinceMs: () => undefined,
-      isHeldInStore: () => this.world.store.read(KEY) !== undefined,
+      isHeldInStore: () => this.simulation.store.read(KEY) !== undefined,
       onFault: () => undefined,
     });
-    this.keeper.start();
-    const act = (): void => {
-      this.act(duty, incarnation);
-      timers.after(ACT_EVERY_MS, act);
+    this.elector.start();
+    const makeCall = (): void => {
+      this.makeCall(duty, incarnation);
+      timers.after(CALL_INTERVAL_MS, makeCall);
     };
-    timers.after(ACT_EVERY_MS, act);
+    timers.after(CALL_INTERVAL_MS, makeCall);
   }
 
-  private act(duty: Duty, incarnation: string): void {
-    const { time, options, calls } = this.world;
+  private makeCall(duty: Duty, incarnation: string): void {
+    const { time, options, calls } = this.simulation;
     const permit = duty.permit(ARRIVAL_MS);
     if (permit !== undefined) {
       const { token } = permit;
       const arrivalMs = time.now + options.random() * ARRIVAL_MS;
-      time.at(arrivalMs, () => {
-        if (options.isFenced && token < this.world.highestToken) {
+      time.schedule(arrivalMs, () => {
+        if (options.isFenced && token < this.simulation.highestToken) {
           duty.markTokenOutdated(token);
           return;
         }
-        this.world.highestToken = Math.max(token, this.world.highestToken);
+        this.simulation.highestToken = Math.max(token, this.simulation.highestToken);
         calls.push({ atMs: time.now, vm: this.number, incarnation, token });
       });
     }
   }
 
-  /** Timers of one process: late where it stands still, and never again once it is gone. */
+  /** Timers of one process: they fire late while it is paused, and never after it ended. */
   private createTimers(start: number): Timers {
-    const { time } = this.world;
+    const { time } = this.simulation;
     const fire = (run: () => void): void => {
       if (this.starts !== start) {
         return;
       }
       if (time.now < this.pausedUntilMs) {
-        time.at(this.pausedUntilMs, () => fire(run));
+        time.schedule(this.pausedUntilMs, () => fire(run));
         return;
       }
       run();
     };
     return {
       after(milliseconds, run) {
-        time.at(time.now + milliseconds, () => fire(run));
+        time.schedule(time.now + milliseconds, () => fire(run));
         return () => undefined;
       },
     };
   }
 
   private createStore(timers: Timers): ConditionalStore {
-    const { store, time, options } = this.world;
+    const { store, time, options } = this.simulation;
     const call =
       <Value>(run: () => Value, isWrite = false): PortCall<Value> =>
       () =>
@@ -243,12 +243,12 @@
           const answer = (afterMs: Millis, value: E.Either<PortFault, Value>): void =>
             void timers.after(afterMs, () => resolve(value));
           const lose = (): void => answer(LOST_MS, E.left(new PortFault('timeout', 'maybe', '')));
-          if (time.now < Math.max(this.cutUntilMs, this.world.downUntilMs)) {
+          if (time.now < Math.max(this.isolatedUntilMs, this.simulation.downUntilMs)) {
             lose();
-          } else if (isWrite && time.now < this.lateUntilMs) {
-            time.at(time.now + 1_000 + options.random() * 5_000, () => void run());
+          } else if (isWrite && time.now < this.delaysWritesUntilMs) {
+            time.schedule(time.now + 1_000 + options.random() * 5_000, () => void run());
             lose();
-          } else if (time.now < this.losesUntilMs) {
+          } else if (time.now < this.losesAnswersUntilMs) {
             run();
             lose();
           } else {
@@ -275,25 +275,25 @@
   }
 }
 
-/** How a world is made. */
+/** Options of a simulation. */
 export interface SimulationOptions {
   vms: number;
   isFenced: boolean;
   faults: readonly InjectedFault[];
-  /** In [0, 1). */
+  /** Returns a random number in [0, 1). */
   random: () => number;
   createDuty?: ((options: LeasedDutyOptions) => LeasedDuty) | undefined;
 }
 
-/** Everything. */
+/** A simulation of VMs, a store and a platform. */
 export default class DutySimulation {
-  readonly time = new Time();
+  readonly time = new SimulatedTime();
   readonly store = new StoreState(this.time);
   readonly calls: PlatformCall[] = [];
   readonly vms: Vm[];
   readonly options: SimulationOptions & { createDuty: (options: LeasedDutyOptions) => LeasedDuty };
   downUntilMs: Millis = -Infinity;
-  /** That the platform has seen. */
+  /** Highest token that the platform has seen. */
   highestToken = 0;
 
   constructor(options: SimulationOptions) {
@@ -301,14 +301,14 @@
     this.options = { ...options, createDuty };
     this.vms = Array.from({ length: options.vms }, (_, number) => new Vm(this, number));
     this.vms.forEach((vm) => vm.start());
-    options.faults.forEach((trouble) => this.time.at(trouble.atMs, () => this.begin(trouble)));
+    options.faults.forEach((fault) => this.time.schedule(fault.atMs, () => this.inject(fault)));
   }
 
   runUntil(untilMs: Millis): Promise<void> {
-    return this.time.playUntil(untilMs);
+    return this.time.runUntil(untilMs);
   }
 
-  private begin({ vm: number, kind, forMs }: InjectedFault): void {
+  private inject({ vm: number, kind, forMs }: InjectedFault): void {
     const untilMs = this.time.now + forMs;
     if (number === 'store') {
       this.downUntilMs = untilMs;
@@ -324,54 +324,54 @@
     if (kind === 'pause') {
       vm.pausedUntilMs = untilMs;
     } else if (kind === 'cut') {
-      vm.cutUntilMs = untilMs;
+      vm.isolatedUntilMs = untilMs;
     } else if (kind === 'lose') {
-      vm.losesUntilMs = untilMs;
+      vm.losesAnswersUntilMs = untilMs;
     } else if (kind === 'late') {
-      vm.lateUntilMs = untilMs;
+      vm.delaysWritesUntilMs = untilMs;
     } else if (kind === 'aside') {
-      vm.keeper?.yieldToOthers();
+      vm.elector?.yieldToOthers();
     } else if (kind === 'kill') {
       vm.starts += 1;
-      this.time.at(untilMs, () => vm.start());
+      this.time.schedule(untilMs, () => vm.start());
     } else if (kind === 'stop') {
       const { starts } = vm;
       const end = (): void => {
         if (vm.starts === starts) {
           vm.starts += 1;
-          this.time.at(this.time.now + forMs, () => vm.start());
+          this.time.schedule(this.time.now + forMs, () => vm.start());
         }
       };
-      void vm.keeper?.handOver().then(end);
-      this.time.at(this.time.now + GRACE_MS, end);
+      void vm.elector?.handOver().then(end);
+      this.time.schedule(this.time.now + GRACE_MS, end);
     }
   }
 }
 
-/** What holders must not do; empty where they did not. */
-export function findViolations(acts: readonly PlatformCall[]): string[] {
-  const broken: string[] = [];
-  const holderOf = new Map<number, string>();
-  const lastActMs = new Map<number, Millis>();
-  /** VMs whose last act has another's behind it. */
+/** Returns violations of the rules for holders. */
+export function findViolations(calls: readonly PlatformCall[]): string[] {
+  const violations: string[] = [];
+  const holderByToken = new Map<number, string>();
+  const lastCallMs = new Map<number, Millis>();
+  /** VMs after whose last call another VM made one. */
   const followed = new Set<number>();
   let highest = 0;
-  for (const { token, incarnation, vm, atMs } of acts) {
-    if ((holderOf.get(token) ?? incarnation) !== incarnation) {
-      broken.push(`token ${token} of ${holderOf.get(token)} used by ${incarnation}`);
+  for (const { token, incarnation, vm, atMs } of calls) {
+    if ((holderByToken.get(token) ?? incarnation) !== incarnation) {
+      violations.push(`token ${token} of ${holderByToken.get(token)} used by ${incarnation}`);
     }
     if (token < highest) {
-      broken.push(`token ${token} behind ${highest}`);
+      violations.push(`token ${token} after ${highest}`);
     }
-    const beforeMs = lastActMs.get(vm);
+    const beforeMs = lastCallMs.get(vm);
     if (beforeMs !== undefined && followed.has(vm) && atMs - beforeMs < LEASE_MS) {
-      broken.push(`vm ${vm} at ${beforeMs} and ${atMs} with another between`);
+      violations.push(`vm ${vm} at ${beforeMs} and ${atMs} with another between`);
     }
-    holderOf.set(token, incarnation);
+    holderByToken.set(token, incarnation);
     highest = Math.max(token, highest);
-    lastActMs.set(vm, atMs);
-    [...lastActMs.keys()].forEach((other) => followed.add(other));
+    lastCallMs.set(vm, atMs);
+    [...lastCallMs.keys()].forEach((other) => followed.add(other));
     followed.delete(vm);
   }
-  return broken;
+  return violations;
 }
--- a/packages/hold-duty/src/duty.ts
+++ b/packages/hold-duty/src/duty.ts
@@ -1,9 +1,9 @@
-/** A duty as those see it that carry it out. */
+/** Interface of a duty for the code that carries it out. */
 import type { Millis } from '@limelead/types';
 
-/** What a call of the duty carries. */
+/** Permission for one call of a duty. */
 export interface DutyPermit {
-  /** Higher for each later holder. */
+  /** Fencing token; higher for each later holder. */
   token: number;
   /** Steady time since which this VM holds the duty. */
   heldSinceMs: Millis;
@@ -14,12 +14,11 @@
   /** Name of this VM, for calls that carry it. */
   readonly holder: string;
   /**
-   * The permit for one call; undefined where this VM is not sure to hold the duty until the
-   * call arrived. Asked again right before each call, since the process may have stood still.
-   * @param arrivalMs longest time until the call arrives or is lost, in milliseconds; 0 for a
-   * look behind which nothing is sent
+   * Returns the permit for one call; undefined unless this VM is certain to hold the duty until the
+   * call arrives. Must be called right before each call, since the process may have been paused.
+   * @param arrivalMs time by which the call has arrived or is lost; 0 if nothing is sent
    */
   permit(arrivalMs: Millis): DutyPermit | undefined;
-  /** A later holder's token was seen by somebody: this one is never used again. */
+  /** Stops any use of this token, because a later holder's token was seen. */
   markTokenOutdated(token: number): void;
 }
--- a/packages/hold-duty/src/index.ts
+++ b/packages/hold-duty/src/index.ts
@@ -1,4 +1,4 @@
-/** One VM at a time does a duty. */
+/** A duty that one VM at a time holds by a lease, with a fencing token. */
 export {
   default as ConditionalStoreLease,
   type ConditionalStoreLeaseOptions,
--- a/packages/hold-duty/src/key-value-lease.ts
+++ b/packages/hold-duty/src/key-value-lease.ts
@@ -1,26 +1,26 @@
-/** A seat that is a lease of the key-value service. */
+/** A duty lease as a lease of the key-value service. */
 import type { KeyValueStore, Lease, PortCall } from '@limelead/ports';
 import type { Clock, Millis } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
 import type { DutyLease, LeaseAnswer } from './duty-lease.js';
 
-/** What a seat needs. */
+/** Dependencies of the lease. */
 export interface KeyValueLeaseOptions {
   store: KeyValueStore;
   /** Name of the lease. */
   name: string;
-  /** Unique to this start of the process: a restart is another holder. */
+  /** Unique id of this process; a restarted process is another holder. */
   incarnation: string;
-  /** Time after which a holder that fell silent loses the seat. */
+  /** Time after which a silent holder loses the lease. */
   ttlMs: Millis;
   clock: Clock;
 }
 
-/** The token is the lease's epoch, which the service raises with each change of holder. */
+/** Uses the lease's epoch as token, which the service raises with each change of holder. */
 export default class KeyValueLease implements DutyLease {
   constructor(private readonly options: KeyValueLeaseOptions) {}
 
-  /** One call takes and renews, and tells who holds the lease. */
+  /** Acquires or renews the lease in one call. */
   acquire(): PortCall<LeaseAnswer> {
     return async () => {
       const { store, name, incarnation, ttlMs, clock } = this.options;
--- a/packages/hold-duty/src/leased-duty.test.ts
+++ b/packages/hold-duty/src/leased-duty.test.ts
@@ -3,7 +3,7 @@
 import * as assert from 'uvu/assert';
 import LeasedDuty from './leased-duty.js';
 
-test('a look sends nothing, and does not put off the next hold', () => {
+test('a permit without a call does not delay the next hold', () => {
   const { clock, jump } = createManualTime(0);
   const waits: number[] = [];
   const duty = new LeasedDuty({
@@ -23,7 +23,7 @@
   assert.is(duty.permit(0)?.token, 1);
   duty.giveUp();
   duty.onLeaseAnswer({ kind: 'ours', token: 2, sentAtMs: 5_000, ttlMs: 10_000 });
-  // The call has arrived by 4 s.
+  // The permitted call has arrived by 4 s.
   assert.equal(waits, [0, 2_000]);
 });
 
--- a/packages/hold-duty/src/leased-duty.ts
+++ b/packages/hold-duty/src/leased-duty.ts
@@ -1,94 +1,100 @@
-/** What this VM knows for certain about its hold on a duty, and which calls that allows. */
+/**
+ * Tracks whether this VM holds a duty, and permits calls only while its lease is certain to last.
+ */
 import type { Clock, Millis } from '@limelead/types';
 import type { Duty, DutyPermit } from './duty.js';
 import type { LeaseAnswer } from './duty-lease.js';
 import ClockJumpDetector from './clock-jump-detector.js';
 
-/** Why a duty was lost. */
+/** Reason why a duty was lost. */
 export type DutyLoss =
-  /** No renewal was answered for as long as the lease lasts. */
+  /** No renewal was answered before the lease expired. */
   | 'lapsed'
-  /** The store gave it to another, or ended it. */
+  /** The store gave the lease to another VM or ended it. */
   | 'ended'
-  /** Somebody saw a later holder's token. */
+  /** A later holder's token was seen. */
   | 'outdated'
-  /** This VM gave it up. */
+  /** This VM gave the duty up. */
   | 'given-up';
 
-/** What a held duty needs. */
+/** Dependencies and limits of a leased duty. */
 export interface LeasedDutyOptions {
   holder: string;
-  /** Steady. */
+  /** Steady clock. */
   clock: Clock;
-  /** Goes on while the VM is suspended, and may be set. */
+  /** Time of day; continues while the VM is suspended, and may be set. */
   timeOfDay: Clock;
   /**
-   * Time that has to lie between what this VM did under an earlier token, or may have done
-   * before this process started, and what it does next: holders never act in the order
-   * A, B, A within it. 0 where nobody asks for that.
+   * Minimum time between this VM's last call under an earlier token, or by an earlier process, and
+   * its next one, so that the platform never sees holders A, B, A within it. 0 disables it.
    */
   reacquireDelayMs: Millis;
-  /** Part of the lease's time that is left unused, for clocks that run at different speeds. */
+  /** Unused end of the lease, for clocks that run at different speeds. */
   marginMs: Millis;
   onAcquired(token: number, mayActInMs: Millis): void;
   onLost(token: number, loss: DutyLoss, leaseAgeMs: Millis): void;
-  /** The steady clock may not have counted so much; nothing is done until the lease is confirmed. */
+  /**
+   * Called when the steady clock may have missed this time; no call is permitted until the lease is
+   * confirmed.
+   */
   onClockJump(lostMs: Millis): void;
 }
 
 interface Hold extends DutyPermit {
-  /** When the last call that was answered left. */
+  /** When the last answered call was sent. */
   sentAtMs: Millis;
   ttlMs: Millis;
-  actsFromMs: Millis;
+  permitsFromMs: Millis;
 }
 
-/** Holds a duty, or does not. */
+/** A duty held by a lease. */
 export default class LeasedDuty implements Duty {
   readonly holder: string;
   private hold: Hold | undefined;
-  /** No token up to this one is used any more. */
+  /** Tokens up to this one are not used any more. */
   private outdatedToken = 0;
-  /** When the last call that was permitted has arrived or is lost; at first that of the process before. */
-  private quietSinceMs: Millis;
-  private readonly lostTime: ClockJumpDetector;
+  /**
+   * When the last permitted call has arrived or is lost; initially that of the previous process.
+   */
+  private lastCallArrivalMs: Millis;
+  private readonly clockJumps: ClockJumpDetector;
 
   constructor(private readonly options: LeasedDutyOptions) {
     const { clock, timeOfDay, onClockJump } = options;
-    this.lostTime = new ClockJumpDetector(clock, timeOfDay, onClockJump);
+    this.clockJumps = new ClockJumpDetector(clock, timeOfDay, onClockJump);
     this.holder = options.holder;
-    this.quietSinceMs = options.clock.now();
+    this.lastCallArrivalMs = options.clock.now();
   }
 
-  /** When the lease was last sent a renewal that was answered; undefined where it is not held. */
+  /** When the last answered renewal was sent; undefined while the duty is not held. */
   get sentAtMs(): Millis | undefined {
     return this.hold?.sentAtMs;
   }
 
-  /** Since when it is held; undefined where it is not. */
+  /** Since when the duty is held; undefined while it is not. */
   get heldSinceMs(): Millis | undefined {
     return this.hold?.heldSinceMs;
   }
 
-  /** When all that was permitted has arrived or is lost. */
+  /** When all permitted calls have arrived or are lost. */
   get lastArrivalMs(): Millis {
-    return this.quietSinceMs;
+    return this.lastCallArrivalMs;
   }
 
   permit(arrivalMs: Millis): DutyPermit | undefined {
     const { hold } = this;
     const now = this.options.clock.now();
-    if (hold === undefined || now < hold.actsFromMs) {
+    if (hold === undefined || now < hold.permitsFromMs) {
       return undefined;
     }
-    // By the steady clock alone a VM that was suspended acted beside the next holder.
-    const arrivesAtMs = now + arrivalMs + this.lostTime.jumpedSince(hold.sentAtMs);
+    // The steady clock stops while the VM is suspended, so the time lost is added.
+    const arrivesAtMs = now + arrivalMs + this.clockJumps.jumpedSince(hold.sentAtMs);
     if (arrivesAtMs > this.validUntilMs(hold)) {
       return undefined;
     }
     if (arrivalMs > 0) {
-      // A look sends nothing, and would put off this VM's next hold.
-      this.quietSinceMs = Math.max(this.quietSinceMs, now + arrivalMs);
+      // Without a call there is nothing to wait for before the next hold.
+      this.lastCallArrivalMs = Math.max(this.lastCallArrivalMs, now + arrivalMs);
     }
     return { token: hold.token, heldSinceMs: hold.heldSinceMs };
   }
@@ -100,7 +106,10 @@
     }
   }
 
-  /** The store answered; false where its token may not be used, so that it has to be given back. */
+  /**
+   * Handles the store's answer. Returns false if its token must not be used, so that the lease has
+   * to be released.
+   */
   onLeaseAnswer(answer: LeaseAnswer): boolean {
     if (answer.kind !== 'ours') {
       this.lose('ended');
@@ -113,34 +122,34 @@
     if (this.hold?.token === token) {
       this.hold = { ...this.hold, sentAtMs, ttlMs };
     } else {
-      this.take(token, sentAtMs, ttlMs);
+      this.acquire(token, sentAtMs, ttlMs);
     }
     return true;
   }
 
-  /** Time went by; the duty is lost where nothing renewed it. */
+  /** Ends the hold if the lease expired. */
   checkExpiry(): void {
-    this.lostTime.check();
+    this.clockJumps.check();
     if (this.hold !== undefined && this.options.clock.now() >= this.validUntilMs(this.hold)) {
       this.lose('lapsed');
     }
   }
 
-  /** From now on nothing is permitted; gives the token that was held. */
+  /** Ends the hold and returns its token. */
   giveUp(): number | undefined {
     const token = this.hold?.token;
     this.lose('given-up');
     return token;
   }
 
-  private take(token: number, sentAtMs: Millis, ttlMs: Millis): void {
+  private acquire(token: number, sentAtMs: Millis, ttlMs: Millis): void {
     this.lose('ended');
     const { clock, reacquireDelayMs, onAcquired } = this.options;
     const now = clock.now();
-    const actsFromMs =
-      reacquireDelayMs === 0 ? now : Math.max(now, this.quietSinceMs + reacquireDelayMs);
-    this.hold = { token, heldSinceMs: now, sentAtMs, ttlMs, actsFromMs };
-    onAcquired(token, actsFromMs - now);
+    const permitsFromMs =
+      reacquireDelayMs === 0 ? now : Math.max(now, this.lastCallArrivalMs + reacquireDelayMs);
+    this.hold = { token, heldSinceMs: now, sentAtMs, ttlMs, permitsFromMs };
+    onAcquired(token, permitsFromMs - now);
   }
 
   private lose(loss: DutyLoss): void {
--- a/packages/hold-duty/src/plan-step.ts
+++ b/packages/hold-duty/src/plan-step.ts
@@ -1,71 +1,73 @@
-/** Pure decision: what a VM does next about a duty. */
+/** Decides the next step of a VM that competes for or holds a duty; free of side effects. */
 import type { Millis } from '@limelead/types';
 
-/** What is known at one moment. Times are steady. */
+/** Status at one moment. All times are steady. */
 export interface DutyStatus {
   now: Millis;
-  /** Places behind the first of the VMs that stand for the duty; undefined where others stand. */
+  /** Position of this VM among the candidates, 0 for the first; undefined if it is no candidate. */
   candidateRank: number | undefined;
-  /** When the lease was last sent a renewal that was answered; undefined where it is not held. */
+  /** When the last answered renewal was sent; undefined while the duty is not held. */
   sentAtMs: Millis | undefined;
-  /** Since when this VM holds the duty without standing for it. */
+  /** Since when this VM holds the duty without being a candidate. */
   notCandidateSinceMs: Millis | undefined;
-  /** Since when this VM has no links to most of the others; undefined where it has. */
+  /** Since when this VM is isolated from most others; undefined if it is not. */
   isolatedSinceMs: Millis | undefined;
-  /** Since when this VM holds the duty; undefined where it does not. */
+  /** Since when this VM holds the duty; undefined while it does not. */
   heldSinceMs: Millis | undefined;
-  /** Since when the store's news show no holder; undefined where they show one. */
+  /** Since when the watched store shows no holder; undefined while it shows one. */
   vacantSinceMs: Millis | undefined;
-  /** When this VM last asked the store who holds the duty. */
+  /** When this VM last asked the store for the holder. */
   holderCheckedAtMs: Millis;
-  /** Until then this VM leaves the duty to others; in the past where it does not. */
+  /** Until when this VM leaves the duty to others. */
   yieldUntilMs: Millis;
-  /** No call before, since the last ones failed. */
+  /** Earliest time of the next call after failures. */
   retryAtMs: Millis;
   renewalIntervalMs: Millis;
 }
 
-/** What is done next. */
+/** Next step. */
 export type DutyStep = 'renew' | 'release' | 'take' | 'wait';
 
-/** Head start of each candidate over the next, in milliseconds: some answers of the store. */
+/** Delay of each candidate after the one before it; a few answers of the store. */
 const RANK_DELAY_MS = 300;
-/** Candidates ask this rarely while the news show a holder; news may be wrong or stand still. */
+/**
+ * Interval at which candidates ask the store while the watch shows a holder, in case the watch is
+ * stale.
+ */
 const HOLDER_CHECK_INTERVAL_MS = 15_000;
-/** A holder that no longer stands is told nothing; it gives up once the change has lasted. */
+/** Time after which a holder that is no longer a candidate releases the duty. */
 const NOT_CANDIDATE_GRACE_MS = 3_000;
 
-/** So long links may be down before a holder is cut off, in milliseconds: two rounds. */
+/** Time without links after which an isolated holder releases the duty. */
 const ISOLATION_GRACE_MS = 2_000;
 /**
- * A VM that is cut off leaves the others this time to take a vacant duty, in milliseconds. It
- * then takes and keeps it: nobody else may be left.
+ * Extra delay before an isolated VM acquires a vacant duty. It then keeps the duty, since no other
+ * VM may be left.
  */
 const ISOLATED_ACQUIRE_DELAY_MS = 4_000;
 
-/** Chooses the step. */
-export default function planStep(situation: DutyStatus): DutyStep {
-  const { now, sentAtMs, notCandidateSinceMs, yieldUntilMs, retryAtMs, renewalIntervalMs } =
-    situation;
+/** Returns the next step. */
+export default function planStep(status: DutyStatus): DutyStep {
+  const { now, sentAtMs, notCandidateSinceMs, yieldUntilMs, retryAtMs, renewalIntervalMs } = status;
   if (now < retryAtMs) {
     return 'wait';
   }
-  const isAside = now < yieldUntilMs;
+  const isYielding = now < yieldUntilMs;
   if (sentAtMs === undefined) {
-    return !isAside && shouldTake(situation) ? 'take' : 'wait';
+    return !isYielding && shouldAcquire(status) ? 'take' : 'wait';
   }
-  const isOutOfPlace =
+  const isNotCandidate =
     notCandidateSinceMs !== undefined && now - notCandidateSinceMs >= NOT_CANDIDATE_GRACE_MS;
-  if (isAside || isOutOfPlace) {
+  if (isYielding || isNotCandidate) {
     return 'release';
   }
-  if (mustReleaseIsolated(situation)) {
+  if (mustReleaseIsolated(status)) {
     return 'release';
   }
   return now - sentAtMs >= renewalIntervalMs ? 'renew' : 'wait';
 }
 
-/** A holder that is cut off while it holds is told nothing, and others stand for the duty. */
+/** Whether a holder that became isolated has to release the duty to the other VMs. */
 function mustReleaseIsolated({
   now,
   isolatedSinceMs,
@@ -78,8 +80,8 @@
   );
 }
 
-function shouldTake(situation: DutyStatus): boolean {
-  const { now, candidateRank, vacantSinceMs, holderCheckedAtMs, isolatedSinceMs } = situation;
+function shouldAcquire(status: DutyStatus): boolean {
+  const { now, candidateRank, vacantSinceMs, holderCheckedAtMs, isolatedSinceMs } = status;
   if (candidateRank === undefined) {
     return false;
   }
--- a/packages/run-roll-outs/src/fleet.fixture.ts
+++ b/packages/run-roll-outs/src/fleet.fixture.ts
@@ -353,11 +353,11 @@
     const { kind, durationMs } = this.plan;
     const draws = (part: number): boolean => this.random.next() < part;
     const since = this.newVersionAttemptsAtMs.findLastIndex((atMs) => atMs < this.now - 1_000);
-    const lately = this.newVersionAttemptsAtMs.length - 1 - since;
+    const recentAttempts = this.newVersionAttemptsAtMs.length - 1 - since;
     const fails =
       (kind === 'at-once' && draws(0.35)) ||
       (kind === 'later' && this.now > durationMs * 0.4 && draws(0.35)) ||
-      (kind === 'under-load' && lately > REQUESTS_PER_SECOND * 0.25 && draws(0.5)) ||
+      (kind === 'under-load' && recentAttempts > REQUESTS_PER_SECOND * 0.25 && draws(0.5)) ||
       (kind === 'one-route' && route === 'seldom' && draws(0.5));
     return { isBad: fails, factor: kind === 'slow' && draws(0.4) ? 4 : 1 };
   }
