--- a/packages/meter-usage/src/index.ts
+++ b/packages/meter-usage/src/index.ts
@@ -1,4 +1,6 @@
-/** Counts the requests of each organisation by window, settles them once and reports them once. */
+/**
+ * Counts the requests of each organisation by time window, and reports each window exactly once.
+ */
 export type { SkippedWindows } from './plan-windows.js';
 export type { WindowCounts } from './types.js';
 export { default as UsageTable, type UsageTableOptions } from './usage-table.js';
--- a/packages/meter-usage/src/plan-windows.ts
+++ b/packages/meter-usage/src/plan-windows.ts
@@ -1,36 +1,36 @@
-/** Pure decision: which window is reported next, and which can't be reported any more. */
+/** Decides which window to report next and which to skip; free of side effects. */
 import type { Millis } from '@limelead/types';
 import { RETAINED_WINDOWS } from './retained-windows.js';
 
-/** What is known at one moment. */
+/** Status at one moment. */
 export interface WindowStatus {
-  /** True time, in milliseconds since 1970. */
+  /** True time in milliseconds since 1970. */
   nowMs: Millis;
   windowMs: Millis;
   /** Time from the end of a window until its counts are settled. */
   settleAfterMs: Millis;
-  /** The last window that was reported or skipped; undefined where nobody ever did. */
+  /** Last window reported or skipped; undefined if there was none. */
   doneUpTo: number | undefined;
-  /** The first window that was counted from its beginning. */
+  /** First window that was counted from its start. */
   countedFrom: number;
 }
 
-/** Windows that are left out, both ends included. */
+/** Windows that are skipped, both ends included. */
 export interface SkippedWindows {
   from: number;
   to: number;
-  /** Nobody who counted them is left, or they are older than what is kept. */
+  /** No VM that counted them remains, or they are older than the retained windows. */
   reason: 'not-counted' | 'too-old';
 }
 
-/** What to do. */
+/** Windows to skip, or the next window to report. */
 export interface WindowPlan {
   skip?: SkippedWindows;
-  /** The window to settle and report; undefined where none is ripe. */
+  /** Window to settle and report; undefined if none is due. */
   next?: number;
 }
 
-/** The last window that ended long enough ago. */
+/** Returns the last window that ended long enough ago to be settled. */
 export function findLastDueWindow({
   nowMs,
   windowMs,
@@ -39,19 +39,19 @@
   return Math.floor((nowMs - settleAfterMs) / windowMs) - 1;
 }
 
-/** Plans. */
-export default function planWindows(situation: WindowStatus): WindowPlan {
-  const { nowMs, windowMs, doneUpTo, countedFrom } = situation;
-  const lastRipe = findLastDueWindow(situation);
+/** Returns the next window, or the windows to skip. */
+export default function planWindows(status: WindowStatus): WindowPlan {
+  const { nowMs, windowMs, doneUpTo, countedFrom } = status;
+  const lastDue = findLastDueWindow(status);
   const first = doneUpTo === undefined ? countedFrom : doneUpTo + 1;
-  const firstKept = Math.floor(nowMs / windowMs) - RETAINED_WINDOWS + 1;
-  if (first > lastRipe) {
+  const firstRetained = Math.floor(nowMs / windowMs) - RETAINED_WINDOWS + 1;
+  if (first > lastDue) {
     return {};
   }
-  const from = Math.max(first, countedFrom, firstKept);
+  const from = Math.max(first, countedFrom, firstRetained);
   if (from === first) {
     return { next: first };
   }
-  const reason = countedFrom >= firstKept ? 'not-counted' : 'too-old';
-  return { skip: { from: first, to: Math.min(from - 1, lastRipe), reason } };
+  const reason = countedFrom >= firstRetained ? 'not-counted' : 'too-old';
+  return { skip: { from: first, to: Math.min(from - 1, lastDue), reason } };
 }
--- a/packages/meter-usage/src/reporting.fixture.ts
+++ b/packages/meter-usage/src/reporting.fixture.ts
@@ -1,4 +1,4 @@
-/** A store and a platform with troubles, and VMs whose counts differ. */
+/** Simulated store and platform with faults, and VMs whose counts differ. */
 import { PortFault } from '@limelead/errors';
 import type { Duty } from '@limelead/hold-duty';
 import type {
@@ -17,32 +17,35 @@
 const DUTY_KEY = 'duty';
 const USAGE_KEY = 'usage';
 
-/** What becomes of one call: done and answered, done unheard, done later unheard, or not done. */
-export type CallOutcome = 'answered' | 'unheard' | 'late' | 'undone';
+/**
+ * Outcome of a call: done and answered, done without an answer, done later without an answer, or
+ * not done.
+ */
+export type CallOutcome = 'answered' | 'unanswered' | 'late' | 'undone';
 
-/** Everything that several VMs share, and what they did to it. */
+/** Shared state of several VMs and their calls. */
 export default class ReportingSimulation {
   now = 0;
   readonly reports: { window: number; counts: string; token: number }[] = [];
   readonly lines: string[] = [];
-  /** Fates of the calls to come, in order; what follows is answered. */
+  /** Outcomes of the next calls, in order; further calls are answered. */
   writeOutcomes: CallOutcome[] = [];
   callOutcomes: (CallOutcome | DutyAnswer)[] = [];
-  /** Writes that are carried out later. */
+  /** Calls that are carried out later. */
   readonly late: (() => void)[] = [];
   token = 1;
   isIsolated = false;
-  /** Called when the store carries a write out. */
+  /** Called when the store carries out a write. */
   onWrite: () => void = () => undefined;
   private revision = 100;
   record: { value: Buffer; revision: number } | undefined;
 
-  /** A VM with counts of its own; it holds the duty where `readToken` gives a token. */
+  /** Creates a VM with counts of its own; it holds the duty while `readToken` returns a token. */
   createVm(name: string, readToken: () => number | undefined, countedFrom = 0): UsageReporter {
     return this.createReporter(this.createDuty(name, readToken), countedFrom);
   }
 
-  /** A VM with a duty of the test's. */
+  /** Creates a reporter with a given duty. */
   createReporter(duty: Duty, countedFrom = 0): UsageReporter {
     const clock = { now: () => this.now };
     return new UsageReporter({
@@ -56,7 +59,7 @@
       sum: (window) => new Map([[duty.holder, window]]),
       isIsolated: () => this.isIsolated,
       readCountedFrom: () => countedFrom,
-      onPlatformUnreachable: () => void this.lines.push('unreached'),
+      onPlatformUnreachable: () => void this.lines.push('unreachable'),
       events: {
         onSettled: ({ window }) => void this.lines.push(`settled ${window}`),
         onReported: ({ window }) => void this.lines.push(`reported ${window}`),
@@ -80,19 +83,19 @@
     };
   }
 
-  /** Windows that were told with differing counts. */
-  listDiffering(): number[] {
+  /** Returns windows that were reported with different counts. */
+  listInconsistent(): number[] {
     const first = new Map<number, string>();
     return this.reports
       .filter(({ window, counts }) => {
-        const known = first.get(window) ?? counts;
-        first.set(window, known);
-        return known !== counts;
+        const firstCounts = first.get(window) ?? counts;
+        first.set(window, firstCounts);
+        return firstCounts !== counts;
       })
       .map(({ window }) => window);
   }
 
-  /** Windows that the platform heard of, in the order of the first word. */
+  /** Returns the reported windows in the order of their first report. */
   listWindows(): number[] {
     return [...new Set(this.reports.map(({ window }) => window))];
   }
@@ -102,10 +105,10 @@
       reportUsage:
         ({ token }, { window, counts }) =>
         async () => {
-          const fate = this.callOutcomes.shift() ?? 'answered';
-          const take = (): void =>
+          const callOutcome = this.callOutcomes.shift() ?? 'answered';
+          const accept = (): void =>
             void this.reports.push({ window, counts: JSON.stringify([...counts]), token });
-          return perform(fate, take, this.late, 'taken');
+          return perform(callOutcome, accept, this.late, 'taken');
         },
       orderTargets: () => async () => E.right('invalid'),
     };
@@ -117,22 +120,22 @@
     return {
       read: (key) => async () => E.right(this.record && { key, ...this.record }),
       write: (conditions, writes) => async () => {
-        const fate = this.writeOutcomes.shift() ?? 'answered';
+        const callOutcome = this.writeOutcomes.shift() ?? 'answered';
         let outcome: WriteOutcome = { kind: 'mismatch' };
         const write = (): void => {
           this.onWrite();
-          const stands = conditions.every(
+          const isCurrent = conditions.every(
             ({ key, revision }) =>
               revision === (key === DUTY_KEY ? this.token : (this.record?.revision ?? 0)),
           );
           const [put] = writes;
-          if (stands && put?.kind === 'put') {
+          if (isCurrent && put?.kind === 'put') {
             this.revision += 1;
             this.record = { value: put.value, revision: this.revision };
             outcome = { kind: 'written', revision: this.revision };
           }
         };
-        const result = perform(fate, write, this.late, undefined);
+        const result = perform(callOutcome, write, this.late, undefined);
         return E.isLeft(result) ? result : E.right(outcome);
       },
       grantLease: unused,
@@ -143,22 +146,22 @@
 }
 
 function perform<Value>(
-  fate: CallOutcome | DutyAnswer,
+  callOutcome: CallOutcome | DutyAnswer,
   run: () => void,
   late: (() => void)[],
   value: Value,
 ): E.Either<PortFault, Value | DutyAnswer> {
-  if (fate === 'answered' || fate === 'taken') {
+  if (callOutcome === 'answered' || callOutcome === 'taken') {
     run();
     return E.right(value);
   }
-  if (fate === 'refused' || fate === 'too-many' || fate === 'invalid') {
-    return E.right(fate);
+  if (callOutcome === 'refused' || callOutcome === 'too-many' || callOutcome === 'invalid') {
+    return E.right(callOutcome);
   }
-  if (fate === 'unheard') {
+  if (callOutcome === 'unanswered') {
     run();
-  } else if (fate === 'late') {
+  } else if (callOutcome === 'late') {
     late.push(run);
   }
-  return E.left(new PortFault('timeout', 'maybe', fate));
+  return E.left(new PortFault('timeout', 'maybe', callOutcome));
 }
--- a/packages/meter-usage/src/retained-windows.ts
+++ b/packages/meter-usage/src/retained-windows.ts
@@ -1,33 +1,35 @@
-/** Keeps a bounded number of windows, those around the present one. */
+/** Keeps a bounded number of windows around the current one. */
 
-/** Windows whose counts are kept: what is later by more is not reported any more. */
+/** Number of windows whose counts are retained; older ones are no longer reported. */
 export const RETAINED_WINDOWS = 12;
-/** Windows ahead of the present one that are kept too, for VMs whose time is a little ahead. */
+/**
+ * Number of windows after the current one that are retained, for VMs whose clock is slightly ahead.
+ */
 const WINDOWS_AHEAD = 1;
 
 /**
- * Whether counts of a window are of use. What a VM that has little traffic kept from long ago,
- * or counted by a wrong clock, would push out windows that are yet to be settled.
+ * Whether a window's counts are retained. Rejecting others keeps old windows and wrong clocks from
+ * evicting windows that are not settled yet.
  */
-export function isRetained(window: number, present: number): boolean {
-  return window > present - RETAINED_WINDOWS && window <= present + WINDOWS_AHEAD;
+export function isRetained(window: number, current: number): boolean {
+  return window > current - RETAINED_WINDOWS && window <= current + WINDOWS_AHEAD;
 }
 
-/** Opens a window, and forgets one where there are too many. */
-export default function addWindow<Book>(
-  windows: Map<number, Book>,
+/** Adds a window, and evicts one if there are too many. */
+export default function addWindow<Counts>(
+  windows: Map<number, Counts>,
   window: number,
-  book: Book,
-  present: number,
+  counts: Counts,
+  current: number,
 ): void {
-  windows.set(window, book);
+  windows.set(window, counts);
   if (windows.size > RETAINED_WINDOWS + WINDOWS_AHEAD) {
-    windows.delete(chooseEvicted([...windows.keys()], present));
+    windows.delete(chooseEvicted([...windows.keys()], current));
   }
 }
 
-/** One far ahead, which a wrong clock left behind; else the oldest. */
-function chooseEvicted(windows: readonly number[], present: number): number {
-  const ahead = windows.find((window) => window > present + WINDOWS_AHEAD);
+/** Chooses a window far ahead, left by a wrong clock, or else the oldest. */
+function chooseEvicted(windows: readonly number[], current: number): number {
+  const ahead = windows.find((window) => window > current + WINDOWS_AHEAD);
   return ahead ?? Math.min(...windows);
 }
--- a/packages/meter-usage/src/types.ts
+++ b/packages/meter-usage/src/types.ts
@@ -1,8 +1,8 @@
-/** Shapes that the parts of metering share. */
+/** Types shared by the modules of this package. */
 
-/** Requests of organisations in one window, as one VM counted them so far. */
+/** Requests of each organisation in one window, as counted so far by one VM. */
 export interface WindowCounts {
-  /** Number of the window: window 0 begins with 1970, in true time. */
+  /** Number of the window; window 0 starts at the Unix epoch, in true time. */
   window: number;
   counts: [organisation: string, requests: number][];
 }
--- a/packages/meter-usage/src/usage-publisher.ts
+++ b/packages/meter-usage/src/usage-publisher.ts
@@ -1,52 +1,55 @@
-/** Tells a VM's counts to those that may report them: once to each what changed, and all to a new one. */
+/**
+ * Publishes a VM's counts to the VMs that may report them: all counts over a new link, then changes
+ * only.
+ */
 import type { WindowCounts } from './types.js';
 import type UsageCounter from './usage-counter.js';
 
-/** Counts in one message: 20 KB with names of 16 letters. The rest goes with the next. */
+/** Maximum number of counts per message; the rest follows in the next one. */
 const MAX_COUNTS_PER_MESSAGE = 1_000;
 
-/** One VM that is told, as long as one link to it stands. */
+/** A VM that receives counts, for as long as one link to it lasts. */
 export interface UsageSubscriber {
-  /** Another for each link. */
+  /** Id of the link. */
   link: string;
   tell(windows: WindowCounts[]): void;
 }
 
-/** Organisations by window that one listener does not know of. */
+/** Organisations by window whose counts a subscriber has not received yet. */
 type PendingChanges = Map<number, Set<string>>;
 
-/** Remembers what each listener was told. */
+/** Tracks which counts each subscriber has received. */
 export default class UsagePublisher {
-  private readonly untold = new Map<string, PendingChanges>();
+  private readonly pending = new Map<string, PendingChanges>();
 
   constructor(private readonly counter: UsageCounter) {}
 
-  /** A count rose. */
+  /** Records that a count increased. */
   recordChange(window: number, organisation: string): void {
-    for (const untold of this.untold.values()) {
-      untold.set(window, (untold.get(window) ?? new Set<string>()).add(organisation));
+    for (const pending of this.pending.values()) {
+      pending.set(window, (pending.get(window) ?? new Set<string>()).add(organisation));
     }
   }
 
-  /** Tells those that listen now what they do not know. */
-  publish(listeners: readonly UsageSubscriber[]): void {
-    const links = new Set(listeners.map(({ link }) => link));
-    for (const link of [...this.untold.keys()]) {
+  /** Sends pending counts to the current subscribers. */
+  publish(subscribers: readonly UsageSubscriber[]): void {
+    const links = new Set(subscribers.map(({ link }) => link));
+    for (const link of [...this.pending.keys()]) {
       if (!links.has(link)) {
-        this.untold.delete(link);
+        this.pending.delete(link);
       }
     }
-    for (const listener of listeners) {
-      const untold = this.untold.get(listener.link) ?? this.listAll();
-      this.untold.set(listener.link, untold);
-      const windows = this.take(untold);
+    for (const subscriber of subscribers) {
+      const pending = this.pending.get(subscriber.link) ?? this.listAllCounts();
+      this.pending.set(subscriber.link, pending);
+      const windows = this.takePending(pending);
       if (windows.length > 0) {
-        listener.tell(windows);
+        subscriber.tell(windows);
       }
     }
   }
 
-  private listAll(): PendingChanges {
+  private listAllCounts(): PendingChanges {
     return new Map(
       this.counter
         .listWindows()
@@ -57,20 +60,20 @@
     );
   }
 
-  private take(untold: PendingChanges): WindowCounts[] {
+  private takePending(pending: PendingChanges): WindowCounts[] {
     const windows: WindowCounts[] = [];
-    let room = MAX_COUNTS_PER_MESSAGE;
-    for (const [window, organisations] of listByUrgency(untold)) {
-      const taken = [...organisations].slice(0, room);
-      room -= taken.length;
-      taken.forEach((organisation) => organisations.delete(organisation));
+    let remaining = MAX_COUNTS_PER_MESSAGE;
+    for (const [window, organisations] of listByUrgency(pending)) {
+      const selected = [...organisations].slice(0, remaining);
+      remaining -= selected.length;
+      selected.forEach((organisation) => organisations.delete(organisation));
       if (organisations.size === 0) {
-        untold.delete(window);
+        pending.delete(window);
       }
-      if (taken.length > 0) {
+      if (selected.length > 0) {
         windows.push({
           window,
-          counts: taken.map((name) => [name, this.counter.getCount(window, name)]),
+          counts: selected.map((name) => [name, this.counter.getCount(window, name)]),
         });
       }
     }
@@ -79,10 +82,10 @@
 }
 
 /**
- * The window that is settled next and the present one, then older ones, the latest first: over
- * a new link those that are done would keep the others back.
+ * Orders the previous and the current window first, then older ones, latest first, so that windows
+ * already reported do not delay the others over a new link.
  */
-function listByUrgency(untold: PendingChanges): [number, Set<string>][] {
-  const latestFirst = [...untold].sort(([one], [other]) => other - one);
+function listByUrgency(pending: PendingChanges): [number, Set<string>][] {
+  const latestFirst = [...pending].sort(([first], [second]) => second - first);
   return [...latestFirst.slice(0, 2).reverse(), ...latestFirst.slice(2)];
 }
--- a/packages/meter-usage/src/usage-record.ts
+++ b/packages/meter-usage/src/usage-record.ts
@@ -1,6 +1,6 @@
 /**
- * What the store holds of usage: one item with the counts that were settled last. The next
- * window is settled only once these were reported, so it never grows.
+ * Stored usage: one item with the counts that were settled last. The next window is settled only
+ * after these are reported, so the item stays small.
  */
 import type { PortFault } from '@limelead/errors';
 import type { ConditionalStore, StoreEntry, WriteOutcome } from '@limelead/ports';
@@ -13,28 +13,28 @@
 });
 const recordCodec = t.intersection([
   t.type({ settled: settledCodec }),
-  // The last window that was reported or skipped when this was written.
+  // Last window reported or skipped when the item was written.
   t.partial({ doneUpTo: t.number }),
 ]);
 
-/** Counts of a window that nobody changes any more. */
+/** Final counts of a window. */
 export type SettledWindow = t.TypeOf<typeof settledCodec>;
 
-/** The item as it was read, or written by this process. */
+/** The stored item as read or last written by this process. */
 export interface StoredUsage {
-  /** 0 where there is none. */
+  /** 0 if there is no item. */
   revision: number;
-  /** Undefined where nothing was ever reported. */
+  /** Undefined if nothing was ever reported. */
   doneUpTo?: number;
   settled?: SettledWindow;
-  /** The item says something that this program does not understand. */
+  /** Present if this program cannot read the item. */
   isUnreadable?: true;
 }
 
-/** Reads and writes the item. */
+/** Reads and writes the stored item. */
 export default class UsageRecord {
   /**
-   * @param key of the item
+   * @param key key of the item
    * @param dutyKey key whose revision is the token of the duty's holder
    */
   constructor(
@@ -43,7 +43,9 @@
     private readonly dutyKey: string,
   ) {}
 
-  /** An item that makes no sense is told as such; the next one that is settled replaces it. */
+  /**
+   * Reads the item. An unreadable one is marked as such and replaced by the next settled window.
+   */
   async read(): Promise<E.Either<PortFault, StoredUsage>> {
     const found = await this.store.read(this.key)();
     return E.map((entry: StoreEntry | undefined) =>
@@ -51,7 +53,7 @@
     )(found);
   }
 
-  /** Written only by the holder of a token, and only upon the item that it knows. */
+  /** Writes the settled counts if the token is still valid and the item is unchanged. */
   settle(
     token: number,
     { revision, doneUpTo }: StoredUsage,
@@ -73,7 +75,7 @@
     const decoded = recordCodec.decode(JSON.parse(value.toString()));
     return E.isRight(decoded) ? decoded.right : { isUnreadable: true };
   } catch {
-    // Told as such: the caller writes a line.
+    // Marked as unreadable; the caller logs it.
     return { isUnreadable: true };
   }
 }
--- a/packages/meter-usage/src/usage-reporter.test.ts
+++ b/packages/meter-usage/src/usage-reporter.test.ts
@@ -10,27 +10,27 @@
 import type UsageReporter from './usage-reporter.js';
 
 const RUNS = 2_000;
-const LOOK_MS = 500;
+const STEP_MS = 500;
 
-/** Looks at intervals until a moment. */
-async function playUntil(
+/** Calls the reporters at intervals until a time. */
+async function runUntil(
   reporting: ReportingSimulation,
   vms: readonly UsageReporter[],
   untilMs: number,
 ): Promise<void> {
-  for (; reporting.now < untilMs; reporting.now += LOOK_MS) {
+  for (; reporting.now < untilMs; reporting.now += STEP_MS) {
     await Promise.all(vms.map((vm) => vm.reportDue()));
   }
 }
 
-test('each window is settled, then reported, some time behind its end', async () => {
+test('each window is settled and then reported some time after its end', async () => {
   const reporting = new ReportingSimulation();
-  await playUntil(reporting, [reporting.createVm('a', () => 1)], 3 * WINDOW_MS);
+  await runUntil(reporting, [reporting.createVm('a', () => 1)], 3 * WINDOW_MS);
   assert.equal(reporting.lines, ['settled 0', 'reported 0', 'settled 1', 'reported 1']);
   assert.is(reporting.reports.length, 2);
 });
 
-/** The first holder dies at a moment; the next one has other counts. */
+/** Replaces the first holder at some moment; the next one has other counts. */
 async function replaceHolder(
   until: (reporting: ReportingSimulation) => boolean,
 ): Promise<ReportingSimulation> {
@@ -38,26 +38,26 @@
   const first = reporting.createVm('a', () => 1);
   while (!until(reporting)) {
     await first.reportDue();
-    reporting.now += LOOK_MS;
+    reporting.now += STEP_MS;
   }
   reporting.token = 2;
-  await playUntil(reporting, [reporting.createVm('b', () => 2)], 3 * WINDOW_MS);
+  await runUntil(reporting, [reporting.createVm('b', () => 2)], 3 * WINDOW_MS);
   return reporting;
 }
 
-test('a holder killed before it settled: the next one settles', async () => {
-  const reporting = await replaceHolder(({ now }) => now >= WINDOW_MS + SETTLE_AFTER_MS - LOOK_MS);
+test('the next holder settles if one was killed before settling', async () => {
+  const reporting = await replaceHolder(({ now }) => now >= WINDOW_MS + SETTLE_AFTER_MS - STEP_MS);
   assert.equal(reporting.reports[0]?.counts, '[["b",0]]');
   assert.equal(reporting.listWindows(), [0, 1]);
 });
 
-test('a holder killed between settling and reporting: the next one sends its counts', async () => {
+test('the next holder reports the settled counts of one killed before reporting', async () => {
   const reporting = await replaceHolder(({ lines }) => lines.includes('settled 0'));
   assert.equal(reporting.reports[0], { window: 0, counts: '[["a",0]]', token: 2 });
   assert.equal(reporting.listWindows(), [0, 1]);
 });
 
-test('a holder killed behind its report: the next one repeats it exactly', async () => {
+test('the next holder repeats the identical report of one killed after reporting', async () => {
   const reporting = await replaceHolder(({ lines }) => lines.includes('reported 0'));
   assert.equal(
     reporting.reports.map(({ counts }) => counts),
@@ -65,42 +65,42 @@
   );
 });
 
-test('a settling write that is done late beats the one that follows it', async () => {
+test('a settling write carried out late wins over the following one', async () => {
   const reporting = new ReportingSimulation();
   reporting.writeOutcomes = ['late'];
   const vm = reporting.createVm('a', () => 1);
-  await playUntil(reporting, [vm], WINDOW_MS + SETTLE_AFTER_MS + LOOK_MS);
+  await runUntil(reporting, [vm], WINDOW_MS + SETTLE_AFTER_MS + STEP_MS);
   reporting.late.forEach((run) => run());
-  await playUntil(reporting, [vm], 2 * WINDOW_MS);
+  await runUntil(reporting, [vm], 2 * WINDOW_MS);
   assert.equal(reporting.lines, ['settle failed', 'reported 0']);
 });
 
-test('a deposed holder settles nothing', async () => {
+test('a holder with an outdated token settles nothing', async () => {
   const reporting = new ReportingSimulation();
   reporting.token = 2;
-  await playUntil(reporting, [reporting.createVm('a', () => 1)], 2 * WINDOW_MS);
+  await runUntil(reporting, [reporting.createVm('a', () => 1)], 2 * WINDOW_MS);
   assert.equal(reporting.reports, []);
   assert.ok(reporting.lines.every((line) => line === 'settle failed'));
 });
 
-test('lost answers and too many calls: the same is sent again, and nothing is left out', async () => {
+test('after lost answers and too many calls the same counts are sent again, without gaps', async () => {
   const reporting = new ReportingSimulation();
-  reporting.callOutcomes = ['unheard', 'too-many', 'undone', 'late'];
-  await playUntil(reporting, [reporting.createVm('a', () => 1)], 6 * WINDOW_MS);
+  reporting.callOutcomes = ['unanswered', 'too-many', 'undone', 'late'];
+  await runUntil(reporting, [reporting.createVm('a', () => 1)], 6 * WINDOW_MS);
   reporting.late.forEach((run) => run());
   assert.equal(reporting.listWindows(), [0, 1, 2, 3, 4]);
-  assert.equal(reporting.listDiffering(), []);
+  assert.equal(reporting.listInconsistent(), []);
 });
 
-test('a platform that is down for some windows is told of them in order', async () => {
+test('windows are reported in order after the platform was unavailable', async () => {
   const reporting = new ReportingSimulation();
   reporting.callOutcomes = Array.from({ length: 8 }, (): CallOutcome => 'undone');
-  await playUntil(reporting, [reporting.createVm('a', () => 1)], 8 * WINDOW_MS);
+  await runUntil(reporting, [reporting.createVm('a', () => 1)], 8 * WINDOW_MS);
   assert.equal(reporting.listWindows(), [0, 1, 2, 3, 4, 5, 6]);
-  assert.ok(reporting.lines.includes('unreached'));
+  assert.ok(reporting.lines.includes('unreachable'));
 });
 
-test('a store that takes reads alone is asked ever less often', async () => {
+test('the backoff grows while the store accepts only reads', async () => {
   const reporting = new ReportingSimulation();
   reporting.writeOutcomes = Array.from({ length: 40 }, (): CallOutcome => 'undone');
   const vm = reporting.createVm('a', () => 1);
@@ -108,25 +108,25 @@
   for (; reporting.now < WINDOW_MS + SETTLE_AFTER_MS + seconds * 1_000; reporting.now += 100) {
     await vm.reportDue();
   }
-  const tries = reporting.lines.filter((line) => line === 'settle failed').length;
-  assert.ok(tries <= seconds / 2 + 4, `${tries} tries`);
+  const attempts = reporting.lines.filter((line) => line === 'settle failed').length;
+  assert.ok(attempts <= seconds / 2 + 4, `${attempts} attempts`);
   reporting.writeOutcomes = [];
-  await playUntil(reporting, [vm], reporting.now + 4_000);
+  await runUntil(reporting, [vm], reporting.now + 4_000);
   assert.ok(reporting.lines.includes('reported 0'));
 });
 
-test('a holder that is cut off from the VMs that count settles nothing', async () => {
-  const reporting = Object.assign(new ReportingSimulation(), { isCutOff: true });
+test('an isolated holder settles nothing', async () => {
+  const reporting = Object.assign(new ReportingSimulation(), { isIsolated: true });
   const vm = reporting.createVm('a', () => 1);
-  await playUntil(reporting, [vm], 3 * WINDOW_MS);
+  await runUntil(reporting, [vm], 3 * WINDOW_MS);
   assert.equal(reporting.lines, []);
   reporting.isIsolated = false;
-  await playUntil(reporting, [vm], 4 * WINDOW_MS);
+  await runUntil(reporting, [vm], 4 * WINDOW_MS);
   assert.equal(reporting.listWindows(), [0, 1, 2]);
 });
 
-/** Reports of a real holder whose process stood still for so long while it settled. */
-async function standStill(forMs: number): Promise<ReportingSimulation> {
+/** Runs a holder with a real duty whose process is paused for this long while it settles. */
+async function runWithPause(forMs: number): Promise<ReportingSimulation> {
   const reporting = new ReportingSimulation();
   const duty = new LeasedDuty({
     holder: 'a',
@@ -142,66 +142,72 @@
   duty.onLeaseAnswer({ kind: 'ours', token: 1, sentAtMs: reporting.now, ttlMs: 3_000 });
   reporting.onWrite = () => void (reporting.now += forMs);
   const vm = reporting.createReporter(duty);
-  for (let look = 0; look < 3; look += 1) {
+  for (let step = 0; step < 3; step += 1) {
     await vm.reportDue();
   }
   return reporting;
 }
 
-test('a holder that stood still between settling and reporting does not report', async () => {
-  const brief = await standStill(1_800);
-  assert.equal(brief.lines, ['settled 0', 'reported 0']);
-  // The lease lasts, but not until the report has surely arrived.
-  const long = await standStill(2_000);
-  assert.equal(long.lines, ['settled 0']);
-  assert.equal(long.reports, []);
+test('a holder paused between settling and reporting does not report', async () => {
+  const shortPause = await runWithPause(1_800);
+  assert.equal(shortPause.lines, ['settled 0', 'reported 0']);
+  // The lease lasts, but not until the report has certainly arrived.
+  const longPause = await runWithPause(2_000);
+  assert.equal(longPause.lines, ['settled 0']);
+  assert.equal(longPause.reports, []);
 });
 
-test('behind an item that makes no sense nothing older than the last ripe window is settled', async () => {
+test('after an unreadable item no window before the last due one is settled', async () => {
   const reporting = new ReportingSimulation();
   reporting.record = { value: Buffer.from('{}'), revision: 50 };
   reporting.now = 6 * WINDOW_MS;
-  await playUntil(reporting, [reporting.createVm('a', () => 1)], 7 * WINDOW_MS);
+  await runUntil(reporting, [reporting.createVm('a', () => 1)], 7 * WINDOW_MS);
   assert.is(reporting.lines[0], 'unreadable, left out to 3');
   assert.equal(reporting.listWindows(), [4, 5]);
 });
 
-test('a report that is called invalid three times is given up, with a line', async () => {
+test('a report rejected as invalid three times is given up with an event', async () => {
   const reporting = new ReportingSimulation();
   reporting.callOutcomes = ['invalid', 'invalid', 'invalid'];
-  await playUntil(reporting, [reporting.createVm('a', () => 1)], 3 * WINDOW_MS);
+  await runUntil(reporting, [reporting.createVm('a', () => 1)], 3 * WINDOW_MS);
   assert.ok(reporting.lines.includes('given up 0'));
   assert.equal(reporting.listWindows(), [1]);
 });
 
-test('a refusal is told to the duty, and the token is not used again', async () => {
+test('a refused report marks the token as outdated and is not sent again', async () => {
   const reporting = new ReportingSimulation();
   reporting.callOutcomes = ['refused'];
-  await playUntil(reporting, [reporting.createVm('a', () => 1)], WINDOW_MS + SETTLE_AFTER_MS + 600);
+  await runUntil(reporting, [reporting.createVm('a', () => 1)], WINDOW_MS + SETTLE_AFTER_MS + 600);
   assert.equal(reporting.lines, ['settled 0', 'report failed', 'outdated 1']);
 });
 
-test('windows that nobody left counted from the beginning are left out, with a line', async () => {
+test('windows that no remaining VM counted from their start are skipped with an event', async () => {
   const reporting = new ReportingSimulation();
-  await playUntil(reporting, [reporting.createVm('a', () => 1)], 2 * WINDOW_MS);
+  await runUntil(reporting, [reporting.createVm('a', () => 1)], 2 * WINDOW_MS);
   reporting.now = 6 * WINDOW_MS;
   reporting.token = 2;
-  await playUntil(reporting, [reporting.createVm('b', () => 2, 7)], 9 * WINDOW_MS);
+  await runUntil(reporting, [reporting.createVm('b', () => 2, 7)], 9 * WINDOW_MS);
   assert.ok(reporting.lines.includes('skipped 1-4 not-counted'));
   assert.ok(reporting.lines.includes('reported 7'));
 });
 
-test('windows that are older than what is kept are left out, with a line', async () => {
+test('windows older than the retained ones are skipped with an event', async () => {
   const reporting = new ReportingSimulation();
   reporting.now = 40 * WINDOW_MS;
-  await playUntil(reporting, [reporting.createVm('a', () => 1)], 42 * WINDOW_MS);
+  await runUntil(reporting, [reporting.createVm('a', () => 1)], 42 * WINDOW_MS);
   assert.is(reporting.lines[0], 'skipped 0-28 too-old');
 });
 
-test(`${RUNS} schedules of two VMs that both believe: no two reports differ`, async () => {
-  const fate = fc.constantFrom<CallOutcome>('answered', 'answered', 'unheard', 'late', 'undone');
+test(`${RUNS} schedules of two VMs that both claim the duty: no two reports of a window differ`, async () => {
+  const callOutcome = fc.constantFrom<CallOutcome>(
+    'answered',
+    'answered',
+    'unanswered',
+    'late',
+    'undone',
+  );
   const step = fc.record({
-    /** Who looks; the other holds a token that is over, or will. */
+    /** The VM that runs; the other one holds an outdated or future token. */
     vm: fc.constantFrom(0, 1),
     takesOver: fc.integer({ min: 0, max: 5 }).map((number) => number === 0),
     carriesOut: fc.boolean(),
@@ -209,10 +215,10 @@
   await fc.assert(
     fc.asyncProperty(
       fc.array(step, { minLength: 20, maxLength: 60 }),
-      fc.array(fate, { maxLength: 12 }),
-      fc.array(fate, { maxLength: 12 }),
-      async (steps, writeFates, callFates) => {
-        const reporting = Object.assign(new ReportingSimulation(), { writeFates, callFates });
+      fc.array(callOutcome, { maxLength: 12 }),
+      fc.array(callOutcome, { maxLength: 12 }),
+      async (steps, writeOutcomes, callOutcomes) => {
+        const reporting = Object.assign(new ReportingSimulation(), { writeOutcomes, callOutcomes });
         const tokens = [1, 0];
         const vms = ['a', 'b'].map((name, number) =>
           reporting.createVm(name, () => tokens[number] || undefined),
@@ -226,9 +232,9 @@
             reporting.late.shift()?.();
           }
           await vms[vm]?.reportDue();
-          reporting.now += LOOK_MS;
+          reporting.now += STEP_MS;
         }
-        assert.equal(reporting.listDiffering(), []);
+        assert.equal(reporting.listInconsistent(), []);
       },
     ),
     { numRuns: RUNS, seed: 33 },
--- a/packages/meter-usage/src/usage-reporter.ts
+++ b/packages/meter-usage/src/usage-reporter.ts
@@ -1,7 +1,6 @@
 /**
- * Settles and reports the usage of one window after the other while this VM holds the duty.
- * Counts are settled in the store before they are reported: whoever takes the duty over
- * sends the very same.
+ * Settles and reports usage window by window while this VM holds the duty. Counts are settled in
+ * the store before they are reported, so a later holder sends identical ones.
  */
 import type { PortFault } from '@limelead/errors';
 import type { Duty, DutyPermit } from '@limelead/hold-duty';
@@ -12,80 +11,79 @@
 import type UsageRecord from './usage-record.js';
 import type { StoredUsage, SettledWindow } from './usage-record.js';
 
-/**
- * Longest time until a report arrived or is lost, in milliseconds: so long its sender waits
- * for the answer, and closes the connection then.
- */
+/** Time until a report has arrived or is lost; its sender waits this long for the answer. */
 const REPORT_TIMEOUT_MS = 1_000;
-/** Pause behind a call that failed; doubled each time, for a platform that is away. */
+/** Backoff after the first failed call; doubles with each further failure. */
 const MIN_BACKOFF_MS = 300;
-/** Longest such pause: with it a window is in time once the platform is back. */
+/** Maximum backoff; short enough to report a window in time once the platform is back. */
 const MAX_BACKOFF_MS = 2_000;
 /**
- * Time without any answer of the platform after which another VM may try, in milliseconds:
- * three calls, and time enough is left for a window to come from there before it is due.
+ * Time without an answer of the platform after which the duty is left to another VM, early enough
+ * to report the window in time.
  */
 const UNREACHABLE_AFTER_MS = 3_500;
-/** Times that a report which the platform calls invalid is sent: it may be a bad moment of its own. */
+/** Number of attempts for a report that the platform calls invalid. */
 const MAX_INVALID_ATTEMPTS = 3;
 
-/** What a reporter needs. */
+/** Dependencies of a reporter. */
 export interface UsageReporterOptions {
   duty: Duty;
   platform: DutyPlatform;
   record: UsageRecord;
-  /** Steady. */
+  /** Steady clock. */
   clock: Clock;
-  /** Gives true time, in milliseconds since 1970. */
+  /** True time in milliseconds since 1970. */
   trueTime: Clock;
   windowMs: Millis;
   /** Time from the end of a window until its counts are settled. */
   settleAfterMs: Millis;
-  /** Requests of each organisation in a window, as all VMs told them. */
+  /** Returns the requests of each organisation in a window, over all VMs. */
   sum(window: number): Map<string, number>;
   /**
-   * Whether what VMs told since this VM took the duty is incomplete, as it has lost its links
-   * to most of them: it gives the duty up, and settles nothing meanwhile.
+   * Whether reports of other VMs since this VM acquired the duty are incomplete, because it is
+   * isolated from most of them. Nothing is settled meanwhile.
    */
   isIsolated(heldSinceMs: Millis): boolean;
-  /** The first window that was counted from its beginning. */
+  /** Returns the first window that was counted from its start. */
   readCountedFrom(): number;
-  /** The platform answered none of this VM's reports for a while. */
+  /** Called when the platform answered none of this VM's reports for a while. */
   onPlatformUnreachable(): void;
   events: UsageEvents;
 }
 
-/** What a reporter tells of. */
+/** Events of a reporter. */
 export interface UsageEvents {
   onSettled(settled: SettledWindow, token: number): void;
-  /** @param afterMs time since the end of the window */
+  /**
+   * @param afterMs time since the end of the window
+   */
   onReported(settled: SettledWindow, token: number, afterMs: Millis): void;
   onSkipped(skipped: SkippedWindows): void;
-  /** The store's item makes no sense; windows up to one are left out. */
+  /** Called for an unreadable stored item; windows up to `leftOutUpTo` are not reported. */
   onUnreadable(revision: number, leftOutUpTo: number): void;
-  /** The platform did not take a window. */
+  /** Called when the platform repeatedly rejected a window. */
   onGivenUp(window: number): void;
   onCallFailed(call: 'read' | 'settle' | 'report', window: number | undefined, why: string): void;
 }
 
-interface KnownByToken extends StoredUsage {
+interface StoredUsageByToken extends StoredUsage {
   token: number;
 }
 
-/** Asked at intervals. */
+/** Settles and reports usage; called at intervals. */
 export default class UsageReporter {
-  /** What the store holds, as of the hold with that token. */
-  private known: KnownByToken | undefined;
+  /** Stored usage as known under the token. */
+  private stored: StoredUsageByToken | undefined;
   private retryAtMs: Millis = -Infinity;
   private failures = 0;
-  private invalid = 0;
-  /** When the first report in a row was sent that got no answer. */
+  private invalidAttempts = 0;
+  /** When the first of the reports without an answer was sent. */
   private unansweredSinceMs: Millis | undefined;
   private isBusy = false;
 
   constructor(private readonly options: UsageReporterOptions) {}
 
-  /** Does what is due next; nothing where this VM does not hold the duty. */
+  /** Performs the next due step; does nothing unless this VM holds the duty. */
   async reportDue(): Promise<void> {
     const { duty, clock } = this.options;
     if (this.isBusy || clock.now() < this.retryAtMs) {
@@ -97,36 +95,36 @@
     }
     this.isBusy = true;
     try {
-      await this.work(permit);
+      await this.performStep(permit);
     } finally {
       this.isBusy = false;
     }
   }
 
-  private async work({ token, heldSinceMs }: DutyPermit): Promise<void> {
-    const { known } = this;
-    if (known?.token !== token) {
+  private async performStep({ token, heldSinceMs }: DutyPermit): Promise<void> {
+    const { stored } = this;
+    if (stored?.token !== token) {
       await this.read(token);
-    } else if (known.settled !== undefined && known.settled.window > (known.doneUpTo ?? -1)) {
-      await this.report(known, known.settled);
+    } else if (stored.settled !== undefined && stored.settled.window > (stored.doneUpTo ?? -1)) {
+      await this.report(stored, stored.settled);
     } else if (!this.options.isIsolated(heldSinceMs)) {
-      await this.advance(known);
+      await this.planNext(stored);
     }
   }
 
   private async read(token: number): Promise<void> {
     const record = await this.options.record.read();
     if (E.isLeft(record)) {
-      this.noteFailure('read', undefined, describe(record.left));
+      this.onFailure('read', undefined, describe(record.left));
       return;
     }
-    // No end of the failures: each refused write is followed by a read, and its pause would
-    // never grow where the store takes reads alone.
-    this.known = { token, ...this.leaveOutUnreadable(record.right) };
+    // A read does not reset the backoff, since each refused write is followed by a read, and the
+    // store may accept only reads.
+    this.stored = { token, ...this.skipUnreadable(record.right) };
   }
 
-  /** Windows up to the last ripe one may be settled with counts that nobody can read any more. */
-  private leaveOutUnreadable(record: StoredUsage): StoredUsage {
+  /** Skips all windows that may have been settled in the unreadable item. */
+  private skipUnreadable(record: StoredUsage): StoredUsage {
     if (record.isUnreadable === undefined) {
       return record;
     }
@@ -136,81 +134,85 @@
     return { revision: record.revision, doneUpTo };
   }
 
-  private async advance(known: KnownByToken): Promise<void> {
+  private async planNext(stored: StoredUsageByToken): Promise<void> {
     const { trueTime, windowMs, settleAfterMs, readCountedFrom, events } = this.options;
     const { skip, next } = planWindows({
       nowMs: trueTime.now(),
       windowMs,
       settleAfterMs,
-      doneUpTo: known.doneUpTo,
+      doneUpTo: stored.doneUpTo,
       countedFrom: readCountedFrom(),
     });
     if (skip !== undefined) {
-      this.known = { ...known, doneUpTo: skip.to };
+      this.stored = { ...stored, doneUpTo: skip.to };
       events.onSkipped(skip);
     } else if (next !== undefined) {
-      await this.settle(known, next);
+      await this.settle(stored, next);
     }
   }
 
-  private async settle(known: KnownByToken, window: number): Promise<void> {
+  private async settle(stored: StoredUsageByToken, window: number): Promise<void> {
     const { record, sum, events } = this.options;
     const settled = { window, counts: [...sum(window)] };
-    const outcome = await record.settle(known.token, known, settled);
+    const outcome = await record.settle(stored.token, stored, settled);
     if (E.isRight(outcome) && outcome.right.kind === 'written') {
-      this.known = { ...known, revision: outcome.right.revision, settled };
+      this.stored = { ...stored, revision: outcome.right.revision, settled };
       this.failures = 0;
-      events.onSettled(settled, known.token);
+      events.onSettled(settled, stored.token);
       return;
     }
-    // The write may be done, or be done later: what the store holds decides.
-    this.known = undefined;
+    // The write may still be carried out, so the stored item is read again.
+    this.stored = undefined;
     const why = E.isLeft(outcome) ? describe(outcome.left) : outcome.right.kind;
-    this.noteFailure('settle', window, why);
+    this.onFailure('settle', window, why);
   }
 
-  private async report(known: KnownByToken, settled: SettledWindow): Promise<void> {
+  private async report(stored: StoredUsageByToken, settled: SettledWindow): Promise<void> {
     const { duty, platform, clock } = this.options;
     const { window } = settled;
     const counts = new Map(settled.counts);
-    // Asked last of all: the process may have stood still since it settled.
+    // Checked last, since the process may have been paused after settling.
     const permit = duty.permit(REPORT_TIMEOUT_MS);
-    if (permit?.token !== known.token) {
+    if (permit?.token !== stored.token) {
       return;
     }
     const credentials = { holder: duty.holder, token: permit.token };
     const sentAtMs = clock.now();
     const answer = await platform.reportUsage(credentials, { window, counts })();
     if (E.isLeft(answer)) {
-      this.noteFailure('report', window, describe(answer.left));
-      this.noteUnanswered(sentAtMs);
+      this.onFailure('report', window, describe(answer.left));
+      this.recordUnanswered(sentAtMs);
     } else {
       this.unansweredSinceMs = undefined;
-      this.takeAnswer(answer.right, known, settled);
+      this.handleAnswer(answer.right, stored, settled);
     }
   }
 
-  private takeAnswer(answer: DutyAnswer, known: KnownByToken, settled: SettledWindow): void {
+  private handleAnswer(
+    answer: DutyAnswer,
+    stored: StoredUsageByToken,
+    settled: SettledWindow,
+  ): void {
     const { duty, trueTime, windowMs, events } = this.options;
     const { window } = settled;
     if (answer === 'taken') {
-      this.finish(known, window);
-      events.onReported(settled, known.token, trueTime.now() - (window + 1) * windowMs);
+      this.completeWindow(stored, window);
+      events.onReported(settled, stored.token, trueTime.now() - (window + 1) * windowMs);
       return;
     }
-    this.noteFailure('report', window, answer);
+    this.onFailure('report', window, answer);
     if (answer === 'refused') {
-      duty.markTokenOutdated(known.token);
+      duty.markTokenOutdated(stored.token);
     } else if (answer === 'invalid') {
-      this.invalid += 1;
-      if (this.invalid >= MAX_INVALID_ATTEMPTS) {
-        this.finish(known, window);
+      this.invalidAttempts += 1;
+      if (this.invalidAttempts >= MAX_INVALID_ATTEMPTS) {
+        this.completeWindow(stored, window);
         events.onGivenUp(window);
       }
     }
   }
 
-  private noteUnanswered(sentAtMs: Millis): void {
+  private recordUnanswered(sentAtMs: Millis): void {
     this.unansweredSinceMs ??= sentAtMs;
     if (this.options.clock.now() - this.unansweredSinceMs >= UNREACHABLE_AFTER_MS) {
       this.unansweredSinceMs = undefined;
@@ -218,20 +220,20 @@
     }
   }
 
-  private finish(known: KnownByToken, window: number): void {
-    this.known = { ...known, doneUpTo: window };
-    this.invalid = 0;
+  private completeWindow(stored: StoredUsageByToken, window: number): void {
+    this.stored = { ...stored, doneUpTo: window };
+    this.invalidAttempts = 0;
     this.failures = 0;
   }
 
-  private noteFailure(
+  private onFailure(
     call: 'read' | 'settle' | 'report',
     window: number | undefined,
     why: string,
   ): void {
-    const pauseMs = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** this.failures);
+    const backoffMs = Math.min(MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** this.failures);
     this.failures += 1;
-    this.retryAtMs = this.options.clock.now() + pauseMs;
+    this.retryAtMs = this.options.clock.now() + backoffMs;
     this.options.events.onCallFailed(call, window, why);
   }
 }
--- a/packages/meter-usage/src/usage-table.ts
+++ b/packages/meter-usage/src/usage-table.ts
@@ -1,85 +1,91 @@
 /**
- * What all VMs told, those that are gone included. Each tells its own sums so far, so
- * the largest of each incarnation counts, whatever is lost, repeated or reordered.
+ * Counts reported by all VMs, including VMs that have gone. VMs report totals, so the largest count
+ * of each incarnation is right despite lost, repeated or reordered reports.
  */
 import type { Clock, Millis } from '@limelead/types';
 import addWindow, { isRetained } from './retained-windows.js';
 import type { WindowCounts } from './types.js';
 
-/** Counts by incarnation of the VM that told them, then by organisation. */
+/** Counts by incarnation of the reporting VM, then by organisation. */
 type WindowTable = Map<string, Map<string, number>>;
 
-/** What a book needs. */
+/** Dependencies of the table. */
 export interface UsageTableOptions {
-  /** Gives true time, in milliseconds since 1970. */
+  /** True time in milliseconds since 1970. */
   trueTime: Clock;
   windowMs: Millis;
 }
 
-/** Adds up. */
+/** Adds up the counts of all VMs. */
 export default class UsageTable {
   private readonly windows = new Map<number, WindowTable>();
-  /** By incarnation, of those that told of a window that is kept. */
-  private readonly firstWhole = new Map<string, number>();
+  /**
+   * First window counted from its start, by incarnation, for incarnations with a retained window.
+   */
+  private readonly countedFromByIncarnation = new Map<string, number>();
 
   constructor(private readonly options: UsageTableOptions) {}
 
-  /** The first window that a VM counted from its beginning; undefined where nobody told of any. */
+  /** The first window that any VM counted from its start; undefined without reports. */
   get countedFrom(): number | undefined {
-    return this.firstWhole.size === 0 ? undefined : Math.min(...this.firstWhole.values());
+    return this.countedFromByIncarnation.size === 0
+      ? undefined
+      : Math.min(...this.countedFromByIncarnation.values());
   }
 
   /**
-   * A VM told its sums; those of windows that are over for long, or far ahead, are ignored.
-   * @param countedFrom the first window that it counted from its beginning, as it says now: by
-   * its first words alone, a VM whose clock was behind at its start had counted what it did not
+   * Records the totals of a VM; windows that are not retained are ignored.
+   * @param countedFrom first window that the VM counted from its start, as reported now; a VM whose
+   * clock was wrong at its start corrects it later
    */
-  recordCounts(incarnation: string, told: readonly WindowCounts[], countedFrom: number): void {
-    const present = this.readPresent();
-    for (const { window, counts } of told.filter((word) => isRetained(word.window, present))) {
-      const book = this.windows.get(window) ?? this.open(window, present);
-      const largest = book.get(incarnation) ?? new Map<string, number>();
-      book.set(incarnation, largest);
-      this.firstWhole.set(incarnation, countedFrom);
+  recordCounts(incarnation: string, reported: readonly WindowCounts[], countedFrom: number): void {
+    const current = this.currentWindow();
+    for (const { window, counts } of reported.filter((report) =>
+      isRetained(report.window, current),
+    )) {
+      const table = this.windows.get(window) ?? this.addTable(window, current);
+      const largest = table.get(incarnation) ?? new Map<string, number>();
+      table.set(incarnation, largest);
+      this.countedFromByIncarnation.set(incarnation, countedFrom);
       for (const [organisation, requests] of counts) {
         largest.set(organisation, Math.max(requests, largest.get(organisation) ?? 0));
       }
     }
   }
 
-  /** Requests of each organisation in one window. */
+  /** Returns the requests of each organisation in one window. */
   sum(window: number): Map<string, number> {
-    const sums = new Map<string, number>();
+    const totals = new Map<string, number>();
     for (const counts of this.windows.get(window)?.values() ?? []) {
       for (const [organisation, requests] of counts) {
-        sums.set(organisation, (sums.get(organisation) ?? 0) + requests);
+        totals.set(organisation, (totals.get(organisation) ?? 0) + requests);
       }
     }
-    return sums;
+    return totals;
   }
 
-  /** Number of VMs that told of one window. */
+  /** Returns the number of VMs that reported one window. */
   countReportingVms(window: number): number {
     return this.windows.get(window)?.size ?? 0;
   }
 
-  private open(window: number, present: number): WindowTable {
-    const book: WindowTable = new Map();
-    addWindow(this.windows, window, book, present);
-    this.forgetSilent();
-    return book;
+  private addTable(window: number, current: number): WindowTable {
+    const table: WindowTable = new Map();
+    addWindow(this.windows, window, table, current);
+    this.removeUnreported();
+    return table;
   }
 
-  private forgetSilent(): void {
-    const tellers = new Set([...this.windows.values()].flatMap((book) => [...book.keys()]));
-    for (const incarnation of [...this.firstWhole.keys()]) {
-      if (!tellers.has(incarnation)) {
-        this.firstWhole.delete(incarnation);
+  private removeUnreported(): void {
+    const reporting = new Set([...this.windows.values()].flatMap((table) => [...table.keys()]));
+    for (const incarnation of [...this.countedFromByIncarnation.keys()]) {
+      if (!reporting.has(incarnation)) {
+        this.countedFromByIncarnation.delete(incarnation);
       }
     }
   }
 
-  private readPresent(): number {
+  private currentWindow(): number {
     const { trueTime, windowMs } = this.options;
     return Math.floor(trueTime.now() / windowMs);
   }
