--- a/packages/hold-duty/src/duty-simulation.fixture.ts
+++ b/packages/hold-duty/src/duty-simulation.fixture.ts
@@ -177,7 +177,7 @@
     });
     this.duty = duty;
     this.elector = new DutyElector({
-      lease: lease,
+      lease,
       duty,
       clock,
       timers,
--- a/packages/hold-duty/src/hold-duty.test.ts
+++ b/packages/hold-duty/src/hold-duty.test.ts
@@ -162,7 +162,7 @@
     kind: 'kill',
     forMs: 300,
   }));
-  const simulation = await simulate({ faults: faults }, 30_000);
+  const simulation = await simulate({ faults }, 30_000);
   assert.equal(findViolations(simulation.calls), []);
   assert.ok(longestGap(simulation) < 2 * LEASE_MS + 2_000, `${longestGap(simulation)}`);
 });
@@ -171,7 +171,7 @@
   const faults = [0, 1, 2].map((vm): InjectedFault => {
     return { atMs: 6_000 + vm * 2_000, vm, kind: 'stop', forMs: 800 };
   });
-  const simulation = await simulate({ vms: 3, faults: faults }, 30_000);
+  const simulation = await simulate({ vms: 3, faults }, 30_000);
   assert.equal(findViolations(simulation.calls), []);
   assert.ok(longestGap(simulation) < 2 * LEASE_MS + 2_000, `${longestGap(simulation)}`);
 });
@@ -212,7 +212,7 @@
       const simulation = new DutySimulation({
         vms: 3,
         isFenced,
-        faults: faults,
+        faults,
         random: createRandom(seed),
         createDuty,
       });
--- a/packages/hold-duty/src/key-value-lease.ts
+++ b/packages/hold-duty/src/key-value-lease.ts
@@ -7,7 +7,6 @@
 /** Dependencies of the lease. */
 export interface KeyValueLeaseOptions {
   store: KeyValueStore;
-  /** Name of the lease. */
   name: string;
   /** Unique id of this process; a restarted process is another holder. */
   incarnation: string;
--- a/packages/hold-duty/src/plan-step.ts
+++ b/packages/hold-duty/src/plan-step.ts
@@ -25,7 +25,6 @@
   renewalIntervalMs: Millis;
 }
 
-/** Next step. */
 export type DutyStep = 'renew' | 'release' | 'take' | 'wait';
 
 /** Delay of each candidate after the one before it; a few answers of the store. */
--- a/packages/judge-version/src/sequential-test.ts
+++ b/packages/judge-version/src/sequential-test.ts
@@ -1,5 +1,5 @@
 /**
- * Sequential probability logRatio test that restarts whenever the version looks like the baseline, so
+ * Sequential probability ratio test that restarts whenever the version looks like the baseline, so
  * that a version that turns bad late is found as quickly as one that is bad from the start.
  */
 import {
@@ -19,7 +19,7 @@
 /** Limits on rates, so that a single answer never decides. */
 const MIN_RATE = 0.02;
 const MAX_RATE = 0.9;
-/** Log-likelihood logRatio of bad against good at which the version is bad. */
+/** Log-likelihood ratio of bad against good at which the version is bad. */
 const MIN_LOG_LIKELIHOOD_RATIO = 8;
 /**
  * Standard errors added to the baseline's rate, so that few answers do not give a low rate by
--- a/packages/judge-version/src/version-judge.ts
+++ b/packages/judge-version/src/version-judge.ts
@@ -36,7 +36,6 @@
   fresh: OutcomeCounts;
 }
 
-/** Judges one version. */
 export default class VersionJudge {
   private readonly routes = new Map<string, RouteState>();
   private evaluatedAtMs: Millis | undefined;
@@ -76,7 +75,7 @@
     }
     const { fresh, baseline } = state;
     state.fresh = createCounts();
-    const cause = state.test.evaluate({ fresh, baseline, decayFactor: decayFactor });
+    const cause = state.test.evaluate({ fresh, baseline, decayFactor });
     return cause && { cause, route, good: trial.good, bad: trial.bad };
   }
 
--- a/packages/order-capacity/src/capacity-controller.ts
+++ b/packages/order-capacity/src/capacity-controller.ts
@@ -1,6 +1,6 @@
 /**
  * Orders targets while this VM holds the duty. A new holder starts from the present targets and the
- * reported load; orders of earlier holders are read from the store.
+ * reported load; the effect of earlier orders shows in the targets of the store.
  */
 import type { DecisionLog } from '@limelead/decision-log';
 import type { Duty } from '@limelead/hold-duty';
--- a/packages/order-capacity/src/demand-tracker.ts
+++ b/packages/order-capacity/src/demand-tracker.ts
@@ -119,7 +119,7 @@
     const arrived = sum(recent, 'arrived');
     const factor = this.silentVmFactor(now);
     return {
-      observedSeconds: observedSeconds,
+      observedSeconds,
       tokensBySecond: listSeconds(
         recent,
         last,
--- a/packages/order-capacity/src/plan-orders.ts
+++ b/packages/order-capacity/src/plan-orders.ts
@@ -73,7 +73,7 @@
   for (const [failureDomain, state] of domains) {
     for (const kind of KINDS) {
       const count = lacksSpot(state, kind)
-        ? spotRetryTarget(state, limits)
+        ? nextSpotRetryCount(state, limits)
         : nextCount(state, kind, spareTargets, limits);
       const reason = orderReason(state, kind, count, limits);
       if (reason !== undefined) {
@@ -92,7 +92,7 @@
  * Count to request where spot targets are unavailable: the unconstrained count during a retry,
  * otherwise no change.
  */
-function spotRetryTarget(state: DomainState, { max }: OrderLimits): number {
+function nextSpotRetryCount(state: DomainState, { max }: OrderLimits): number {
   const present = currentCount(state, 'spot');
   const limit = Math.min(state.spotRetryCount ?? 0, max - currentCount(state, 'plain'));
   return Math.max(present, limit);
@@ -158,6 +158,6 @@
   if (!last.isConfirmed) {
     return ageMs >= RETRY_DELAY_MS ? 'no-answer' : undefined;
   }
-  const hasDeviation = state.present[kind].ready !== last.count;
-  return hasDeviation && ageMs >= bootMs + SETTLE_MARGIN_MS ? 'did-not-come' : undefined;
+  const isMismatched = state.present[kind].ready !== last.count;
+  return isMismatched && ageMs >= bootMs + SETTLE_MARGIN_MS ? 'did-not-come' : undefined;
 }
--- a/packages/order-capacity/src/service-order-state.ts
+++ b/packages/order-capacity/src/service-order-state.ts
@@ -98,7 +98,7 @@
   onOrdered({ failureDomain, kind, count }: PlannedOrder, now: Millis, isConfirmed: boolean): void {
     const domain = this.at(failureDomain);
     domain.isSending = false;
-    domain.ordered[kind] = { count, atMs: now, isConfirmed: isConfirmed };
+    domain.ordered[kind] = { count, atMs: now, isConfirmed };
     if (kind === 'spot' && isConfirmed) {
       domain.spotUnavailableUntilMs = -Infinity;
     }
--- a/packages/order-capacity/src/service-plan.ts
+++ b/packages/order-capacity/src/service-plan.ts
@@ -54,7 +54,7 @@
   private need = INITIAL_STATE;
   private runs = INITIAL_STATE;
   private startedAtMs: Millis | undefined;
-  private readMsPerToken: number | undefined;
+  private prefillMsPerToken: number | undefined;
   private isLoadKnown = false;
   /** Highest target counts seen in each failure domain, until the load is known. */
   private readonly highestCounts = new Map<string, TargetCounts>();
@@ -89,17 +89,17 @@
   private updateLoadKnown({ demand, now }: PlanInputs): void {
     this.startedAtMs ??= now;
     this.isLoadKnown ||=
-      this.readMsPerToken !== undefined &&
+      this.prefillMsPerToken !== undefined &&
       (demand?.observedSeconds ?? 0) >= FORECAST_WINDOW_SECONDS &&
       now - this.startedAtMs >= SCALE_DOWN_DELAY_MS;
   }
 
   /** Returns the forecast prompt tokens per second and updates the planned need. */
   private forecast({ demand, engine, now }: PlanInputs): number {
-    this.readMsPerToken = demand?.prefillMsPerToken ?? this.readMsPerToken;
+    this.prefillMsPerToken = demand?.prefillMsPerToken ?? this.prefillMsPerToken;
     if (
       demand === undefined ||
-      this.readMsPerToken === undefined ||
+      this.prefillMsPerToken === undefined ||
       demand.observedSeconds < MIN_OBSERVED_SECONDS
     ) {
       return 0;
@@ -109,7 +109,7 @@
     const need = estimateTargetNeed(
       { promptTokensPerSecond: forecast, runs: demand.runs },
       {
-        prefillMsPerToken: this.readMsPerToken,
+        prefillMsPerToken: this.prefillMsPerToken,
         tokensPerRun: demand.tokensPerRun * (1 + GENERATED_TOKEN_SHARE),
       },
       engine,
--- a/packages/run-roll-outs/src/fleet.fixture.ts
+++ b/packages/run-roll-outs/src/fleet.fixture.ts
@@ -130,7 +130,7 @@
     }
   }
 
-  async play(): Promise<SimulationResult> {
+  async run(): Promise<SimulationResult> {
     const before = this.targets.filter(({ version }) => version === 'v1');
     for (const vm of this.vms) {
       vm.isReady = true;
@@ -396,7 +396,7 @@
 
 /** Simulates one order. */
 export function simulateRollOut(plan: SimulationPlan): Promise<SimulationResult> {
-  return new FleetSimulation(plan).play();
+  return new FleetSimulation(plan).run();
 }
 
 /** Returns the rules that a simulation violated. */
--- a/packages/run-roll-outs/src/version-table.ts
+++ b/packages/run-roll-outs/src/version-table.ts
@@ -97,19 +97,19 @@
   ): void {
     const known = this.services.get(service);
     const activeFromMs = activateVersions(known?.activeFromMs ?? new Map(), present, order, now);
-    const isPlain = order === undefined && agreed === undefined && present.size <= 1;
-    const ordered = new Set(known?.everOrdered);
+    const hasSingleVersion = order === undefined && agreed === undefined && present.size <= 1;
+    const everOrdered = new Set(known?.everOrdered);
     if (order !== undefined) {
-      ordered.add(order.order.version);
+      everOrdered.add(order.order.version);
     }
     const endedAtMs = hasEnded(order, agreed) ? (known?.endedAtMs ?? now) : undefined;
     this.services.set(service, {
       order,
       agreed,
-      activeFromMs: activeFromMs,
-      everOrdered: ordered,
+      activeFromMs,
+      everOrdered,
       endedAtMs,
-      hasSingleVersion: isPlain,
+      hasSingleVersion,
     });
   }
 
