--- a/packages/gateway/src/capacity.test.ts
+++ b/packages/gateway/src/capacity-component.test.ts
@@ -6,8 +6,8 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import createCapacity from './capacity.js';
-import type { FleetPartContext } from './fleet-part.js';
+import createCapacityComponent from './capacity-component.js';
+import type { FleetComponentContext } from './fleet-component.js';
 
 const SCALING = { min: 1, max: 9, bootMs: 4_000, domainPrices: {} };
 const TARGET = { id: 't', service: 's' } as ServiceTarget;
@@ -27,8 +27,8 @@
       routes: { listServices: () => services, findService: () => services[0] },
     },
     readExchange: () => ({ reportToCandidates: (report: unknown) => void reports.push(report) }),
-  } as unknown as FleetPartContext;
-  const part = createCapacity(context, {
+  } as unknown as FleetComponentContext;
+  const part = createCapacityComponent(context, {
     duties: { callsPerSecond: 9 } as never,
     duty: { holder: 'vm1', permit: () => undefined, noteOutdated: () => undefined },
     dutyPlatform: {
--- a/packages/gateway/src/capacity.ts
+++ b/packages/gateway/src/capacity-component.ts
@@ -5,27 +5,27 @@
 import type { DutyPlatform } from '@limelead/ports';
 import type { PeerReport } from '@limelead/share-evidence';
 import type { Millis } from '@limelead/types';
-import type { FleetPart, FleetPartContext } from './fleet-part.js';
+import type { FleetComponent, FleetComponentContext } from './fleet-component.js';
 import type { DutySettings } from './settings.js';
 
 /** Pause between two reports of this VM's load, in milliseconds; forecasts look at seconds. */
-const REPORT_MS = 1_000;
+const REPORT_INTERVAL_MS = 1_000;
 
 /** What only a fleet with the duty has. */
-export interface CapacityOptions {
+export interface CapacityComponentOptions {
   duties: DutySettings;
   duty: Duty;
   dutyPlatform: DutyPlatform;
 }
 
 /** Creates the part. */
-export default function createCapacity(
-  context: FleetPartContext,
-  { duties, duty, dutyPlatform }: CapacityOptions,
-): FleetPart {
-  const { settings, clock, timers, log, metrics, directory, knowledge } = context;
+export default function createCapacityComponent(
+  context: FleetComponentContext,
+  { duties, duty, dutyPlatform }: CapacityComponentOptions,
+): FleetComponent {
+  const { settings, clock, timers, log, metrics, directory, storeView } = context;
   const demand = new DemandBook();
-  const counts = new DemandCounts(context);
+  const counts = new DemandCounter(context);
   const ordering = new CapacityDuty({
     duty,
     platform: dutyPlatform,
@@ -36,14 +36,14 @@
     settings: settings.capacity,
     callsPerSecond: duties.callsPerSecond,
     demand,
-    listServices: () => knowledge.routes?.listServices() ?? [],
+    listServices: () => storeView.routes?.listServices() ?? [],
     listTargets: (service) =>
       directory.all().flatMap(({ target }) => (target.service === service ? [target] : [])),
   });
 
   function tell(): void {
-    timers.after(REPORT_MS, () => {
-      const report = counts.report();
+    timers.after(REPORT_INTERVAL_MS, () => {
+      const report = counts.createReport();
       if (report !== undefined) {
         demand.take(settings.vm, report, clock.now());
         context.readExchange()?.reportToCandidates(report);
@@ -72,16 +72,16 @@
   /** Where it is counted, also after its service is no longer there. */
   counts: ServiceDemand;
   /** Sends of it that targets began. */
-  begun: number;
+  startedAttempts: number;
 }
 
 /** Counts the requests of this VM for services whose targets are ordered. */
-class DemandCounts {
+class DemandCounter {
   private readonly incarnation: string;
   private readonly services = new Map<string, ServiceDemand>();
   private readonly requests = new Map<object, CountedRequest>();
 
-  constructor(private readonly context: FleetPartContext) {
+  constructor(private readonly context: FleetComponentContext) {
     this.incarnation = `${context.settings.vm} ${context.random.next()}`;
   }
 
@@ -89,7 +89,7 @@
     onAdmitted: (admitted) => {
       const counts = this.countsOf(admitted.service);
       if (counts !== undefined) {
-        this.requests.set(admitted, { counts, begun: 0 });
+        this.requests.set(admitted, { counts, startedAttempts: 0 });
         counts.arrived += 1;
         counts.promptTokens += admitted.request.promptTokens;
         counts.waiting += 1;
@@ -100,30 +100,30 @@
       if (counted === undefined) {
         return;
       }
-      counted.begun += 1;
-      if (counted.begun === 1) {
+      counted.startedAttempts += 1;
+      if (counted.startedAttempts === 1) {
         counted.counts.waiting -= 1;
         counted.counts.running += 1;
       }
     },
     onSendEnded: (admitted, _, { isGood, afterMs }) => {
       // A run that goes on elsewhere reads little or nothing of its prompt.
-      if (isGood && this.requests.get(admitted)?.begun === 1) {
-        this.countPace(admitted, afterMs);
+      if (isGood && this.requests.get(admitted)?.startedAttempts === 1) {
+        this.recordPromptPace(admitted, afterMs);
       }
     },
     onFinished: (admitted) => {
       const counted = this.requests.get(admitted);
       if (counted !== undefined) {
         this.requests.delete(admitted);
-        counted.counts[counted.begun > 0 ? 'running' : 'waiting'] -= 1;
+        counted.counts[counted.startedAttempts > 0 ? 'running' : 'waiting'] -= 1;
       }
     },
   };
 
   /** Undefined where this system orders no targets. */
-  report(): Extract<PeerReport, { kind: 'demand' }> | undefined {
-    const services = this.scaled().flatMap(({ name }) => {
+  createReport(): Extract<PeerReport, { kind: 'demand' }> | undefined {
+    const services = this.listScaledServices().flatMap(({ name }) => {
       const counts = this.countsOf(name);
       // Counts go on while the report is kept or on its way.
       return counts === undefined ? [] : [{ ...counts }];
@@ -133,7 +133,7 @@
       : { kind: 'demand', incarnation: this.incarnation, services };
   }
 
-  private countPace({ service, request }: AdmittedRequest, afterMs: Millis): void {
+  private recordPromptPace({ service, request }: AdmittedRequest, afterMs: Millis): void {
     const counts = this.countsOf(service);
     if (counts !== undefined && request.lastPiece === 0) {
       counts.begunTokens += request.promptTokens;
@@ -141,13 +141,13 @@
     }
   }
 
-  private scaled() {
-    const services = this.context.knowledge.routes?.listServices() ?? [];
+  private listScaledServices() {
+    const services = this.context.storeView.routes?.listServices() ?? [];
     return services.filter(({ scaling }) => scaling !== undefined);
   }
 
   private countsOf(service: string): ServiceDemand | undefined {
-    if (this.context.knowledge.routes?.findService(service)?.scaling === undefined) {
+    if (this.context.storeView.routes?.findService(service)?.scaling === undefined) {
       return undefined;
     }
     const counts = this.services.get(service) ?? {
--- a/packages/gateway/src/target-ends.ts
+++ b/packages/gateway/src/crash-detector.ts
@@ -8,10 +8,10 @@
  * Time for a target to answer, in milliseconds. One whose program ended refuses the connection
  * within the time of the way; the request that waits for the answer is in the meantime held.
  */
-const ANSWER_MS = 250;
+const PROBE_TIMEOUT_MS = 250;
 
 /** What telling needs. */
-export interface TargetEndsOptions {
+export interface CrashDetectorOptions {
   timers: Timers;
   directory: TargetDirectory;
   connections: TargetConnections;
@@ -19,39 +19,39 @@
 }
 
 /** Looks at what is known of a target, and asks it where that does not decide. */
-export default class TargetEnds {
+export default class CrashDetector {
   /** Questions under way, by target: many runs break on one at the same moment. */
-  private readonly asked = new Map<string, Promise<boolean>>();
+  private readonly pendingProbes = new Map<string, Promise<boolean>>();
 
-  constructor(private readonly options: TargetEndsOptions) {}
+  constructor(private readonly options: CrashDetectorOptions) {}
 
   /** Whether any answer came from that incarnation since then; steady time. */
-  wasHeardSince(id: string, sinceMs: Millis): boolean {
+  hasAnsweredSince(id: string, sinceMs: Millis): boolean {
     return (this.options.directory.get(id)?.evidence.heardAtMs ?? 0) > sinceMs;
   }
 
   /** Whether the incarnation on which a run broke then is over. */
-  hasEnded(id: string, brokeAtMs: Millis): Promise<boolean> {
+  hasCrashed(id: string, brokeAtMs: Millis): Promise<boolean> {
     const target = this.options.directory.get(id)?.target;
     if (target === undefined) {
       return Promise.resolve(true);
     }
-    if (this.wasHeardSince(id, brokeAtMs)) {
+    if (this.hasAnsweredSince(id, brokeAtMs)) {
       return Promise.resolve(false);
     }
-    const asked = this.asked.get(id);
+    const asked = this.pendingProbes.get(id);
     if (asked !== undefined) {
       return asked;
     }
     const { connections, timers, dialect } = this.options;
     const answer = askTarget(
-      { connections, timers, timeoutMs: ANSWER_MS },
+      { connections, timers, timeoutMs: PROBE_TIMEOUT_MS },
       target,
       dialect.composeProbe(target),
     )
       .then((body) => body === undefined)
-      .finally(() => this.asked.delete(id));
-    this.asked.set(id, answer);
+      .finally(() => this.pendingProbes.delete(id));
+    this.pendingProbes.set(id, answer);
     return answer;
   }
 }
--- a/packages/gateway/src/create-backpressure.ts
+++ b/packages/gateway/src/create-backpressure.ts
@@ -1,7 +1,7 @@
 /** Connects backpressure to the target directory and to the exchange with peers. */
 import { Backpressure } from '@limelead/track-backpressure';
 import { backgroundTimers } from '@limelead/types';
-import type { FleetPartContext } from './fleet-part.js';
+import type { FleetComponentContext } from './fleet-component.js';
 
 /** Creates the backpressure of one VM. */
 export default function createBackpressure({
@@ -11,7 +11,7 @@
   metrics,
   directory,
   readExchange,
-}: FleetPartContext): Backpressure {
+}: FleetComponentContext): Backpressure {
   return new Backpressure({
     ...{ clock, timers: backgroundTimers, random, log, metrics },
     isListed: (target) => directory.get(target) !== undefined,
--- a/packages/gateway/src/create-exchange.ts
+++ b/packages/gateway/src/create-exchange.ts
@@ -14,37 +14,37 @@
 import type { IncomingMessage } from 'node:http';
 import type EngineLoad from './engine-load.js';
 import formatAddress from './format-address.js';
-import type Knowledge from './knowledge.js';
+import type StoreView from './store-view.js';
 import type { GatewaySettings } from './settings.js';
 import TargetScheduler from './target-scheduler.js';
 
 /** What the conversation is about. */
-export interface ExchangeParts {
+export interface ExchangeDependencies {
   settings: GatewaySettings;
   clock: Clock;
   log: DecisionLog;
   directory: TargetDirectory;
   locality: Locality;
-  knowledge: Knowledge;
+  storeView: StoreView;
   follower: StoreFollower;
   engineLoad: EngineLoad;
-  retries: RetryBudgets;
+  retryBudgets: RetryBudgets;
   guard: RequestGuard;
   permits: SendPermits;
   backpressure: Backpressure;
   gate: TargetGate;
   storeAddress: string;
-  onStranger(peer: PeerId): void;
+  onPeerOfOtherStore(peer: PeerId): void;
   onFault(): void;
   onMisdirected(message: IncomingMessage): void;
-  onRepeats(service: string, repeats: number): void;
+  onBorrowedRetries(service: string, repeats: number): void;
   onReport(peer: PeerId, report: PeerReport): void;
 }
 
 /** Creates the conversation; undefined where this VM has no address for peers. */
-export default function createExchange(parts: ExchangeParts): EvidenceExchange | undefined {
-  const { settings, clock, log, directory, locality, knowledge } = parts;
-  const { follower, engineLoad, retries } = parts;
+export default function createExchange(parts: ExchangeDependencies): EvidenceExchange | undefined {
+  const { settings, clock, log, directory, locality, storeView } = parts;
+  const { follower, engineLoad, retryBudgets } = parts;
   const { failureDomain, peers, seeds } = settings;
   if (peers === undefined) {
     return undefined;
@@ -66,17 +66,17 @@
     random: systemRandom,
     log,
     readKnowledge: () => ({
-      revision: knowledge.revision,
-      configuration: knowledge.routes?.version ?? 0,
-      configurationBytes: knowledge.configurationBytes,
+      revision: storeView.revision,
+      configuration: storeView.routes?.version ?? 0,
+      configurationBytes: storeView.configurationBytes,
       isInTouch: follower.isInTouch,
       isStoreAway: follower.isStoreAway,
     }),
-    readMarks: () => knowledge.readMarks(),
-    onStranger: parts.onStranger,
+    readMarks: () => storeView.listFingerprints(),
+    onStranger: parts.onPeerOfOtherStore,
     onFault: parts.onFault,
     onMisdirected: parts.onMisdirected,
-    readUpdate: (since) => knowledge.readUpdate(since),
+    readUpdate: (since) => storeView.createUpdate(since),
     readLoad: () => engineLoad.read(),
     onLoad: (peer, load) => directory.takePeerLoad(peer, load),
     adviseTarget: (peer, question) => scheduler.advise(peer, question),
@@ -89,9 +89,9 @@
     onLeaving: (facts, peer) => parts.backpressure.onPeerUpdate(peer, facts),
     onPermits: (message, peer) => parts.permits.hear(peer, message),
     onPermitPeerLost: (peer) => parts.permits.onPeerLost(peer),
-    lendRepeats: (service, wanted) => retries.lend(service, wanted),
-    onRepeats: parts.onRepeats,
+    lendRepeats: (service, wanted) => retryBudgets.lend(service, wanted),
+    onRepeats: parts.onBorrowedRetries,
     onReport: parts.onReport,
-    onUpdate: (update, peer) => knowledge.takePeerUpdate(update, peer),
+    onUpdate: (update, peer) => storeView.applyPeerUpdate(update, peer),
   });
 }
--- a/packages/gateway/src/create-permits.ts
+++ b/packages/gateway/src/create-permits.ts
@@ -1,6 +1,6 @@
 /** Joins the permits to send with the targets that are known and the conversation with peers. */
 import { SendPermits } from '@limelead/permit-sends';
-import type { FleetPartContext } from './fleet-part.js';
+import type { FleetComponentContext } from './fleet-component.js';
 
 /** A VM that has no address for peers grants its permits itself. */
 const ALONE = 'this VM';
@@ -14,7 +14,7 @@
   metrics,
   directory,
   readExchange,
-}: FleetPartContext): SendPermits {
+}: FleetComponentContext): SendPermits {
   const readFleet = () => readExchange()?.permits;
   return new SendPermits({
     ...{ clock, timers, random, log, metrics },
--- a/packages/gateway/src/duty-part.ts
+++ b/packages/gateway/src/duty-component.ts
@@ -2,16 +2,16 @@
 import { ConditionalSeat, DutyKeeper, HeldDuty, type Duty } from '@limelead/hold-duty';
 import { systemClock } from '@limelead/types';
 import { randomUUID } from 'node:crypto';
-import type { FleetPart, FleetPartContext } from './fleet-part.js';
+import type { FleetComponent, FleetComponentContext } from './fleet-component.js';
 import formatAddress from './format-address.js';
-import { DUTY_KEY } from './own-keys.js';
+import { DUTY_KEY } from './store-keys.js';
 import type { DutySettings } from './settings.js';
 
 /**
  * Time from the start until a VM stands, in milliseconds. By then it was named all
  * others; before, each VM of a fleet that starts would think itself the only candidate.
  */
-const STAND_AFTER_MS = 2_500;
+const CANDIDACY_DELAY_MS = 2_500;
 /**
  * Part of a lease that is left unused, in milliseconds. Clocks run alike to a thousandth, 3 ms
  * of a lease; the rest is for a busy process, whose call leaves some time behind the check.
@@ -19,20 +19,20 @@
 const LEASE_MARGIN_MS = 200;
 
 /** A part, and the duty that it holds or does not. */
-export interface DutyPart extends FleetPart {
+export interface DutyComponent extends FleetComponent {
   duty: Duty;
   /** This VM can't carry the duty out; it gives it up where others stand. */
-  stepAside(): void;
+  yieldDuty(): void;
 }
 
 /**
  * Creates the part. One lease covers all duties of a key, so that one VM does all of them.
  */
-export default function createDutyPart(
-  context: FleetPartContext,
+export default function createDutyComponent(
+  context: FleetComponentContext,
   { leaseMs, key = DUTY_KEY }: Pick<DutySettings, 'leaseMs'> & { key?: string },
-): DutyPart {
-  const { settings, platform, clock, timers, random, log, metrics, knowledge } = context;
+): DutyComponent {
+  const { settings, platform, clock, timers, random, log, metrics, storeView } = context;
   const startedAtMs = clock.now();
   const duty = new HeldDuty({
     holder: settings.vm,
@@ -55,7 +55,7 @@
   });
   const readPlace = (): number | undefined => {
     const candidates = context.readExchange()?.dutyCandidates;
-    if (clock.now() - startedAtMs < STAND_AFTER_MS) {
+    if (clock.now() - startedAtMs < CANDIDACY_DELAY_MS) {
       return undefined;
     }
     if (candidates === undefined || settings.peers === undefined) {
@@ -81,14 +81,14 @@
     ttlMs: leaseMs,
     readPlace,
     readCutOffSinceMs: () => context.readExchange()?.cutOffSinceMs,
-    isTaken: () => (knowledge.revision > 0 ? knowledge.has(key) : undefined),
+    isTaken: () => (storeView.revision > 0 ? storeView.has(key) : undefined),
     onFault: (step, { reason, sent, message }) =>
       log.write('duty-call-failed', { step, reason, sent, message }),
   });
   metrics.gauge('limelead_duty_held', () => (duty.sentAtMs === undefined ? 0 : 1));
   return {
     duty,
-    stepAside() {
+    yieldDuty() {
       const others = context.readExchange()?.linkedCandidates ?? [];
       if (others.length > 0) {
         log.write('duty-left-to-others', { candidates: others.map(({ peer }) => peer) });
--- a/packages/gateway/src/engine-load.ts
+++ b/packages/gateway/src/engine-load.ts
@@ -35,7 +35,7 @@
   }
 
   /** This VM's work at a target changed. */
-  note({ target }: TrackedServiceTarget): void {
+  onTargetLoadChange({ target }: TrackedServiceTarget): void {
     if (this.options.isEngine(target.service)) {
       this.options.onChange();
     }
--- a/packages/gateway/src/fleet-part.ts
+++ b/packages/gateway/src/fleet-component.ts
@@ -6,11 +6,11 @@
 import type { TargetDirectory } from '@limelead/track-service-targets';
 import type { Clock, Millis, Random, Timers } from '@limelead/types';
 import type { GatewayPlatform } from './gateway.js';
-import type Knowledge from './knowledge.js';
+import type StoreView from './store-view.js';
 import type { GatewaySettings } from './settings.js';
 
 /** What every part may use. */
-export interface FleetPartContext {
+export interface FleetComponentContext {
   settings: GatewaySettings;
   platform: GatewayPlatform;
   /** Steady; for spans of time. */
@@ -20,21 +20,21 @@
   log: DecisionLog;
   metrics: Metrics;
   directory: TargetDirectory;
-  knowledge: Knowledge;
+  storeView: StoreView;
   /** Time since the store confirmed what this VM knows, in milliseconds. */
-  readKnowledgeAgeMs(): Millis;
+  readStoreViewAgeMs(): Millis;
   /** The conversation with peers; undefined before the gateway is made, and without peers. */
   readExchange(): EvidenceExchange | undefined;
 }
 
 /** One part. */
-export interface FleetPart {
+export interface FleetComponent {
   /** What it has to be told of each request. */
   observer?: TrafficObserver;
   /** Decides which targets may take a request; one part at most has one. */
   gate?: TargetGate;
   /** What is known of the store changed. */
-  onKnowledge?(): void;
+  onStoreViewChange?(): void;
   /** A peer gave a report, which may be of a kind that this part does not read. */
   onReport?(peer: PeerId, report: PeerReport): void;
   /** The gateway listens, and begins to learn what there is to know. */
@@ -42,5 +42,5 @@
   /** A planned stop began; resolves when another VM may go on with what this one did alone. */
   handOver(): Promise<void>;
   /** All requests are over, and links to peers are about to end. */
-  leave?(): void;
+  onDrained?(): void;
 }
--- a/packages/gateway/src/follower-events.ts
+++ b/packages/gateway/src/follower-events.ts
@@ -5,22 +5,22 @@
 import type { Metrics } from '@limelead/metrics';
 import type { EvidenceExchange } from '@limelead/share-evidence';
 import type { Millis } from '@limelead/types';
-import type Knowledge from './knowledge.js';
+import type StoreView from './store-view.js';
 
 /** What the events need. */
 export interface FollowerEventsOptions {
   log: DecisionLog;
   metrics: Metrics;
-  knowledge: Knowledge;
+  storeView: StoreView;
   /** Undefined where this VM has no address for peers. */
   readExchange(): EvidenceExchange | undefined;
   /** Time since the store last confirmed what this VM knows, in milliseconds. */
-  readKnowledgeAgeMs(): Millis;
+  readStoreViewAgeMs(): Millis;
 }
 
 /** Writes each event, and passes on what it means for knowledge and peers. */
 export default function createFollowerEvents(options: FollowerEventsOptions): StoreFollowerEvents {
-  const { log, metrics, knowledge, readExchange, readKnowledgeAgeMs } = options;
+  const { log, metrics, storeView, readExchange, readStoreViewAgeMs } = options;
   const noteSkipped = (rows = 0): void => {
     if (rows > 0) {
       log.write('store-rows-skipped', { rows });
@@ -30,22 +30,22 @@
     onList(list) {
       noteSkipped(list.skipped);
       log.write('store-listed', { items: list.items.length, revision: list.revision });
-      knowledge.takeList(list);
+      storeView.applyList(list);
       readExchange()?.noteStoreAnswered();
     },
     onChanges(changes) {
       noteSkipped(changes.skipped);
-      knowledge.takeChanges(changes);
+      storeView.applyChanges(changes);
       readExchange()?.noteStoreAnswered();
     },
     onBehind({ known, revision }) {
       log.write('store-behind', { known, revision });
-      knowledge.forgetAll('store-behind', revision);
+      storeView.reset('store-behind', revision);
     },
     onLost(fault) {
       metrics.count('limelead_store_lost_total', 1, { fault });
-      log.write('store-lost', { fault, knowledgeAgeMs: readKnowledgeAgeMs() });
-      knowledge.noteStoreLost(readExchange()?.storeConfirmedAtMs);
+      log.write('store-lost', { fault, knowledgeAgeMs: readStoreViewAgeMs() });
+      storeView.onStoreLost(readExchange()?.storeConfirmedAtMs);
     },
     onCallFailed({ afterMs, pauseMs, ...failure }) {
       log.write('store-call-failed', {
@@ -60,7 +60,7 @@
     },
     onRegained({ awayMs, failures }) {
       log.write('store-regained', { awayMs: Math.round(awayMs), failures });
-      knowledge.noteStoreRegained();
+      storeView.onStoreRegained();
     },
     onFollowing(isFollowing) {
       log.write('store-following', { isFollowing, vms: readExchange()?.vmCount });
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -35,15 +35,15 @@
 import type { IncomingMessage, Server } from 'node:http';
 import createBackpressure from './create-backpressure.js';
 import createExchange from './create-exchange.js';
-import createFleetParts from './create-fleet-parts.js';
+import createFleetComponents from './create-fleet-components.js';
 import createPermits from './create-permits.js';
 import EngineLoad from './engine-load.js';
-import type { FleetPart, FleetPartContext } from './fleet-part.js';
+import type { FleetComponent, FleetComponentContext } from './fleet-component.js';
 import createFollowerEvents from './follower-events.js';
-import Knowledge, { type StoreDialect } from './knowledge.js';
+import StoreView, { type StoreDialect } from './store-view.js';
 import formatAddress from './format-address.js';
-import listenUntilFree from './listen-until-free.js';
-import createQuarantinePart, { type QuarantinePart } from './quarantine-part.js';
+import listenWithRetry from './listen-with-retry.js';
+import createQuarantineComponent, { type QuarantineComponent } from './quarantine-component.js';
 import { startMetricsServer, startReadinessServer } from './readiness-server.js';
 import type { GatewaySettings } from './settings.js';
 
@@ -58,19 +58,19 @@
  */
 const MAX_IDLE_CONNECTIONS = 4;
 /** VMs assumed to share the retry budget while nobody told of more: the smallest site's. */
-const LEAST_VMS = 6;
+const MIN_VMS = 6;
 /**
  * Time for the balancer to notice that this VM is not ready any more, in
  * milliseconds: it asks once a second and takes a VM out at the second miss.
  */
-const LEAVE_BALANCER_MS = 2_500;
+const BALANCER_REMOVAL_MS = 2_500;
 /** Part of the grace that is kept for closing connections and writing the last lines. */
 const STOP_RESERVE_MS = 150;
 /** Pause between two looks whether anything is still under way, in milliseconds. */
-const STOP_CHECK_MS = 50;
+const STOP_CHECK_INTERVAL_MS = 50;
 
 /** What this VM listens for. */
-type Door = 'front-door' | 'readiness' | 'metrics' | 'peers';
+type Listener = 'front-door' | 'readiness' | 'metrics' | 'peers';
 
 /** What a gateway needs from the platform. */
 export interface GatewayPlatform {
@@ -91,24 +91,24 @@
 /** Runs one process. */
 export default class Gateway {
   readonly log: DecisionLog;
-  private readonly noteMisdirected: LimitedLines;
+  private readonly logMisdirected: LimitedLines;
   private readonly metrics: Metrics = createMetrics();
   private readonly directory: TargetDirectory;
   private readonly locality: Locality;
   private readonly connections: TargetConnections;
-  private readonly knowledge: Knowledge;
+  private readonly storeView: StoreView;
   private readonly follower: StoreFollower;
   /** Undefined where this VM has no address for peers. */
   private readonly exchange: EvidenceExchange | undefined;
   private readonly frontDoor: HttpFrontDoor;
   private readonly pace: TargetPace;
   private readonly engineLoad: EngineLoad;
-  private readonly retries: RetryBudgets;
+  private readonly retryBudgets: RetryBudgets;
   /** Parts that look at the whole fleet; those that nothing asks for are not there. */
-  private readonly parts: FleetPart[];
+  private readonly components: FleetComponent[];
   private readonly permits: SendPermits;
   private readonly backpressure: Backpressure;
-  private readonly quarantine: QuarantinePart;
+  private readonly quarantine: QuarantineComponent;
   private readonly servers: Server[] = [];
   private isStopping = false;
 
@@ -117,18 +117,18 @@
     private readonly platform: GatewayPlatform,
   ) {
     this.log = createDecisionLog({ vm: settings.vm, clock: steadyClock });
-    this.noteMisdirected = createLineLimit(this.log, steadyClock, 'request-misdirected');
+    this.logMisdirected = createLineLimit(this.log, steadyClock, 'request-misdirected');
     this.locality = createLocality({ ...settings, prices: settings.localityPrices });
-    this.retries = new RetryBudgets({
+    this.retryBudgets = new RetryBudgets({
       budget: settings.retryBudget,
       clock: steadyClock,
       countVms: () => this.countVms(),
       onShort: (service) => this.exchange?.wantRepeats(service),
     });
     this.directory = new TargetDirectory(steadyClock, {
-      onNotice: (notice) => this.onNotice(notice),
+      onNotice: (notice) => this.onTargetNotice(notice),
       onLost: (id, loss) => this.exchange?.noteLost(id, loss),
-      onLoad: (tracked) => this.engineLoad.note(tracked),
+      onLoad: (tracked) => this.engineLoad.onTargetLoadChange(tracked),
       hasAnnouncedLeaving: (id) => this.backpressure.isLeaving(id),
     });
     this.pace = new TargetPace((id, slowness) => {
@@ -138,7 +138,7 @@
     this.engineLoad = new EngineLoad({
       directory: this.directory,
       pace: this.pace,
-      isEngine: (service) => this.knowledge.routes?.findService(service)?.engine !== undefined,
+      isEngine: (service) => this.storeView.routes?.findService(service)?.engine !== undefined,
       onChange: () => this.exchange?.noteLoad(),
     });
     this.connections = new TargetConnections({
@@ -147,19 +147,19 @@
       maxIdle: MAX_IDLE_CONNECTIONS,
       onOpened: () => this.metrics.count('limelead_connections_opened_total'),
     });
-    this.knowledge = new Knowledge({
+    this.storeView = new StoreView({
       clock: steadyClock,
       timers: systemTimers,
       log: this.log,
       leavingTargetMs: settings.leavingTargetMs,
       directory: this.directory,
       dialect: platform.storeDialect,
-      readAgeMs: () => this.knowledgeAgeMs,
+      readAgeMs: () => this.storeViewAgeMs,
       onConfiguration: (table) => this.frontDoor.applyLimits(table.limits),
-      onForgotten: () => this.exchange?.forgetStore(),
-      onChange: () => this.onKnowledge(),
+      onReset: () => this.exchange?.forgetStore(),
+      onChange: () => this.onStoreViewChange(),
     });
-    const partContext: FleetPartContext = {
+    const partContext: FleetComponentContext = {
       settings,
       platform,
       clock: steadyClock,
@@ -168,17 +168,17 @@
       log: this.log,
       metrics: this.metrics,
       directory: this.directory,
-      knowledge: this.knowledge,
-      readKnowledgeAgeMs: () => this.knowledgeAgeMs,
+      storeView: this.storeView,
+      readStoreViewAgeMs: () => this.storeViewAgeMs,
       readExchange: () => this.exchange,
     };
     this.permits = createPermits(partContext);
     this.backpressure = createBackpressure(partContext);
-    this.quarantine = createQuarantinePart(partContext, {
+    this.quarantine = createQuarantineComponent(partContext, {
       connections: this.connections,
       countVms: () => this.countVms(),
     });
-    this.parts = [this.quarantine, ...createFleetParts(partContext)];
+    this.components = [this.quarantine, ...createFleetComponents(partContext)];
     this.frontDoor = new HttpFrontDoor({
       ...settings.frontDoor,
       context: this.createContext(),
@@ -187,7 +187,7 @@
     this.metrics.gauge('limelead_requests_under_way', () => this.frontDoor.underWay);
     this.metrics.gauge('limelead_held_body_bytes', () => this.frontDoor.heldBodyBytes);
     this.metrics.gauge('limelead_log_lines_dropped', () => this.log.dropped);
-    this.metrics.gauge('limelead_store_knowledge_age_ms', () => this.knowledgeAgeMs);
+    this.metrics.gauge('limelead_store_knowledge_age_ms', () => this.storeViewAgeMs);
     this.follower = this.createFollower();
     this.exchange = createExchange({
       settings,
@@ -195,10 +195,10 @@
       log: this.log,
       directory: this.directory,
       locality: this.locality,
-      knowledge: this.knowledge,
+      storeView: this.storeView,
       follower: this.follower,
       engineLoad: this.engineLoad,
-      retries: this.retries,
+      retryBudgets: this.retryBudgets,
       guard: this.quarantine.guard,
       permits: this.permits,
       backpressure: this.backpressure,
@@ -206,9 +206,9 @@
       storeAddress: platform.storeAddress,
       onMisdirected: (message) => this.onMisdirected('peers', message),
       onFault: () => this.metrics.count('limelead_faults_total', 1, { boundary: 'peer' }),
-      onStranger: () => this.metrics.count('limelead_strangers_total'),
-      onRepeats: (service, repeats) => this.onRepeats(service, repeats),
-      onReport: (peer, report) => this.parts.forEach((part) => part.onReport?.(peer, report)),
+      onPeerOfOtherStore: () => this.metrics.count('limelead_strangers_total'),
+      onBorrowedRetries: (service, repeats) => this.onBorrowedRetries(service, repeats),
+      onReport: (peer, report) => this.components.forEach((part) => part.onReport?.(peer, report)),
     });
   }
 
@@ -226,11 +226,11 @@
       sinceProcessStartMs: Math.round(performance.now()),
     });
     void this.follower.run();
-    this.parts.forEach((part) => part.start());
+    this.components.forEach((part) => part.start());
   }
 
-  private listen<Listening>(door: Door, open: () => Promise<Listening>): Promise<Listening> {
-    return listenUntilFree({ log: this.log, timers: systemTimers }, door, open);
+  private listen<Listening>(door: Listener, open: () => Promise<Listening>): Promise<Listening> {
+    return listenWithRetry({ log: this.log, timers: systemTimers }, door, open);
   }
 
   private async startReadiness(): Promise<void> {
@@ -253,26 +253,26 @@
   }
 
   /** A request at a door that is not the callers'; it was told that it was not run. */
-  private onMisdirected(door: Door, { method, url, rawHeaders }: IncomingMessage): void {
+  private onMisdirected(door: Listener, { method, url, rawHeaders }: IncomingMessage): void {
     const requestId = readRequestId(this.platform.ingressDialect, rawHeaders);
     this.metrics.count('limelead_misdirected_total', 1, { door });
-    this.noteMisdirected({ door, requestId, method, path: url });
+    this.logMisdirected({ door, requestId, method, path: url });
   }
 
   /** Whether new connections are welcome. */
   get isReady(): boolean {
-    return !this.isStopping && this.knowledge.isComplete;
+    return !this.isStopping && this.storeView.isComplete;
   }
 
   /** Takes over new settings; addresses stay as they are until the next start. */
   reload(settings: GatewaySettings): void {
     this.settings = settings;
-    this.retries.change(settings.retryBudget);
+    this.retryBudgets.change(settings.retryBudget);
     this.log.write('settings-reloaded', { failureDomain: settings.failureDomain });
   }
 
   /** Keeps the last good settings. */
-  noteBadSettings(reason: string): void {
+  onInvalidSettings(reason: string): void {
     this.log.write('settings-refused', { reason });
   }
 
@@ -284,22 +284,22 @@
     this.isStopping = true;
     const startedAtMs = steadyClock.now();
     const { stopGraceMs } = this.settings;
-    const handedOver = Promise.all(this.parts.map((part) => part.handOver()));
+    const handedOver = Promise.all(this.components.map((part) => part.handOver()));
     this.log.write('stopping', { underWay: this.frontDoor.underWay, graceMs: stopGraceMs });
     this.frontDoor.beginStop(startedAtMs + stopGraceMs - STOP_RESERVE_MS);
     const elapsed = (): number => steadyClock.now() - startedAtMs;
     while (
       elapsed() < stopGraceMs - STOP_RESERVE_MS &&
-      (elapsed() < LEAVE_BALANCER_MS || this.frontDoor.underWay > 0)
+      (elapsed() < BALANCER_REMOVAL_MS || this.frontDoor.underWay > 0)
     ) {
-      await delay(systemTimers, STOP_CHECK_MS);
+      await delay(systemTimers, STOP_CHECK_INTERVAL_MS);
     }
     this.log.write('stopped', {
       underWay: this.frontDoor.underWay,
       afterMs: Math.round(elapsed()),
     });
     await handedOver;
-    this.parts.forEach((part) => part.leave?.());
+    this.components.forEach((part) => part.onDrained?.());
     this.follower.stop();
     await this.exchange?.stop();
     // Callers go first: a stream that loses its target while it has a caller is sent on.
@@ -310,7 +310,7 @@
   }
 
   private get gate(): TargetGate {
-    return this.parts.find(({ gate }) => gate !== undefined)?.gate ?? OPEN_GATE;
+    return this.components.find(({ gate }) => gate !== undefined)?.gate ?? OPEN_GATE;
   }
 
   private createContext(): ForwardContext {
@@ -334,7 +334,13 @@
       locality,
       connections,
       dialect,
-      slots: new SlotQueue({ ...shared, failureDomain, locality, limit: limitOf, permits }),
+      slots: new SlotQueue({
+        ...shared,
+        failureDomain,
+        locality,
+        limit: concurrencyLimitOf,
+        permits,
+      }),
       askTarget: (request, receive) =>
         this.exchange?.askTarget(request, receive) ?? askNobody(request, receive),
       silence: new SilenceWatch({ ...shared, connections, dialect, log }),
@@ -343,11 +349,11 @@
       kept: new KeptPrompts({ ...shared, connections, dialect, log }),
       log,
       metrics: this.metrics,
-      observer: tellAll(this.parts.flatMap(({ observer }) => observer ?? [])),
-      readTable: () => this.knowledge.routes,
-      readKnowledgeAgeMs: () => this.knowledgeAgeMs,
-      readConfigurationSource: () => this.knowledge.configurationSource,
-      retriesOf: (service) => this.retries.of(service),
+      observer: tellAll(this.components.flatMap(({ observer }) => observer ?? [])),
+      readTable: () => this.storeView.routes,
+      readKnowledgeAgeMs: () => this.storeViewAgeMs,
+      readConfigurationSource: () => this.storeView.configurationSource,
+      retriesOf: (service) => this.retryBudgets.of(service),
       countVms: () => this.countVms(),
     };
   }
@@ -363,21 +369,21 @@
       countFollowers: () => Math.max(1, this.exchange?.followerCount ?? 0),
       mustFollow: () => this.exchange?.mustFollow ?? true,
       followsForOthers: () => this.exchange?.followsForOthers ?? false,
-      readRevision: () => this.knowledge.revision,
+      readRevision: () => this.storeView.revision,
       othersTry: () => this.exchange?.othersTry ?? false,
       startWaitMs: () => this.exchange?.startWaitMs ?? 0,
       events: createFollowerEvents({
         log: this.log,
         metrics: this.metrics,
-        knowledge: this.knowledge,
+        storeView: this.storeView,
         readExchange: () => this.exchange,
-        readKnowledgeAgeMs: () => this.knowledgeAgeMs,
+        readStoreViewAgeMs: () => this.storeViewAgeMs,
       }),
     });
   }
 
   /** Milliseconds since the store last answered this VM, or one whose news came here. */
-  private get knowledgeAgeMs(): number {
+  private get storeViewAgeMs(): number {
     const newestMs = Math.max(
       this.follower.lastAnswerAtMs,
       this.exchange?.storeConfirmedAtMs ?? -Infinity,
@@ -385,23 +391,23 @@
     return Math.round(steadyClock.now() - newestMs);
   }
 
-  private onKnowledge(): void {
-    this.parts.forEach((part) => part.onKnowledge?.());
+  private onStoreViewChange(): void {
+    this.components.forEach((part) => part.onStoreViewChange?.());
     this.exchange?.noteKnowledge();
     this.frontDoor.noteKnowledge();
   }
 
   private countVms(): number {
-    return Math.max(LEAST_VMS, this.exchange?.vmCount ?? 0);
+    return Math.max(MIN_VMS, this.exchange?.vmCount ?? 0);
   }
 
-  private onRepeats(service: string, repeats: number): void {
-    this.retries.borrow(service, repeats);
+  private onBorrowedRetries(service: string, repeats: number): void {
+    this.retryBudgets.borrow(service, repeats);
     this.metrics.count('limelead_repeats_borrowed_total', repeats);
     this.log.write('repeats-borrowed', { service, repeats });
   }
 
-  private onNotice({ kind, target }: TargetNotice): void {
+  private onTargetNotice({ kind, target }: TargetNotice): void {
     this.log.write(`target-${kind}`, {
       target: target.id,
       service: target.service,
@@ -421,6 +427,6 @@
 }
 
 /** A target is sent as many requests as it runs at once. */
-function limitOf({ target }: TrackedServiceTarget): number {
+function concurrencyLimitOf({ target }: TrackedServiceTarget): number {
   return Math.max(1, target.slots);
 }
--- a/packages/gateway/src/lapsed-targets.test.ts
+++ b/packages/gateway/src/lapsed-targets.test.ts
@@ -25,12 +25,12 @@
     },
     leavingTargetMs: 2_000,
     isLeaving: (id) => leaving.includes(id),
-    onGone: (id) => told.push(id),
+    onRemoved: (id) => told.push(id),
   });
   const outage = (milliseconds: number): void => {
-    lapsed.noteStoreLost();
+    lapsed.onStoreLost();
     clock.at += milliseconds;
-    lapsed.noteStoreRegained();
+    lapsed.onStoreRegained();
   };
   return { lapsed, told, clock, outage, runTimers: () => due.splice(0).forEach((run) => run()) };
 }
@@ -62,10 +62,10 @@
 
 test('a peer that knows the store again first does not end targets either', () => {
   const { lapsed, told, clock, runTimers } = create();
-  lapsed.noteStoreLost();
+  lapsed.onStoreLost();
   clock.at += 5_000;
   assert.equal(lapsed.filter([gone('a'), gone('b')]), []);
-  lapsed.noteStoreRegained();
+  lapsed.onStoreRegained();
   assert.equal(lapsed.filter([gone('a'), put('b')]), [put('b')]);
   runTimers();
   assert.equal(told, ['a']);
@@ -79,9 +79,9 @@
     timers: { after: (milliseconds) => (waits.push(milliseconds), () => undefined) },
     leavingTargetMs: 1_000,
     isLeaving: () => false,
-    onGone: () => undefined,
+    onRemoved: () => undefined,
   });
-  lapsed.noteStoreLost();
+  lapsed.onStoreLost();
   clock.at = 3_000;
   lapsed.filter([gone('a')]);
   assert.equal(waits, [900]);
--- a/packages/gateway/src/lapsed-targets.ts
+++ b/packages/gateway/src/lapsed-targets.ts
@@ -7,11 +7,11 @@
 import type { CancelTimer, Clock, Millis, Timers } from '@limelead/types';
 
 /** An outage shorter than this lets no entry lapse, in milliseconds. */
-const LEAST_OUTAGE_MS = 2_000;
+const MIN_OUTAGE_MS = 2_000;
 /** Time in which entries that lapsed are back after the store's return, in milliseconds. */
-const LONGEST_GRACE_MS = 2_000;
+const MAX_GRACE_MS = 2_000;
 /** Part of the time in which a target that left may still get work. */
-const GRACE_SHARE = 0.9;
+const GRACE_FRACTION = 0.9;
 
 /** What holding needs. */
 export interface LapsedTargetsOptions {
@@ -22,32 +22,32 @@
   /** Whether a target is known and said that it leaves; its end is no lapse. */
   isLeaving(id: string): boolean;
   /** The entry did not come back. */
-  onGone(id: string): void;
+  onRemoved(id: string): void;
 }
 
 /** Holds back the end of targets during and right after an outage of the store. */
 export default class LapsedTargets {
   private lostAtMs: Millis | undefined;
   private graceEndsAtMs: Millis = -Infinity;
-  private readonly missing = new Map<string, CancelTimer>();
+  private readonly heldRemovals = new Map<string, CancelTimer>();
   private readonly graceMs: Millis;
 
   constructor(private readonly options: LapsedTargetsOptions) {
-    this.graceMs = Math.min(LONGEST_GRACE_MS, options.leavingTargetMs * GRACE_SHARE);
+    this.graceMs = Math.min(MAX_GRACE_MS, options.leavingTargetMs * GRACE_FRACTION);
   }
 
   /**
    * The store stopped answering this VM, which may notice it only some time after
    * the store's last answer to any VM.
    */
-  noteStoreLost(lastAnswerAtMs: Millis = -Infinity): void {
+  onStoreLost(lastAnswerAtMs: Millis = -Infinity): void {
     const now = this.options.clock.now();
     const isKnown = Number.isFinite(lastAnswerAtMs);
     this.lostAtMs ??= isKnown ? Math.min(now, lastAnswerAtMs) : now;
   }
 
   /** The store answers again. */
-  noteStoreRegained(): void {
+  onStoreRegained(): void {
     if (this.isLongOutage) {
       this.graceEndsAtMs = this.options.clock.now() + this.graceMs;
     }
@@ -56,18 +56,18 @@
 
   /** Takes changes and gives those that hold now. */
   filter(changes: TargetChange[]): TargetChange[] {
-    return changes.filter((change) => !this.holdsBack(change));
+    return changes.filter((change) => !this.shouldHold(change));
   }
 
-  private holdsBack(change: TargetChange): boolean {
+  private shouldHold(change: TargetChange): boolean {
     if (change.kind === 'put') {
-      this.forget(change.target.id);
+      this.cancelHold(change.target.id);
       return false;
     }
     const { clock, isLeaving } = this.options;
     const mayBeBack = this.isLongOutage || clock.now() < this.graceEndsAtMs;
     if (!mayBeBack || isLeaving(change.id)) {
-      this.forget(change.id);
+      this.cancelHold(change.id);
       return false;
     }
     this.hold(change.id);
@@ -77,23 +77,23 @@
   /** A peer may know the store again before this VM does. */
   private get isLongOutage(): boolean {
     const now = this.options.clock.now();
-    return this.lostAtMs !== undefined && now - this.lostAtMs >= LEAST_OUTAGE_MS;
+    return this.lostAtMs !== undefined && now - this.lostAtMs >= MIN_OUTAGE_MS;
   }
 
   /** Each entry has its own time to come back, from when it was first missing. */
   private hold(id: string): void {
-    if (this.missing.has(id)) {
+    if (this.heldRemovals.has(id)) {
       return;
     }
     const cancel = this.options.timers.after(this.graceMs, () => {
-      this.missing.delete(id);
-      this.options.onGone(id);
+      this.heldRemovals.delete(id);
+      this.options.onRemoved(id);
     });
-    this.missing.set(id, cancel);
+    this.heldRemovals.set(id, cancel);
   }
 
-  private forget(id: string): void {
-    this.missing.get(id)?.();
-    this.missing.delete(id);
+  private cancelHold(id: string): void {
+    this.heldRemovals.get(id)?.();
+    this.heldRemovals.delete(id);
   }
 }
--- a/packages/gateway/src/listen-until-free.ts
+++ b/packages/gateway/src/listen-with-retry.ts
@@ -3,14 +3,14 @@
 import { delay, type Millis, type Timers } from '@limelead/types';
 
 /** Pause between two tries; the one that holds the address may be about to end. */
-const RETRY_MS: Millis = 1_000;
+const RETRY_INTERVAL_MS: Millis = 1_000;
 
 /**
  * Tries until it listens: a process that ended for a taken address would only be started
  * again, to end again. Any other error is thrown.
  * @param door names the address in the lines
  */
-export default async function listenUntilFree<Listening>(
+export default async function listenWithRetry<Listening>(
   { log, timers }: { log: Pick<DecisionLog, 'write'>; timers: Timers },
   door: string,
   listen: () => Promise<Listening>,
@@ -22,8 +22,8 @@
       if ((thrown as NodeJS.ErrnoException).code !== 'EADDRINUSE') {
         throw thrown;
       }
-      log.write('address-taken', { door, reason: String(thrown), pauseMs: RETRY_MS });
-      await delay(timers, RETRY_MS);
+      log.write('address-taken', { door, reason: String(thrown), pauseMs: RETRY_INTERVAL_MS });
+      await delay(timers, RETRY_INTERVAL_MS);
     }
   }
 }
--- a/packages/gateway/src/quarantine-part.ts
+++ b/packages/gateway/src/quarantine-component.ts
@@ -12,82 +12,82 @@
 import type { TargetConnections } from '@limelead/target-connections';
 import type { Millis } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
-import type { FleetPart, FleetPartContext } from './fleet-part.js';
-import { quarantineKeyOf } from './own-keys.js';
-import writeQuarantine from './quarantine-item.js';
-import TargetEnds from './target-ends.js';
+import type { FleetComponent, FleetComponentContext } from './fleet-component.js';
+import { quarantineKeyOf } from './store-keys.js';
+import encodeQuarantine from './quarantine-item.js';
+import CrashDetector from './crash-detector.js';
 
 /** Time until a write that failed is tried again: the store answers in milliseconds or is away. */
-const WRITE_AGAIN_MS: Millis = 2_000;
+const WRITE_RETRY_DELAY_MS: Millis = 2_000;
 
 /** A part that also says before each send whether it may go on. */
-export interface QuarantinePart extends FleetPart {
+export interface QuarantineComponent extends FleetComponent {
   guard: RequestGuard;
 }
 
 /** What the part needs beside the context. */
-export interface QuarantinePartOptions {
+export interface QuarantineComponentOptions {
   connections: TargetConnections;
   countVms(): number;
 }
 
 /** Creates the part. Without evidence against any request it makes no calls and tells nothing. */
-export default function createQuarantinePart(
-  context: FleetPartContext,
-  options: QuarantinePartOptions,
-): QuarantinePart {
-  return new QuarantineParts(context, options);
+export default function createQuarantineComponent(
+  context: FleetComponentContext,
+  options: QuarantineComponentOptions,
+): QuarantineComponent {
+  return new QuarantineController(context, options);
 }
 
-class QuarantineParts implements QuarantinePart {
+class QuarantineController implements QuarantineComponent {
   readonly guard: RequestGuard;
   /** What the store holds, as far as this VM took it. */
-  private stored: ReadonlySet<RequestIdentity> = new Set();
-  private knownRevision = 0;
+  private storedRequests: ReadonlySet<RequestIdentity> = new Set();
+  private processedRevision = 0;
 
   constructor(
-    private readonly context: FleetPartContext,
-    { connections, countVms }: QuarantinePartOptions,
+    private readonly context: FleetComponentContext,
+    { connections, countVms }: QuarantineComponentOptions,
   ) {
     const { clock, timers, random, log, metrics, directory, platform } = context;
     const dialect = platform.targetDialect;
-    const ends = new TargetEnds({ timers, directory, connections, dialect });
+    const ends = new CrashDetector({ timers, directory, connections, dialect });
     this.guard = new RequestGuard({
       ...{ clock, timers, random, log, metrics, countVms },
-      hasEnded: (target, brokeAtMs) => ends.hasEnded(target, brokeAtMs),
-      wasHeardSince: (target, sinceMs) => ends.wasHeardSince(target, sinceMs),
+      hasEnded: (target, brokeAtMs) => ends.hasCrashed(target, brokeAtMs),
+      wasHeardSince: (target, sinceMs) => ends.hasAnsweredSince(target, sinceMs),
       tell: (news, from) => context.readExchange()?.tellGuardNews(news, from),
       onProved: (request, quarantine) =>
-        this.keep(request, quarantine, clock.now() + QUARANTINE_MS),
-      onRefuted: (request) => void this.forget(request),
+        this.storeWithRetry(request, quarantine, clock.now() + QUARANTINE_MS),
+      onRefuted: (request) => void this.remove(request),
     });
     metrics.gauge('limelead_quarantined_requests', () => this.guard.quarantined);
     metrics.gauge('limelead_requests_waiting_for_trials', () => this.guard.waiting);
   }
 
   start(): void {
-    this.onKnowledge();
+    this.onStoreViewChange();
   }
 
   /** The store may hold more, or less, than before. */
-  onKnowledge(): void {
-    const { knowledge } = this.context;
-    if (!knowledge.isComplete || knowledge.revision === this.knownRevision) {
+  onStoreViewChange(): void {
+    const { storeView } = this.context;
+    if (!storeView.isComplete || storeView.revision === this.processedRevision) {
       return;
     }
-    this.knownRevision = knowledge.revision;
-    const stored = knowledge.readQuarantines();
+    this.processedRevision = storeView.revision;
+    const stored = storeView.listQuarantines();
     for (const [request, quarantine] of stored) {
-      if (!this.stored.has(request)) {
+      if (!this.storedRequests.has(request)) {
         this.guard.quarantine(request, quarantine);
       }
     }
-    for (const request of this.stored) {
+    for (const request of this.storedRequests) {
       if (!stored.has(request)) {
         this.guard.release(request);
       }
     }
-    this.stored = new Set(stored.keys());
+    this.storedRequests = new Set(stored.keys());
   }
 
   handOver(): Promise<void> {
@@ -98,7 +98,7 @@
    * Writes it, again and again where it can't be written; resolves after the first time. The item
    * goes by itself when its lease ends.
    */
-  private async keep(
+  private async storeWithRetry(
     request: RequestIdentity,
     quarantine: Quarantine,
     untilMs: Millis,
@@ -111,8 +111,11 @@
       return;
     }
     log.write('quarantine-write-failed', { identity: request, service, reason });
-    if (clock.now() + WRITE_AGAIN_MS < untilMs) {
-      timers.after(WRITE_AGAIN_MS, () => void this.keep(request, quarantine, untilMs));
+    if (clock.now() + WRITE_RETRY_DELAY_MS < untilMs) {
+      timers.after(
+        WRITE_RETRY_DELAY_MS,
+        () => void this.storeWithRetry(request, quarantine, untilMs),
+      );
     }
   }
 
@@ -123,14 +126,14 @@
   ): Promise<string | undefined> {
     const { storeItems } = this.context.platform;
     const key = quarantineKeyOf(request);
-    if (this.context.knowledge.has(key)) {
+    if (this.context.storeView.has(key)) {
       return undefined;
     }
     const granted = await storeItems.grantLease(QUARANTINE_MS)();
     if (E.isLeft(granted)) {
       return granted.left.message;
     }
-    const value = writeQuarantine(quarantine);
+    const value = encodeQuarantine(quarantine);
     const { lease } = granted.right;
     const written = await storeItems.write(
       [{ key, revision: 0 }],
@@ -143,7 +146,7 @@
     return written.right.kind === 'lease-gone' ? 'the lease is gone' : undefined;
   }
 
-  private async forget(request: RequestIdentity): Promise<void> {
+  private async remove(request: RequestIdentity): Promise<void> {
     const { platform, log } = this.context;
     const removed = await platform.storeItems.write(
       [],
--- a/packages/gateway/src/quarantine-item.ts
+++ b/packages/gateway/src/quarantine-item.ts
@@ -10,12 +10,12 @@
 });
 
 /** The item's value. */
-export default function writeQuarantine(quarantine: Quarantine): Buffer {
+export default function encodeQuarantine(quarantine: Quarantine): Buffer {
   return Buffer.from(JSON.stringify(quarantine));
 }
 
 /** What the value says; undefined where it makes no sense. */
-export function readQuarantine(value: Buffer): Quarantine | undefined {
+export function decodeQuarantine(value: Buffer): Quarantine | undefined {
   try {
     const decoded = quarantineCodec.decode(JSON.parse(value.toString('utf8')));
     return E.isRight(decoded) ? decoded.right : undefined;
--- a/packages/gateway/src/readiness-server.ts
+++ b/packages/gateway/src/readiness-server.ts
@@ -7,14 +7,14 @@
 const NOT_READY = 503;
 
 /** Told of a request that came here and belongs elsewhere. */
-export type NoteMisdirected = (message: IncomingMessage) => void;
+export type OnMisdirected = (message: IncomingMessage) => void;
 
 /** Answers `path` with 200 while the VM is ready, else with 503. */
 export function startReadinessServer(
   address: Address,
   path: string,
   isReady: () => boolean,
-  noteMisdirected: NoteMisdirected,
+  noteMisdirected: OnMisdirected,
 ): Promise<Server> {
   const answer = (): Answer => ({ status: isReady() ? OK : NOT_READY, body: '' });
   return start(address, path, answer, noteMisdirected);
@@ -25,7 +25,7 @@
   address: Address,
   path: string,
   render: () => string,
-  noteMisdirected: NoteMisdirected,
+  noteMisdirected: OnMisdirected,
 ): Promise<Server> {
   return start(address, path, () => ({ status: OK, body: render() }), noteMisdirected);
 }
@@ -39,7 +39,7 @@
   { host, port }: Address,
   path: string,
   answer: () => Answer,
-  noteMisdirected: NoteMisdirected,
+  noteMisdirected: OnMisdirected,
 ): Promise<Server> {
   const server = createServer((request, response) => {
     if (request.url !== path) {
--- a/packages/gateway/src/removed-keys.test.ts
+++ b/packages/gateway/src/removal-history.test.ts
@@ -1,32 +1,32 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import RemovedKeys from './removed-keys.js';
+import RemovalHistory from './removal-history.js';
 
 test('what went behind a revision is listed, and nothing is known of what went before the first list', () => {
-  const removed = new RemovedKeys();
+  const removed = new RemovalHistory();
   assert.is(removed.listSince(5), undefined);
-  removed.begin(5);
-  removed.note('a', 6);
-  removed.note('b', 8);
+  removed.reset(5);
+  removed.record('a', 6);
+  removed.record('b', 8);
   assert.equal(removed.listSince(5), ['a', 'b']);
   assert.equal(removed.listSince(7), ['b']);
   assert.is(removed.listSince(4), undefined);
 });
 
 test('after a new list nothing is told of what went before it', () => {
-  const removed = new RemovedKeys();
-  removed.begin(5);
-  removed.note('a', 6);
-  removed.begin(20);
+  const removed = new RemovalHistory();
+  removed.reset(5);
+  removed.record('a', 6);
+  removed.reset(20);
   assert.is(removed.listSince(15), undefined);
   assert.equal(removed.listSince(20), []);
 });
 
 test('removals beyond the most that are remembered are known to be missing', () => {
-  const removed = new RemovedKeys();
-  removed.begin(0);
+  const removed = new RemovalHistory();
+  removed.reset(0);
   for (let revision = 1; revision <= 2_049; revision += 1) {
-    removed.note(`k${revision}`, revision);
+    removed.record(`k${revision}`, revision);
   }
   assert.is(removed.listSince(0), undefined);
   assert.is(removed.listSince(1)?.length, 2_048);
--- a/packages/gateway/src/removed-keys.ts
+++ b/packages/gateway/src/removal-history.ts
@@ -5,7 +5,7 @@
  */
 
 /** Removals that are remembered: some minutes of a fleet of thousands of targets. */
-const MOST_REMOVALS = 2_048;
+const MAX_REMOVALS = 2_048;
 
 interface Removal {
   key: string;
@@ -13,7 +13,7 @@
 }
 
 /** Remembers the last removals. */
-export default class RemovedKeys {
+export default class RemovalHistory {
   private removals: Removal[] = [];
   /** Every removal behind this revision is remembered; none before the first list. */
   private completeSince = Infinity;
@@ -22,15 +22,15 @@
    * All that is there was learnt anew at that revision. What came and went unseen before
    * it may be known to peers, so nothing earlier is told any more.
    */
-  begin(revision: number): void {
+  reset(revision: number): void {
     this.removals = [];
     this.completeSince = revision;
   }
 
   /** A key was gone by that revision. */
-  note(key: string, revision: number): void {
+  record(key: string, revision: number): void {
     this.removals.push({ key, revision });
-    if (this.removals.length > MOST_REMOVALS) {
+    if (this.removals.length > MAX_REMOVALS) {
       const forgotten = this.removals.shift();
       this.completeSince = Math.max(this.completeSince, forgotten?.revision ?? 0);
     }
--- a/packages/gateway/src/roll-outs.ts
+++ b/packages/gateway/src/roll-out-component.ts
@@ -11,23 +11,23 @@
 import type { PeerReport } from '@limelead/share-evidence';
 import type { Millis, ServiceTarget } from '@limelead/types';
 import { randomUUID } from 'node:crypto';
-import createDutyPart, { type DutyPart } from './duty-part.js';
-import type { FleetPart, FleetPartContext } from './fleet-part.js';
+import createDutyComponent, { type DutyComponent } from './duty-component.js';
+import type { FleetComponent, FleetComponentContext } from './fleet-component.js';
 import formatAddress from './format-address.js';
-import { ROLL_OUT_DUTY_KEY } from './own-keys.js';
+import { ROLL_OUT_DUTY_KEY } from './store-keys.js';
 
 /** Time between two rounds of evidence: a bad version is left within two of them and a look. */
-const ROUND_MS = 500;
+const ROUND_INTERVAL_MS = 500;
 /**
  * VMs assumed to share the slack while nobody told of more; too few would let a VM that
  * has just started take all of it.
  */
-const LEAST_VMS = 6;
+const MIN_VMS = 6;
 /** Time for which the right to write lasts without renewal: a dead writer is replaced within it. */
 const WRITER_LEASE_MS = 3_000;
 
 /** A part that also decides where requests may go. */
-export interface RollOutPart extends FleetPart {
+export interface RollOutComponent extends FleetComponent {
   gate: TargetGate;
 }
 
@@ -35,63 +35,63 @@
  * Creates the part. Without an order and with one version it makes no calls and tells peers
  * nothing; it looks at what is known once for each revision of the store.
  */
-export default function createRollOutPart(
-  context: FleetPartContext,
+export default function createRollOutComponent(
+  context: FleetComponentContext,
   duty: Duty | undefined,
-): RollOutPart {
-  return new RollOutParts(context, duty);
+): RollOutComponent {
+  return new RollOutController(context, duty);
 }
 
-class RollOutParts implements RollOutPart {
+class RollOutController implements RollOutComponent {
   readonly observer: TrafficObserver;
   readonly gate: TargetGate;
   private readonly rollOuts: RollOuts;
   private readonly incarnation = randomUUID();
   /** The right to write of this part alone, where the platform names no duties. */
-  private ownDuty: DutyPart | undefined;
-  private knownRevision = 0;
-  private mostVms = 1;
+  private ownDuty: DutyComponent | undefined;
+  private processedRevision = 0;
+  private maxVmCount = 1;
   /** When another VM last told of a roll-out. */
-  private heardAtMs: Millis = -Infinity;
-  private isRunning = false;
+  private lastReportAtMs: Millis = -Infinity;
+  private isRoundScheduled = false;
   private isStopping = false;
 
   constructor(
-    private readonly context: FleetPartContext,
+    private readonly context: FleetComponentContext,
     private readonly sharedDuty: Duty | undefined,
   ) {
     this.rollOuts = this.createRollOuts();
     this.gate = this.createGate();
     this.observer = {
       onSendEnded: (admitted, target, { isGood, afterMs }) =>
-        this.noteEnded(admitted, target, isGood, afterMs),
+        this.recordAttempt(admitted, target, isGood, afterMs),
       onSendAbandoned: (admitted, target, afterMs) =>
-        this.noteEnded(admitted, target, true, afterMs),
+        this.recordAttempt(admitted, target, true, afterMs),
     };
   }
 
   start(): void {
-    this.onKnowledge();
+    this.onStoreViewChange();
   }
 
   /** The store told something new: orders, steps and versions are read anew. */
-  onKnowledge(): void {
-    const { knowledge, directory } = this.context;
-    if (!knowledge.isComplete || knowledge.revision === this.knownRevision) {
+  onStoreViewChange(): void {
+    const { storeView, directory } = this.context;
+    if (!storeView.isComplete || storeView.revision === this.processedRevision) {
       return;
     }
-    this.knownRevision = knowledge.revision;
+    this.processedRevision = storeView.revision;
     this.rollOuts.take({
-      orders: knowledge.listRollOuts(),
-      steps: knowledge.readRollOutSteps(),
+      orders: storeView.listRollOutOrders(),
+      steps: storeView.listRollOutSteps(),
       targets: directory.all().map(({ target }) => target),
     });
-    this.run();
+    this.runRounds();
   }
 
   onReport(_peer: string, report: PeerReport): void {
     if (report.kind === 'version-evidence' || report.kind === 'version-total') {
-      this.heardAtMs = this.context.clock.now();
+      this.lastReportAtMs = this.context.clock.now();
     }
     if (report.kind === 'version-evidence') {
       this.rollOuts.hear(report.incarnation, report);
@@ -105,35 +105,35 @@
     await this.ownDuty?.handOver();
   }
 
-  private run(): void {
-    if (this.isRunning || this.isStopping || !this.rollOuts.isActive) {
+  private runRounds(): void {
+    if (this.isRoundScheduled || this.isStopping || !this.rollOuts.isActive) {
       return;
     }
-    this.isRunning = true;
+    this.isRoundScheduled = true;
     if (this.sharedDuty === undefined && this.ownDuty === undefined) {
-      this.ownDuty = createDutyPart(this.context, {
+      this.ownDuty = createDutyComponent(this.context, {
         leaseMs: WRITER_LEASE_MS,
         key: ROLL_OUT_DUTY_KEY,
       });
       this.ownDuty.start();
     }
     this.rollOuts.round();
-    this.context.timers.after(ROUND_MS, () => {
-      this.isRunning = false;
+    this.context.timers.after(ROUND_INTERVAL_MS, () => {
+      this.isRoundScheduled = false;
       if (this.rollOuts.isActive) {
-        this.run();
+        this.runRounds();
       } else {
-        this.giveUpDuty();
+        this.releaseDuty();
       }
     });
   }
 
-  private giveUpDuty(): void {
+  private releaseDuty(): void {
     void this.ownDuty?.handOver();
     this.ownDuty = undefined;
   }
 
-  private noteEnded(
+  private recordAttempt(
     { route }: AdmittedRequest,
     target: ServiceTarget,
     isGood: boolean,
@@ -144,7 +144,7 @@
 
   private createRollOuts(): RollOuts {
     const { context } = this;
-    const { settings, platform, clock, random, log, metrics, directory, knowledge } = context;
+    const { settings, platform, clock, random, log, metrics, directory, storeView } = context;
     return new RollOuts({
       clock,
       random,
@@ -160,32 +160,32 @@
         },
         composeState: platform.storeDialect.composeRollOutState,
       }),
-      isService: (name) => knowledge.routes?.findService(name) !== undefined,
+      isService: (name) => storeView.routes?.findService(name) !== undefined,
       listTargets: () => directory.all(),
       isSuspected: (id) => directory.isSuspected(id),
-      countVms: () => Math.max(LEAST_VMS, this.vmCount),
+      countVms: () => Math.max(MIN_VMS, this.vmCount),
       countTellers: () => this.vmCount,
-      isInTouch: () => this.isInTouch,
-      gathers: () => this.gathers(),
-      tellGatherers: (evidence) => this.tellGatherers(evidence),
-      tellAll: (gathered) => this.tellAll(gathered),
+      isInTouch: () => this.hasFreshState,
+      gathers: () => this.isGatherer(),
+      tellGatherers: (evidence) => this.sendToGatherers(evidence),
+      tellAll: (gathered) => this.broadcastTotal(gathered),
     });
   }
 
   /** The most VMs that were seen: those that are cut off share in the slack, too. */
   private get vmCount(): number {
-    this.mostVms = Math.max(this.mostVms, this.context.readExchange()?.vmCount ?? 1);
-    return this.mostVms;
+    this.maxVmCount = Math.max(this.maxVmCount, this.context.readExchange()?.vmCount ?? 1);
+    return this.maxVmCount;
   }
 
   /** Fresh news of the store, and of another VM where there are any. */
-  private get isInTouch(): boolean {
-    const { settings, clock, readKnowledgeAgeMs } = this.context;
-    const hears = clock.now() - this.heardAtMs < settings.rollOut.rollBackMs * HEARD_PART;
-    return readKnowledgeAgeMs() <= settings.configurationWithinMs && (hears || this.vmCount === 1);
+  private get hasFreshState(): boolean {
+    const { settings, clock, readStoreViewAgeMs } = this.context;
+    const hears = clock.now() - this.lastReportAtMs < settings.rollOut.rollBackMs * HEARD_PART;
+    return readStoreViewAgeMs() <= settings.configurationWithinMs && (hears || this.vmCount === 1);
   }
 
-  private gathers(): boolean {
+  private isGatherer(): boolean {
     const { settings } = this.context;
     const candidates = this.context.readExchange()?.dutyCandidates ?? [];
     return (
@@ -195,14 +195,14 @@
     );
   }
 
-  private tellGatherers(evidence: VmEvidence): void {
+  private sendToGatherers(evidence: VmEvidence): void {
     const { incarnation } = this;
     this.context
       .readExchange()
       ?.reportToCandidates({ kind: 'version-evidence', incarnation, ...evidence });
   }
 
-  private tellAll(gathered: GatheredEvidence): void {
+  private broadcastTotal(gathered: GatheredEvidence): void {
     this.context.readExchange()?.reportToLinked({ kind: 'version-total', ...gathered });
   }
 
@@ -210,7 +210,7 @@
     const { rollOuts } = this;
     // A request may come between the store's news and the word of them.
     const current = (): RollOuts => {
-      this.onKnowledge();
+      this.onStoreViewChange();
       return rollOuts;
     };
     return {
--- a/packages/gateway/src/own-keys.ts
+++ b/packages/gateway/src/store-keys.ts
@@ -7,9 +7,9 @@
 /** The usage that was settled last. */
 export const USAGE_KEY = 'limelead/usage';
 /** Keys of requests that are kept from targets begin so; the identity follows. */
-export const QUARANTINE_KEYS = 'limelead/quarantine/';
+export const QUARANTINE_KEY_PREFIX = 'limelead/quarantine/';
 
 /** Key of the item of a request. */
 export function quarantineKeyOf(identity: string): string {
-  return `${QUARANTINE_KEYS}${identity}`;
+  return `${QUARANTINE_KEY_PREFIX}${identity}`;
 }
--- a/packages/gateway/src/knowledge.test.ts
+++ b/packages/gateway/src/store-view.test.ts
@@ -4,8 +4,8 @@
 import type { ServiceTarget } from '@limelead/types';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import Knowledge from './knowledge.js';
-import { DUTY_KEY } from './own-keys.js';
+import StoreView from './store-view.js';
+import { DUTY_KEY } from './store-keys.js';
 
 const clock = { now: () => 1_000 };
 const PEER = 'h:9';
@@ -37,7 +37,7 @@
   const directory = new TargetDirectory(clock, {
     onNotice: ({ kind, target }) => kind === 'joined' && joined.push(target.id),
   });
-  const knowledge = new Knowledge({
+  const knowledge = new StoreView({
     clock,
     timers: { after: () => () => undefined },
     log: {
@@ -49,7 +49,7 @@
     readAgeMs: () => 0,
     directory,
     dialect: {
-      read({ key, value }) {
+      decode({ key, value }) {
         decoded.push(key);
         if (value.toString() === UNREADABLE) {
           return { kind: 'unreadable', reason: 'no version' };
@@ -72,11 +72,11 @@
           configuration: { version, routes: [], services: [], limits },
         };
       },
-      readTargetId: (key) => (key === 'c' ? undefined : key),
+      parseTargetId: (key) => (key === 'c' ? undefined : key),
       composeRollOutState: (key) => ({ key, value: Buffer.alloc(0) }),
     },
     onConfiguration: ({ version }) => versions.push(version),
-    onForgotten: () => undefined,
+    onReset: () => undefined,
     onChange: () => undefined,
   });
   const ids = (): string[] => directory.all().map(({ target }) => target.id);
@@ -86,9 +86,9 @@
 
 test('what did not change is not decoded again', () => {
   const { knowledge, decoded, versions, ids } = create();
-  knowledge.takeList({ items: [item('c', 5), item('t1', 3)], revision: 6 });
+  knowledge.applyList({ items: [item('c', 5), item('t1', 3)], revision: 6 });
   decoded.length = 0;
-  knowledge.takeList({ items: [item('c', 5), item('t1', 3), item('t2', 8)], revision: 9 });
+  knowledge.applyList({ items: [item('c', 5), item('t1', 3), item('t2', 8)], revision: 9 });
   assert.equal(decoded, ['t2']);
   assert.equal(versions, [5]);
   assert.equal(ids(), ['t1', 't2']);
@@ -96,8 +96,8 @@
 
 test("a peer's update brings what is newer, and ends what is gone", () => {
   const { knowledge, versions, ids } = create();
-  knowledge.takeList({ items: [item('c', 5), item('t1', 3), item('t2', 4)], revision: 6 });
-  knowledge.takePeerUpdate(
+  knowledge.applyList({ items: [item('c', 5), item('t1', 3), item('t2', 4)], revision: 6 });
+  knowledge.applyPeerUpdate(
     { items: [item('c', 8)], gone: [], present: ['c', 't2'], revision: 9 },
     PEER,
   );
@@ -110,9 +110,9 @@
   const { knowledge } = create();
   const behind = create();
   const list = { items: [item('c', 5), item('t1', 3), item('t2', 4), item('t3', 4)], revision: 6 };
-  knowledge.takeList(list);
-  behind.knowledge.takeList(list);
-  knowledge.takeChanges({
+  knowledge.applyList(list);
+  behind.knowledge.applyList(list);
+  knowledge.applyChanges({
     changes: [
       { kind: 'gone', key: 't1' },
       { kind: 'gone', key: 't2' },
@@ -120,49 +120,49 @@
     ],
     revision: 8,
   });
-  knowledge.takeChanges({ changes: [{ kind: 'put', item: item('t2', 9) }], revision: 9 });
-  const update = knowledge.readUpdate(6);
+  knowledge.applyChanges({ changes: [{ kind: 'put', item: item('t2', 9) }], revision: 9 });
+  const update = knowledge.createUpdate(6);
   assert.equal(update.gone, ['t1']);
   assert.is(update.present, undefined);
   assert.equal(
     update.items.map(({ key }) => key),
     ['t4', 't2'],
   );
-  behind.knowledge.takePeerUpdate(update, PEER);
+  behind.knowledge.applyPeerUpdate(update, PEER);
   assert.equal(behind.ids().sort(), ['t2', 't3', 't4']);
   assert.is(behind.knowledge.revision, 9);
-  assert.equal(behind.knowledge.readUpdate(6).gone, ['t1']);
+  assert.equal(behind.knowledge.createUpdate(6).gone, ['t1']);
 });
 
 test('a peer that knows less than this VM ever heard of is told all that is there', () => {
   const { knowledge } = create();
-  knowledge.takeList({ items: [item('c', 5), item('t1', 3)], revision: 6 });
-  assert.equal(knowledge.readUpdate(4).present, ['c', 't1']);
-  assert.equal(knowledge.readUpdate(0).items.length, 2);
+  knowledge.applyList({ items: [item('c', 5), item('t1', 3)], revision: 6 });
+  assert.equal(knowledge.createUpdate(4).present, ['c', 't1']);
+  assert.equal(knowledge.createUpdate(0).items.length, 2);
 });
 
 test('of two targets at one address that a peer tells the one that was written later stands there', () => {
   const { knowledge, ids } = create();
-  knowledge.takeList({ items: [item('c', 5)], revision: 6 });
+  knowledge.applyList({ items: [item('c', 5)], revision: 6 });
   const items = [item('t2', 8, AT_PORT_1), item('t1', 7, AT_PORT_1)];
-  knowledge.takePeerUpdate({ items, gone: [], revision: 8 }, PEER);
+  knowledge.applyPeerUpdate({ items, gone: [], revision: 8 }, PEER);
   assert.equal(ids(), ['t2']);
 });
 
 test('a peer that knows what came and went while this VM was cut off is told all that is there', () => {
   const { knowledge } = create();
-  knowledge.takeList({ items: [item('c', 5)], revision: 10 });
+  knowledge.applyList({ items: [item('c', 5)], revision: 10 });
   const behind = create();
-  behind.knowledge.takeList({ items: [item('c', 5), item('t1', 12)], revision: 15 });
-  knowledge.takeList({ items: [item('c', 5)], revision: 20 });
-  behind.knowledge.takePeerUpdate(knowledge.readUpdate(15), PEER);
+  behind.knowledge.applyList({ items: [item('c', 5), item('t1', 12)], revision: 15 });
+  knowledge.applyList({ items: [item('c', 5)], revision: 20 });
+  behind.knowledge.applyPeerUpdate(knowledge.createUpdate(15), PEER);
   assert.equal(behind.ids(), []);
 });
 
 test('an update that is older than what is known changes nothing', () => {
   const { knowledge, versions, ids } = create();
-  knowledge.takeList({ items: [item('c', 5), item('t1', 3)], revision: 6 });
-  knowledge.takePeerUpdate({ items: [item('c', 4)], gone: [], present: ['c'], revision: 6 }, PEER);
+  knowledge.applyList({ items: [item('c', 5), item('t1', 3)], revision: 6 });
+  knowledge.applyPeerUpdate({ items: [item('c', 4)], gone: [], present: ['c'], revision: 6 }, PEER);
   assert.equal(versions, [5]);
   assert.equal(ids(), ['t1']);
 });
@@ -175,10 +175,10 @@
     const { knowledge, ids, joined } = create();
     const items = [item(earlier, 3, AT_PORT_1), item(later, 4, AT_PORT_1)];
     items.sort((a, b) => (a.key < b.key ? -1 : 1));
-    knowledge.takeList({ items, revision: 6 });
+    knowledge.applyList({ items, revision: 6 });
     assert.equal(ids(), [later]);
     joined.length = 0;
-    knowledge.takeList({ items, revision: 7 });
+    knowledge.applyList({ items, revision: 7 });
     assert.equal(ids(), [later]);
     assert.equal(joined, []);
   }
@@ -186,14 +186,14 @@
 
 test('a target that said that it leaves gets nothing new while the store is away either', () => {
   const { knowledge, usable } = create();
-  knowledge.takeList({ items: [item('t1', 3), item('t2', 4)], revision: 6 });
-  knowledge.takeChanges({
+  knowledge.applyList({ items: [item('t1', 3), item('t2', 4)], revision: 6 });
+  knowledge.applyChanges({
     changes: [{ kind: 'put', item: item('t1', 7, LEAVING) }],
     revision: 7,
   });
-  knowledge.noteStoreLost();
+  knowledge.onStoreLost();
   assert.equal(usable(), ['t2']);
-  knowledge.takePeerUpdate(
+  knowledge.applyPeerUpdate(
     {
       items: [item('t1', 3)],
       gone: [],
@@ -203,7 +203,7 @@
     PEER,
   );
   assert.equal(usable(), ['t2']);
-  knowledge.takePeerUpdate(
+  knowledge.applyPeerUpdate(
     {
       items: [item('t1', 3)],
       gone: [],
@@ -217,9 +217,9 @@
 
 test('an item that does not hold is told, and what was known before stays in force', () => {
   const { knowledge, lines } = create();
-  knowledge.takeList({ items: [item('c', 1)], revision: 1 });
+  knowledge.applyList({ items: [item('c', 1)], revision: 1 });
   const change = { kind: 'put', item: item('c', 2, UNREADABLE) } as const;
-  knowledge.takeChanges({ changes: [change], revision: 2 });
+  knowledge.applyChanges({ changes: [change], revision: 2 });
   assert.is(knowledge.routes?.version, 1);
   const told = lines.filter(({ event }) => event === 'store-item-unreadable');
   assert.equal(told, [
@@ -229,23 +229,23 @@
 
 test('who holds the duties is known, passed on to peers, and gone with its key', () => {
   const { knowledge, decoded } = create();
-  knowledge.takeList({ items: [item('c', 5), item(DUTY_KEY, 7)], revision: 8 });
+  knowledge.applyList({ items: [item('c', 5), item(DUTY_KEY, 7)], revision: 8 });
   assert.ok(knowledge.has(DUTY_KEY) && !decoded.includes(DUTY_KEY));
   const peer = create().knowledge;
-  peer.takePeerUpdate(knowledge.readUpdate(0), PEER);
+  peer.applyPeerUpdate(knowledge.createUpdate(0), PEER);
   assert.ok(peer.has(DUTY_KEY));
-  peer.takeChanges({ changes: [{ kind: 'gone', key: DUTY_KEY }], revision: 9 });
+  peer.applyChanges({ changes: [{ kind: 'gone', key: DUTY_KEY }], revision: 9 });
   assert.not.ok(peer.has(DUTY_KEY));
 });
 
 test('what a peer told before the store answered goes where the store lists otherwise', () => {
   const { knowledge, versions, ids } = create();
-  knowledge.takePeerUpdate(
+  knowledge.applyPeerUpdate(
     { items: [item('c', 90), item('t7', 80)], gone: [], present: ['c', 't7'], revision: 95 },
     PEER,
   );
-  assert.equal(knowledge.readMarks(), [], 'a word that is not confirmed proves nothing');
-  knowledge.takeList({ items: [item('c', 5), item('t1', 3)], revision: 200 });
+  assert.equal(knowledge.listFingerprints(), [], 'a word that is not confirmed proves nothing');
+  knowledge.applyList({ items: [item('c', 5), item('t1', 3)], revision: 200 });
   assert.equal(versions, [90, 5]);
   assert.equal(ids(), ['t1']);
   assert.is(knowledge.revision, 200);
@@ -255,56 +255,56 @@
   const { knowledge, versions } = create();
   const stranger = create();
   const theirs = item('c', 9, '5000');
-  stranger.knowledge.takeList({ items: [theirs], revision: 10 });
-  knowledge.takePeerUpdate({ items: [theirs], gone: [], present: ['c'], revision: 10 }, PEER);
-  knowledge.takeList({ items: [item('c', 150, '12')], revision: 200 });
+  stranger.knowledge.applyList({ items: [theirs], revision: 10 });
+  knowledge.applyPeerUpdate({ items: [theirs], gone: [], present: ['c'], revision: 10 }, PEER);
+  knowledge.applyList({ items: [item('c', 150, '12')], revision: 200 });
   assert.equal(versions, [5_000, 12]);
-  const marks = new Set(knowledge.readMarks());
-  assert.not.ok(stranger.knowledge.readMarks().some((mark) => marks.has(mark)));
+  const marks = new Set(knowledge.listFingerprints());
+  assert.not.ok(stranger.knowledge.listFingerprints().some((mark) => marks.has(mark)));
 });
 
 test('what a peer told ahead of the list stays, since the store may have moved on meanwhile', () => {
   const { knowledge, versions } = create();
-  knowledge.takeList({ items: [item('c', 5)], revision: 6 });
-  knowledge.takePeerUpdate({ items: [item('c', 9)], gone: [], revision: 9 }, PEER);
-  knowledge.takeList({ items: [item('c', 5)], revision: 7 });
+  knowledge.applyList({ items: [item('c', 5)], revision: 6 });
+  knowledge.applyPeerUpdate({ items: [item('c', 9)], gone: [], revision: 9 }, PEER);
+  knowledge.applyList({ items: [item('c', 5)], revision: 7 });
   assert.equal(versions, [5, 9]);
 });
 
 test('knowledge of a store that began anew is dropped whole, with its marks', () => {
   const { knowledge, versions, ids, lines } = create();
-  knowledge.takeList({ items: [item('c', 50), item('t1', 40)], revision: 60 });
-  const [before] = knowledge.readMarks();
-  knowledge.forgetAll('store-behind', 7);
+  knowledge.applyList({ items: [item('c', 50), item('t1', 40)], revision: 60 });
+  const [before] = knowledge.listFingerprints();
+  knowledge.reset('store-behind', 7);
   assert.is(knowledge.routes, undefined);
   assert.is(knowledge.revision, 0);
-  knowledge.takeList({ items: [item('c', 4), item('t2', 3)], revision: 7 });
+  knowledge.applyList({ items: [item('c', 4), item('t2', 3)], revision: 7 });
   assert.equal(versions, [50, 4]);
   assert.equal(ids(), ['t2']);
-  assert.not.ok(knowledge.readMarks().includes(before ?? 0));
+  assert.not.ok(knowledge.listFingerprints().includes(before ?? 0));
   assert.ok(lines.some(({ event, known }) => event === 'store-knowledge-dropped' && known === 60));
 });
 
 test('VMs of one store share marks while one of them is a configuration behind', () => {
   const [ahead, behind, other] = [create(), create(), create()];
   const made = { ...item('t1', 3), made: 2 };
-  behind.knowledge.takeList({ items: [item('c', 5), made], revision: 6 });
-  ahead.knowledge.takeList({ items: [item('c', 8), { ...made, revision: 7 }], revision: 8 });
-  other.knowledge.takeList({ items: [item('c', 6), { ...made, made: 4 }], revision: 6 });
-  const marks = new Set(behind.knowledge.readMarks());
-  assert.ok(ahead.knowledge.readMarks().some((mark) => marks.has(mark)));
-  assert.not.ok(other.knowledge.readMarks().some((mark) => marks.has(mark)));
+  behind.knowledge.applyList({ items: [item('c', 5), made], revision: 6 });
+  ahead.knowledge.applyList({ items: [item('c', 8), { ...made, revision: 7 }], revision: 8 });
+  other.knowledge.applyList({ items: [item('c', 6), { ...made, made: 4 }], revision: 6 });
+  const marks = new Set(behind.knowledge.listFingerprints());
+  assert.ok(ahead.knowledge.listFingerprints().some((mark) => marks.has(mark)));
+  assert.not.ok(other.knowledge.listFingerprints().some((mark) => marks.has(mark)));
 });
 
 test('a target whose item no longer holds is left, and used again once it does', () => {
   const { knowledge, usable, ids, lines } = create();
-  knowledge.takeList({ items: [item('c', 5), item('t1', 3), item('t2', 4)], revision: 6 });
+  knowledge.applyList({ items: [item('c', 5), item('t1', 3), item('t2', 4)], revision: 6 });
   const spoilt = [item('t1', 7, UNREADABLE), item('t3', 8, UNREADABLE), item('c', 9, UNREADABLE)];
   const changes = spoilt.map((put) => ({ kind: 'put', item: put }) as const);
-  knowledge.takeChanges({ changes, revision: 9 });
+  knowledge.applyChanges({ changes, revision: 9 });
   assert.equal([usable(), ids()], [['t2'], ['t1', 't2']]);
   assert.is(knowledge.routes?.version, 5);
-  knowledge.takeList({ items: [...spoilt, item('t2', 4)], revision: 10 });
+  knowledge.applyList({ items: [...spoilt, item('t2', 4)], revision: 10 });
   assert.equal([usable(), ids()], [['t2'], ['t1', 't2']]);
   const told = lines.filter(({ event }) => event === 'store-item-unreadable');
   assert.equal(
@@ -315,16 +315,16 @@
       ['c', 9],
     ],
   );
-  knowledge.takeChanges({ changes: [{ kind: 'put', item: item('t1', 11) }], revision: 11 });
+  knowledge.applyChanges({ changes: [{ kind: 'put', item: item('t1', 11) }], revision: 11 });
   assert.equal(usable(), ['t1', 't2']);
 });
 
 test('a target that begins again under its name is another one', () => {
   const { knowledge, ids, joined } = create();
-  knowledge.takeList({ items: [item('c', 5), item('t1', 3)], revision: 6 });
-  knowledge.takeChanges({ changes: [{ kind: 'put', item: item('t1', 7, REBORN) }], revision: 7 });
+  knowledge.applyList({ items: [item('c', 5), item('t1', 3)], revision: 6 });
+  knowledge.applyChanges({ changes: [{ kind: 'put', item: item('t1', 7, REBORN) }], revision: 7 });
   assert.equal([ids(), joined], [['t1@2'], ['t1', 't1@2']]);
-  knowledge.takeChanges({ changes: [{ kind: 'gone', key: 't1' }], revision: 8 });
+  knowledge.applyChanges({ changes: [{ kind: 'gone', key: 't1' }], revision: 8 });
   assert.equal(ids(), []);
 });
 
--- a/packages/gateway/src/knowledge.ts
+++ b/packages/gateway/src/store-view.ts
@@ -26,23 +26,23 @@
   Timers,
 } from '@limelead/types';
 import LapsedTargets from './lapsed-targets.js';
-import { DUTY_KEY, QUARANTINE_KEYS, ROLL_OUT_DUTY_KEY } from './own-keys.js';
-import { readQuarantine } from './quarantine-item.js';
-import RemovedKeys from './removed-keys.js';
-import StoreMarks, { markTarget } from './store-marks.js';
+import { DUTY_KEY, QUARANTINE_KEY_PREFIX, ROLL_OUT_DUTY_KEY } from './store-keys.js';
+import { decodeQuarantine } from './quarantine-item.js';
+import RemovalHistory from './removal-history.js';
+import StoreFingerprints, { fingerprintTarget } from './store-fingerprints.js';
 
 /** Where knowledge came from: the store itself, or the address of a peer that told it. */
-type KnowledgeSource = string;
+type UpdateSource = string;
 
-const STORE: KnowledgeSource = 'store';
+const STORE: UpdateSource = 'store';
 
 /** What an item of the store means. */
-export type StoreFact =
+export type DecodedStoreItem =
   | { kind: 'configuration'; configuration: ServingConfiguration }
   | { kind: 'target'; target: ServiceTarget }
   | { kind: 'roll-out'; order: RollOutOrder }
   /** Written by this system: how far a roll-out is. */
-  | { kind: 'roll-out-step'; service: string; agreed: AgreedStep }
+  | { kind: 'roll-out-step'; service: string; step: AgreedStep }
   /** Written by this system: a request of that identity is kept from targets. */
   | { kind: 'quarantine'; identity: string; quarantine: Quarantine }
   /** Written by this system: somebody holds the duties. */
@@ -51,29 +51,29 @@
    * It should be one of these, and does not hold. A target that the item named before is left
    * there as one that leaves: nothing new goes to it until its own writer is back.
    */
-  | { kind: 'unreadable'; reason: string; left?: ServiceTarget }
+  | { kind: 'unreadable'; reason: string; previousTarget?: ServiceTarget }
   | { kind: 'other' };
 
 /** Reads items of the store in the platform's words. */
 export interface StoreDialect {
-  read(item: StoreItem): StoreFact;
+  decode(item: StoreItem): DecodedStoreItem;
   /** The id of the target whose item has that key; undefined for other items. */
-  readTargetId(key: string): string | undefined;
+  parseTargetId(key: string): string | undefined;
   /** The item by which the operator is told how far a roll-out is. */
   composeRollOutState(service: string, state: RollOutState, version: string): StateItem;
 }
 
-const DUTY: StoreFact = { kind: 'duty' };
+const DUTY: DecodedStoreItem = { kind: 'duty' };
 
-interface KnownItem {
+interface StoreViewItem {
   item: StoreItem;
-  fact: StoreFact;
+  decoded: DecodedStoreItem;
   /** Mark of a target; see `StoreMarks`. */
-  mark?: number;
+  fingerprint?: number;
 }
 
 /** What knowledge needs. */
-export interface KnowledgeOptions {
+export interface StoreViewOptions {
   clock: Clock;
   timers: Timers;
   log: DecisionLog;
@@ -86,38 +86,38 @@
   /** Called with each configuration that comes into force. */
   onConfiguration(table: RouteTable): void;
   /** Called when all that was known turned out to be of another store. */
-  onForgotten(): void;
+  onReset(): void;
   /** Called after each change of what is known. */
   onChange(): void;
 }
 
 /** Holds the configuration in force, and passes changes of targets on. */
-export default class Knowledge {
-  private table: RouteTable | undefined;
+export default class StoreView {
+  private routeTable: RouteTable | undefined;
   /** Items that mean something, by key. */
-  private readonly known = new Map<string, KnownItem>();
-  private removed = new RemovedKeys();
+  private readonly items = new Map<string, StoreViewItem>();
+  private removals = new RemovalHistory();
   /** Revisions of items that do not hold and left what was known before in force, by key. */
-  private readonly unreadable = new Map<string, number>();
-  private readonly noteUnreadable: LimitedLines;
-  private readonly marks = new StoreMarks();
+  private readonly unreadableRevisions = new Map<string, number>();
+  private readonly logUnreadable: LimitedLines;
+  private readonly fingerprints = new StoreFingerprints();
   /** Whether the store itself gave its list; until then peers' word is all that there is. */
-  private isConfirmed = false;
-  private knownRevision = 0;
-  private changedAtMs: Millis = 0;
-  private source: KnowledgeSource | undefined;
-  private configurationSize = 0;
-  private readonly lapsed: LapsedTargets;
-
-  constructor(private readonly options: KnowledgeOptions) {
+  private hasStoreList = false;
+  private currentRevision = 0;
+  private configurationChangedAtMs: Millis = 0;
+  private currentSource: UpdateSource | undefined;
+  private currentConfigurationBytes = 0;
+  private readonly lapsedTargets: LapsedTargets;
+
+  constructor(private readonly options: StoreViewOptions) {
     const { clock, timers, leavingTargetMs, directory, log } = options;
-    this.noteUnreadable = createLineLimit(log, clock, 'store-item-unreadable');
-    this.lapsed = new LapsedTargets({
+    this.logUnreadable = createLineLimit(log, clock, 'store-item-unreadable');
+    this.lapsedTargets = new LapsedTargets({
       clock,
       timers,
       leavingTargetMs,
       isLeaving: (id) => directory.get(id)?.target.leaving === true,
-      onGone: (id) => {
+      onRemoved: (id) => {
         log.write('lapsed-target-gone', { target: id });
         directory.apply([{ kind: 'gone', id }]);
       },
@@ -128,16 +128,18 @@
    * The store stopped answering this VM.
    * @param lastAnswerAtMs when it last answered any VM, where that is known to be earlier
    */
-  noteStoreLost(lastAnswerAtMs?: Millis): void {
-    this.lapsed.noteStoreLost(lastAnswerAtMs);
+  onStoreLost(lastAnswerAtMs?: Millis): void {
+    this.lapsedTargets.onStoreLost(lastAnswerAtMs);
   }
 
   /** Marks by which peers of the same store are told from others; none before the store answered. */
-  readMarks(): readonly number[] {
-    if (!this.isConfirmed) {
+  listFingerprints(): readonly number[] {
+    if (!this.hasStoreList) {
       return [];
     }
-    return this.marks.list([...this.known.values()].flatMap(({ mark }) => mark ?? []));
+    return this.fingerprints.list(
+      [...this.items.values()].flatMap(({ fingerprint }) => fingerprint ?? []),
+    );
   }
 
   /**
@@ -145,124 +147,124 @@
    * The store decides, since it never goes back, and what peers say may be of anywhere.
    * @param revision up to which the store itself has come
    */
-  forgetAll(reason: string, revision: number): void {
+  reset(reason: string, revision: number): void {
     this.options.log.write('store-knowledge-dropped', {
       reason,
-      known: this.knownRevision,
+      known: this.currentRevision,
       revision,
-      configuration: this.table?.version,
-      source: this.source,
+      configuration: this.routeTable?.version,
+      source: this.currentSource,
     });
-    this.known.clear();
-    this.unreadable.clear();
-    this.removed = new RemovedKeys();
-    this.marks.forget();
-    this.isConfirmed = false;
-    this.knownRevision = 0;
-    this.table = undefined;
-    this.source = undefined;
-    this.configurationSize = 0;
-    this.options.onForgotten();
+    this.items.clear();
+    this.unreadableRevisions.clear();
+    this.removals = new RemovalHistory();
+    this.fingerprints.reset();
+    this.hasStoreList = false;
+    this.currentRevision = 0;
+    this.routeTable = undefined;
+    this.currentSource = undefined;
+    this.currentConfigurationBytes = 0;
+    this.options.onReset();
   }
 
   /** The store answers again. */
-  noteStoreRegained(): void {
-    this.lapsed.noteStoreRegained();
+  onStoreRegained(): void {
+    this.lapsedTargets.onStoreRegained();
   }
 
   /** The compiled configuration in force. */
   get routes(): RouteTable | undefined {
-    return this.table;
+    return this.routeTable;
   }
 
   /** Who told the configuration in force: "store", or the address of a peer. */
   get configurationSource(): string | undefined {
-    return this.source;
+    return this.currentSource;
   }
 
   /** Orders of roll-outs that stand now, with the revision that wrote each. */
-  listRollOuts(): StandingOrder[] {
-    return [...this.known.values()].flatMap(({ item, fact }) =>
-      fact.kind === 'roll-out' ? [{ order: fact.order, revision: item.revision }] : [],
+  listRollOutOrders(): StandingOrder[] {
+    return [...this.items.values()].flatMap(({ item, decoded }) =>
+      decoded.kind === 'roll-out' ? [{ order: decoded.order, revision: item.revision }] : [],
     );
   }
 
   /** Steps of roll-outs that all VMs agree on, by service. */
-  readRollOutSteps(): ReadonlyMap<string, AgreedStep> {
+  listRollOutSteps(): ReadonlyMap<string, AgreedStep> {
     return new Map(
-      [...this.known.values()].flatMap(({ fact }): [string, AgreedStep][] =>
-        fact.kind === 'roll-out-step' ? [[fact.service, fact.agreed]] : [],
+      [...this.items.values()].flatMap(({ decoded }): [string, AgreedStep][] =>
+        decoded.kind === 'roll-out-step' ? [[decoded.service, decoded.step]] : [],
       ),
     );
   }
 
   /** Requests that are kept from targets, by their identities. */
-  readQuarantines(): ReadonlyMap<string, Quarantine> {
+  listQuarantines(): ReadonlyMap<string, Quarantine> {
     return new Map(
-      [...this.known.values()].flatMap(({ fact }): [string, Quarantine][] =>
-        fact.kind === 'quarantine' ? [[fact.identity, fact.quarantine]] : [],
+      [...this.items.values()].flatMap(({ decoded }): [string, Quarantine][] =>
+        decoded.kind === 'quarantine' ? [[decoded.identity, decoded.quarantine]] : [],
       ),
     );
   }
 
   /** Whether an item that means something is there. */
   has(key: string): boolean {
-    return this.known.has(key);
+    return this.items.has(key);
   }
 
   /** What is known beyond a revision, for peers that do not ask the store themselves. */
-  readUpdate(since: number): StoreUpdate {
-    const items = [...this.known.values()].map(({ item }) => item);
-    const gone = this.removed.listSince(since);
+  createUpdate(since: number): StoreUpdate {
+    const items = [...this.items.values()].map(({ item }) => item);
+    const gone = this.removals.listSince(since);
     return {
       items: items.filter((item) => item.revision > since),
       // A key that came back is no longer gone.
-      gone: gone?.filter((key) => !this.known.has(key)) ?? [],
+      gone: gone?.filter((key) => !this.items.has(key)) ?? [],
       present: gone === undefined ? items.map(({ key }) => key) : undefined,
-      revision: this.knownRevision,
+      revision: this.currentRevision,
     };
   }
 
   /** Revision of the store up to which everything is known; 0 before the first list. */
   get revision(): number {
-    return this.knownRevision;
+    return this.currentRevision;
   }
 
   /** Bytes of the newest configuration; 0 for none. */
   get configurationBytes(): number {
-    return this.configurationSize;
+    return this.currentConfigurationBytes;
   }
 
   /** Whether requests can be served. */
   get isComplete(): boolean {
-    return this.table !== undefined && this.knownRevision > 0;
+    return this.routeTable !== undefined && this.currentRevision > 0;
   }
 
   /** Takes a complete list of the store. */
-  takeList({ items, revision }: StoreList): void {
-    if (items.some((item) => this.isContradicted(item, revision))) {
-      this.forgetAll('contradicts-list', revision);
+  applyList({ items, revision }: StoreList): void {
+    if (items.some((item) => this.contradictsList(item, revision))) {
+      this.reset('contradicts-list', revision);
     }
-    this.forgetExcept(new Set(items.map(({ key }) => key)));
-    items.forEach((item) => this.read(item, STORE));
-    if (!this.isConfirmed) {
-      this.isConfirmed = true;
-      this.markListed(items);
+    this.removeExcept(new Set(items.map(({ key }) => key)));
+    items.forEach((item) => this.applyItem(item, STORE));
+    if (!this.hasStoreList) {
+      this.hasStoreList = true;
+      this.fingerprintConfigurations(items);
     }
-    this.takeAll(revision);
+    this.completeList(revision);
   }
 
   /** Only what the store listed proves anything; what peers told before it may be of anywhere. */
-  private markListed(items: StoreItem[]): void {
-    this.marks.forget();
+  private fingerprintConfigurations(items: StoreItem[]): void {
+    this.fingerprints.reset();
     items
-      .filter(({ key }) => this.known.get(key)?.fact.kind === 'configuration')
-      .forEach((item) => this.marks.noteConfiguration(item));
+      .filter(({ key }) => this.items.get(key)?.decoded.kind === 'configuration')
+      .forEach((item) => this.fingerprints.addConfiguration(item));
   }
 
   /** Whether what is known of an item can't be of the store that listed it so. */
-  private isContradicted(item: StoreItem, listRevision: number): boolean {
-    const known = this.known.get(item.key);
+  private contradictsList(item: StoreItem, listRevision: number): boolean {
+    const known = this.items.get(item.key);
     if (known === undefined || known.item.revision > listRevision) {
       return false;
     }
@@ -271,11 +273,11 @@
   }
 
   /** Takes what a peer knows beyond this VM; nothing where this VM learned as much meanwhile. */
-  takePeerUpdate({ items, gone, present, revision }: StoreUpdate, peer: string): void {
-    if (revision <= this.knownRevision) {
+  applyPeerUpdate({ items, gone, present, revision }: StoreUpdate, peer: string): void {
+    if (revision <= this.currentRevision) {
       return;
     }
-    const from = this.knownRevision;
+    const from = this.currentRevision;
     this.options.log.write('peer-told-items', { peer, from, revision, items: items.length });
     if (present === undefined) {
       const puts = [...items].sort((a, b) => a.revision - b.revision);
@@ -283,29 +285,29 @@
         ...gone.map((key): StoreChange => ({ kind: 'gone', key })),
         ...puts.map((item): StoreChange => ({ kind: 'put', item })),
       ];
-      this.takeChanges({ changes, revision }, peer);
+      this.applyChanges({ changes, revision }, peer);
       return;
     }
-    this.forgetExcept(new Set(present));
-    items.forEach((item) => this.read(item, peer));
-    this.takeAll(revision);
+    this.removeExcept(new Set(present));
+    items.forEach((item) => this.applyItem(item, peer));
+    this.completeList(revision);
   }
 
   /** All that is known now is all that there is. */
-  private takeAll(revision: number): void {
-    this.knownRevision = Math.max(revision, this.knownRevision);
-    this.removed.begin(revision);
+  private completeList(revision: number): void {
+    this.currentRevision = Math.max(revision, this.currentRevision);
+    this.removals.reset(revision);
     const { directory, onChange } = this.options;
-    directory.apply(this.lapsed.filter(directory.compare(this.listTargets())));
+    directory.apply(this.lapsedTargets.filter(directory.compare(this.listTargets())));
     onChange();
   }
 
   /** Of two targets at one address the one that was written later stands there. */
   private listTargets(): ServiceTarget[] {
-    const inOrder = [...this.known.values()].sort((a, b) => a.item.revision - b.item.revision);
+    const inOrder = [...this.items.values()].sort((a, b) => a.item.revision - b.item.revision);
     const byAddress = new Map<string, ServiceTarget>();
-    for (const { fact } of inOrder) {
-      const target = targetOf(fact);
+    for (const { decoded } of inOrder) {
+      const target = getDecodedTarget(decoded);
       if (target !== undefined) {
         byAddress.set(`${target.host}:${target.port}`, target);
       }
@@ -313,22 +315,22 @@
     return [...byAddress.values()];
   }
 
-  private forgetExcept(keys: ReadonlySet<string>): void {
-    for (const key of [...this.known.keys()]) {
+  private removeExcept(keys: ReadonlySet<string>): void {
+    for (const key of [...this.items.keys()]) {
       if (!keys.has(key)) {
-        this.known.delete(key);
+        this.items.delete(key);
       }
     }
   }
 
   /** Takes changes that followed a list. */
-  takeChanges({ changes, revision }: StoreChanges, source = STORE): void {
+  applyChanges({ changes, revision }: StoreChanges, source = STORE): void {
     const targetChanges = changes.flatMap((change) =>
       this.toTargetChange(change, revision, source),
     );
     // Requests that wait are served as targets come; by then all that came with them counts.
-    this.knownRevision = Math.max(revision, this.knownRevision);
-    this.options.directory.apply(this.lapsed.filter(targetChanges));
+    this.currentRevision = Math.max(revision, this.currentRevision);
+    this.options.directory.apply(this.lapsedTargets.filter(targetChanges));
     if (changes.length > 0) {
       this.options.onChange();
     }
@@ -337,18 +339,18 @@
   private toTargetChange(
     change: StoreChange,
     revision: number,
-    source: KnowledgeSource,
+    source: UpdateSource,
   ): TargetChange[] {
     const key = change.kind === 'gone' ? change.key : change.item.key;
-    const before = this.readTarget(key);
+    const before = this.getTarget(key);
     if (change.kind === 'gone') {
-      this.known.delete(key);
-      this.unreadable.delete(key);
-      this.removed.note(key, revision);
-      const id = before?.id ?? this.options.dialect.readTargetId(key);
+      this.items.delete(key);
+      this.unreadableRevisions.delete(key);
+      this.removals.record(key, revision);
+      const id = before?.id ?? this.options.dialect.parseTargetId(key);
       return id === undefined ? [] : [{ kind: 'gone', id }];
     }
-    const target = targetOf(this.read(change.item, source));
+    const target = getDecodedTarget(this.applyItem(change.item, source));
     if (target === undefined) {
       return [];
     }
@@ -358,57 +360,61 @@
     return isOther ? [{ kind: 'gone', id: before.id }, put] : [put];
   }
 
-  private readTarget(key: string): ServiceTarget | undefined {
-    const known = this.known.get(key);
-    return known && targetOf(known.fact);
+  private getTarget(key: string): ServiceTarget | undefined {
+    const known = this.items.get(key);
+    return known && getDecodedTarget(known.decoded);
   }
 
-  private read(item: StoreItem, source: KnowledgeSource): StoreFact {
-    const known = this.known.get(item.key);
+  private applyItem(item: StoreItem, source: UpdateSource): DecodedStoreItem {
+    const known = this.items.get(item.key);
     if (known !== undefined && known.item.revision >= item.revision) {
-      return known.fact;
+      return known.decoded;
     }
-    const fact = readOwnItem(item) ?? this.options.dialect.read(item);
+    const fact = decodeOwnItem(item) ?? this.options.dialect.decode(item);
     if (fact.kind === 'unreadable') {
-      return this.takeUnreadable(item, fact.reason);
+      return this.applyUnreadable(item, fact.reason);
     }
-    this.unreadable.delete(item.key);
+    this.unreadableRevisions.delete(item.key);
     if (fact.kind !== 'other') {
-      this.known.set(item.key, { item, fact, mark: markOf(item, fact, known) });
+      this.items.set(item.key, {
+        item,
+        decoded: fact,
+        fingerprint: fingerprintOf(item, fact, known),
+      });
     }
     if (fact.kind === 'configuration') {
-      this.marks.noteConfiguration(item);
-      this.configurationSize = item.value.length;
-      this.takeConfiguration(fact.configuration, item.revision, source);
+      this.fingerprints.addConfiguration(item);
+      this.currentConfigurationBytes = item.value.length;
+      this.applyConfiguration(fact.configuration, item.revision, source);
     }
     return fact;
   }
 
   /** A target is left; of anything else the last one that held stays. One line for each revision. */
-  private takeUnreadable(item: StoreItem, reason: string): StoreFact {
+  private applyUnreadable(item: StoreItem, reason: string): DecodedStoreItem {
     const { key, revision } = item;
-    if ((this.unreadable.get(key) ?? 0) < revision) {
-      this.unreadable.set(key, revision);
-      this.noteUnreadable({ key, revision, reason });
+    if ((this.unreadableRevisions.get(key) ?? 0) < revision) {
+      this.unreadableRevisions.set(key, revision);
+      this.logUnreadable({ key, revision, reason });
     }
-    const before = this.readTarget(key);
+    const before = this.getTarget(key);
     const left = before && { ...before, leaving: true };
-    const fact: StoreFact = { kind: 'unreadable', reason, left };
-    if (this.options.dialect.readTargetId(key) !== undefined) {
-      this.known.set(key, { item, fact });
+    const fact: DecodedStoreItem = { kind: 'unreadable', reason, previousTarget: left };
+    if (this.options.dialect.parseTargetId(key) !== undefined) {
+      this.items.set(key, { item, decoded: fact });
     }
     return fact;
   }
 
-  private takeConfiguration(
+  private applyConfiguration(
     configuration: ServingConfiguration,
     revision: number,
-    source: KnowledgeSource,
+    source: UpdateSource,
   ): void {
     const { clock, log, readAgeMs } = this.options;
-    const previous = this.table?.version;
+    const previous = this.routeTable?.version;
     // Written behind what only peers told, the store's own counts also with a lower version.
-    const isFirstOwn = source === STORE && !this.isConfirmed;
+    const isFirstOwn = source === STORE && !this.hasStoreList;
     if (previous !== undefined && configuration.version <= previous && !isFirstOwn) {
       return;
     }
@@ -420,44 +426,49 @@
       source,
       routes: configuration.routes.length,
       knowledgeAgeMs: readAgeMs(),
-      previousAgeMs: previous === undefined ? undefined : Math.round(now - this.changedAtMs),
+      previousAgeMs:
+        previous === undefined ? undefined : Math.round(now - this.configurationChangedAtMs),
     });
-    this.changedAtMs = now;
-    this.source = source;
-    this.table = compileRoutes(configuration);
-    this.options.onConfiguration(this.table);
+    this.configurationChangedAtMs = now;
+    this.currentSource = source;
+    this.routeTable = compileRoutes(configuration);
+    this.options.onConfiguration(this.routeTable);
   }
 }
 
-function targetOf(fact: StoreFact): ServiceTarget | undefined {
+function getDecodedTarget(fact: DecodedStoreItem): ServiceTarget | undefined {
   if (fact.kind === 'target') {
     return fact.target;
   }
-  return fact.kind === 'unreadable' ? fact.left : undefined;
+  return fact.kind === 'unreadable' ? fact.previousTarget : undefined;
 }
 
 /** A target's heartbeats leave its creation and its address as they are, and so its mark. */
-function markOf(item: StoreItem, fact: StoreFact, before?: KnownItem): number | undefined {
+function fingerprintOf(
+  item: StoreItem,
+  fact: DecodedStoreItem,
+  before?: StoreViewItem,
+): number | undefined {
   if (fact.kind !== 'target') {
     return undefined;
   }
   const { host, port } = fact.target;
   const known = before?.item.made === item.made ? before : undefined;
-  const at = known && targetOf(known.fact);
+  const at = known && getDecodedTarget(known.decoded);
   const isSame = at?.host === host && at.port === port;
-  return (isSame ? known?.mark : undefined) ?? markTarget(item, fact.target);
+  return (isSame ? known?.fingerprint : undefined) ?? fingerprintTarget(item, fact.target);
 }
 
 /** Items that this system writes for itself; undefined for others. */
-function readOwnItem({ key, value }: StoreItem): StoreFact | undefined {
+function decodeOwnItem({ key, value }: StoreItem): DecodedStoreItem | undefined {
   if (key === DUTY_KEY || key === ROLL_OUT_DUTY_KEY) {
     return DUTY;
   }
-  if (key.startsWith(QUARANTINE_KEYS)) {
-    const quarantine = readQuarantine(value);
+  if (key.startsWith(QUARANTINE_KEY_PREFIX)) {
+    const quarantine = decodeQuarantine(value);
     return quarantine === undefined
       ? { kind: 'unreadable', reason: 'names no service' }
-      : { kind: 'quarantine', identity: key.slice(QUARANTINE_KEYS.length), quarantine };
+      : { kind: 'quarantine', identity: key.slice(QUARANTINE_KEY_PREFIX.length), quarantine };
   }
   if (!key.startsWith(STEP_KEYS)) {
     return undefined;
@@ -465,5 +476,5 @@
   const agreed = readStep(value);
   return agreed === undefined
     ? { kind: 'unreadable', reason: 'holds no step of a roll-out' }
-    : { kind: 'roll-out-step', service: key.slice(STEP_KEYS.length), agreed };
+    : { kind: 'roll-out-step', service: key.slice(STEP_KEYS.length), step: agreed };
 }
--- a/packages/gateway/src/target-scheduler.ts
+++ b/packages/gateway/src/target-scheduler.ts
@@ -38,7 +38,7 @@
     const { self, clock, directory, locality } = this.options;
     const { service, number, part, parts } = question;
     const now = clock.now();
-    const targets = this.listOpen(service).filter(
+    const targets = this.listCandidates(service).filter(
       ({ target }) => parts <= 1 || choosePart(target.id, parts) === part,
     );
     const chosen = chooseServiceTarget(targets, {
@@ -52,7 +52,7 @@
     if (chosen === undefined) {
       return undefined;
     }
-    const answer = { target: chosen.target.id, copyTo: this.chooseCopyTo(chosen, question) };
+    const answer = { target: chosen.target.id, copyTo: this.chooseReplicaTarget(chosen, question) };
     if (peer !== self) {
       directory.noteAdvised({ peer, advice: number, ...answer });
     }
@@ -60,7 +60,7 @@
   }
 
   /** A target that names a limit looks idle, and the VM that asks has no permit for it. */
-  private listOpen(service: string): TrackedServiceTarget[] {
+  private listCandidates(service: string): TrackedServiceTarget[] {
     const { permits } = this.options;
     const targets = this.listAdvisable(service);
     return permits.isLimiting
@@ -75,7 +75,7 @@
   }
 
   /** Any part of the targets may keep the copy: what is known of their load is soft anyway. */
-  private chooseCopyTo(
+  private chooseReplicaTarget(
     running: TrackedServiceTarget,
     { service, affinityKey }: TargetQuestion,
   ): string | undefined {
--- a/packages/gateway/src/usage-part.test.ts
+++ b/packages/gateway/src/usage-component.test.ts
@@ -3,14 +3,14 @@
 import { createManualTime, type ManualTime } from '@limelead/stand-ins';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import type { FleetPart, FleetPartContext } from './fleet-part.js';
-import createUsagePart, { type UsagePartOptions } from './usage-part.js';
+import type { FleetComponent, FleetComponentContext } from './fleet-component.js';
+import createUsageComponent, { type UsageComponentOptions } from './usage-component.js';
 
 const WINDOW_MS = 5_000;
 
 interface Scene {
   time: ManualTime;
-  part: FleetPart;
+  part: FleetComponent;
   told: PeerReport[];
   begin(): void;
 }
@@ -29,12 +29,12 @@
     ...time,
     platform: {},
     readExchange: () => exchange,
-  } as unknown as FleetPartContext;
+  } as unknown as FleetComponentContext;
   const options = {
     duties: { usageWindowMs: WINDOW_MS, usageDueMs: 10_000 },
     dutyPart: { duty: { permit: () => undefined } },
-  } as unknown as UsagePartOptions;
-  const part = createUsagePart(context, options);
+  } as unknown as UsageComponentOptions;
+  const part = createUsageComponent(context, options);
   const begun = { organisation: 'a' } as never;
   return { time, part, told, begin: () => part.observer?.onBegun?.(begun, undefined as never) };
 }
@@ -55,7 +55,7 @@
   await part.handOver();
   assert.equal(listRequests(told), [1, 2]);
   begin();
-  part.leave?.();
+  part.onDrained?.();
   assert.equal(listRequests(told), [1, 2, 3]);
 });
 
--- a/packages/gateway/src/usage-part.ts
+++ b/packages/gateway/src/usage-component.ts
@@ -14,41 +14,41 @@
 import type { DutyPlatform } from '@limelead/ports';
 import type { EvidenceExchange, PeerId } from '@limelead/share-evidence';
 import { randomUUID } from 'node:crypto';
-import type { DutyPart } from './duty-part.js';
-import type { FleetPart, FleetPartContext } from './fleet-part.js';
-import { DUTY_KEY, USAGE_KEY } from './own-keys.js';
+import type { DutyComponent } from './duty-component.js';
+import type { FleetComponent, FleetComponentContext } from './fleet-component.js';
+import { DUTY_KEY, USAGE_KEY } from './store-keys.js';
 import type { DutySettings } from './settings.js';
 
 /**
  * Time between two looks at what is to be told or reported, in milliseconds. A VM that loses
  * power takes so much of its counts with it at most.
  */
-const LOOK_EVERY_MS = 300;
+const REPORT_INTERVAL_MS = 300;
 /**
  * Time between two words on the time of day, in milliseconds. A VM that starts with a wrong
  * clock counts into wrong windows until it heard others.
  */
-const TIME_EVERY_MS = 2_000;
+const TIME_OF_DAY_INTERVAL_MS = 2_000;
 /**
  * Time from the end of a window until its counts are settled, in milliseconds: what VMs tell
  * has come, and those that were cut off for a moment are back.
  */
-const SETTLE_AFTER_MS = 2_500;
+const MAX_SETTLE_DELAY_MS = 2_500;
 /** Part of the time until usage is due that may go into waiting; the rest is for what fails. */
-const SETTLE_SHARE = 0.3;
+const SETTLE_DELAY_FRACTION = 0.3;
 
 /** What the part needs beside the context. */
-export interface UsagePartOptions {
+export interface UsageComponentOptions {
   duties: DutySettings;
-  dutyPart: DutyPart;
+  dutyComponent: DutyComponent;
   dutyPlatform: DutyPlatform;
 }
 
 /** Creates the part. */
-export default function createUsagePart(
-  context: FleetPartContext,
-  { duties, dutyPart, dutyPlatform }: UsagePartOptions,
-): FleetPart {
+export default function createUsageComponent(
+  context: FleetComponentContext,
+  { duties, dutyComponent, dutyPlatform }: UsageComponentOptions,
+): FleetComponent {
   const { clock, timers, platform, readExchange } = context;
   const { usageWindowMs: windowMs, usageDueMs } = duties;
   const incarnation = randomUUID();
@@ -62,13 +62,13 @@
   const teller = new UsageTeller(counter);
   const book = new UsageBook({ trueTime, windowMs });
   const reporter = new UsageReporter({
-    duty: dutyPart.duty,
+    duty: dutyComponent.duty,
     platform: dutyPlatform,
     record: new UsageRecord(platform.storeItems, USAGE_KEY, DUTY_KEY),
     clock,
     trueTime,
     windowMs,
-    settleAfterMs: Math.min(SETTLE_AFTER_MS, usageDueMs * SETTLE_SHARE),
+    settleAfterMs: Math.min(MAX_SETTLE_DELAY_MS, usageDueMs * SETTLE_DELAY_FRACTION),
     sum(window) {
       book.hear(incarnation, counter.list(), readOwnFirst());
       return book.sum(window);
@@ -77,7 +77,7 @@
     readCountedFrom() {
       return Math.min(readOwnFirst(), book.countedFrom ?? Infinity);
     },
-    onUnreached: () => dutyPart.stepAside(),
+    onUnreached: () => dutyComponent.yieldDuty(),
     events: createEvents(context, (window) => book.countTellers(window)),
   });
 
@@ -99,12 +99,12 @@
   function look(): void {
     tell();
     void reporter.look();
-    timers.after(LOOK_EVERY_MS, look);
+    timers.after(REPORT_INTERVAL_MS, look);
   }
 
   function tellTime(): void {
     readExchange()?.reportToPeers({ kind: 'time-of-day', incarnation, timeMs: trueTime.ownTimeMs });
-    timers.after(TIME_EVERY_MS, tellTime);
+    timers.after(TIME_OF_DAY_INTERVAL_MS, tellTime);
   }
 
   return {
@@ -124,14 +124,14 @@
     },
     start() {
       look();
-      timers.after(LOOK_EVERY_MS, tellTime);
+      timers.after(REPORT_INTERVAL_MS, tellTime);
     },
     handOver() {
       tell();
       return Promise.resolve();
     },
     // What was counted since the last look would go with the process.
-    leave: tell,
+    onDrained: tell,
   };
 }
 
@@ -147,7 +147,7 @@
 }
 
 function createEvents(
-  { log, metrics }: FleetPartContext,
+  { log, metrics }: FleetComponentContext,
   countTellers: (window: number) => number,
 ): UsageEvents {
   const countWindows = (outcome: string, windows = 1): void =>
