--- a/packages/gateway/src/capacity-component.test.ts
+++ b/packages/gateway/src/capacity-component.test.ts
@@ -23,7 +23,7 @@
     log: { write: () => undefined },
     metrics: createMetrics(),
     directory: { all: () => [] },
-    knowledge: {
+    storeView: {
       routes: { listServices: () => services, findService: () => services[0] },
     },
     readExchange: () => ({ reportToCandidates: (report: unknown) => void reports.push(report) }),
@@ -45,7 +45,7 @@
   request: { promptTokens: 800, lastPiece: 0 },
 } as AdmittedRequest;
 
-test('a VM tells what its callers ask of a service whose targets are ordered', async () => {
+test('a VM reports the demand for a service with scaling', async () => {
   const { part, time, reports } = createPart({ scaling: SCALING });
   part.observer?.onAdmitted?.(ADMITTED);
   await time.advance(1_000);
@@ -64,7 +64,7 @@
   ]);
 });
 
-test('where nobody orders targets nothing is counted or told', async () => {
+test('without scaling nothing is counted or reported', async () => {
   const { part, time, reports } = createPart({});
   part.observer?.onAdmitted?.(ADMITTED);
   part.observer?.onFinished?.(ADMITTED);
--- a/packages/gateway/src/capacity-component.ts
+++ b/packages/gateway/src/capacity-component.ts
@@ -1,4 +1,4 @@
-/** Counts what callers ask of this VM, tells the VMs that stand for duties, and orders targets. */
+/** Counts the demand at this VM, reports it to the duty candidates, and orders targets as duty holder. */
 import type { AdmittedRequest, TrafficObserver } from '@limelead/forward-request';
 import type { Duty } from '@limelead/hold-duty';
 import { CapacityDuty, DemandBook, type ServiceDemand } from '@limelead/order-capacity';
@@ -8,17 +8,17 @@
 import type { FleetComponent, FleetComponentContext } from './fleet-component.js';
 import type { DutySettings } from './settings.js';
 
-/** Pause between two reports of this VM's load, in milliseconds; forecasts look at seconds. */
+/** Interval of the demand reports of this VM. */
 const REPORT_INTERVAL_MS = 1_000;
 
-/** What only a fleet with the duty has. */
+/** What the component needs besides its context. */
 export interface CapacityComponentOptions {
   duties: DutySettings;
   duty: Duty;
   dutyPlatform: DutyPlatform;
 }
 
-/** Creates the part. */
+/** Creates the component that counts demand and orders targets. */
 export default function createCapacityComponent(
   context: FleetComponentContext,
   { duties, duty, dutyPlatform }: CapacityComponentOptions,
@@ -41,14 +41,14 @@
       directory.all().flatMap(({ target }) => (target.service === service ? [target] : [])),
   });
 
-  function tell(): void {
+  function scheduleReport(): void {
     timers.after(REPORT_INTERVAL_MS, () => {
       const report = counts.createReport();
       if (report !== undefined) {
         demand.take(settings.vm, report, clock.now());
         context.readExchange()?.reportToCandidates(report);
       }
-      tell();
+      scheduleReport();
     });
   }
 
@@ -60,22 +60,22 @@
       }
     },
     start: () => {
-      tell();
+      scheduleReport();
       ordering.start();
     },
     handOver: async () => ordering.stop(),
   };
 }
 
-/** What is counted of one request. */
+/** A request that is counted until it finishes. */
 interface CountedRequest {
-  /** Where it is counted, also after its service is no longer there. */
+  /** The counts it belongs to; kept, because its service may be removed while it runs. */
   counts: ServiceDemand;
-  /** Sends of it that targets began. */
+  /** Attempts that a target started. */
   startedAttempts: number;
 }
 
-/** Counts the requests of this VM for services whose targets are ordered. */
+/** Counts this VM's requests per service, for services with scaling. */
 class DemandCounter {
   private readonly incarnation: string;
   private readonly services = new Map<string, ServiceDemand>();
@@ -107,7 +107,7 @@
       }
     },
     onSendEnded: (admitted, _, { isGood, afterMs }) => {
-      // A run that goes on elsewhere reads little or nothing of its prompt.
+      // A run that resumes at another target processes little or nothing of its prompt.
       if (isGood && this.requests.get(admitted)?.startedAttempts === 1) {
         this.recordPromptPace(admitted, afterMs);
       }
@@ -121,11 +121,11 @@
     },
   };
 
-  /** Undefined where this system orders no targets. */
+  /** Undefined if no service has scaling. */
   createReport(): Extract<PeerReport, { kind: 'demand' }> | undefined {
     const services = this.listScaledServices().flatMap(({ name }) => {
       const counts = this.countsOf(name);
-      // Counts go on while the report is kept or on its way.
+      // Copied, because the counts change while the report is kept or sent.
       return counts === undefined ? [] : [{ ...counts }];
     });
     return services.length === 0
--- a/packages/gateway/src/crash-detector.ts
+++ b/packages/gateway/src/crash-detector.ts
@@ -1,16 +1,13 @@
-/** Tells the end of a target from a broken link and from a target that resets connections. */
+/** Distinguishes the crash of a target from a broken link and from reset connections. */
 import { askTarget, type TargetDialect } from '@limelead/forward-request';
 import type { TargetConnections } from '@limelead/target-connections';
 import type { TargetDirectory } from '@limelead/track-service-targets';
 import type { Millis, Timers } from '@limelead/types';
 
-/**
- * Time for a target to answer, in milliseconds. One whose program ended refuses the connection
- * within the time of the way; the request that waits for the answer is in the meantime held.
- */
+/** Timeout of a probe. Short, because the request whose run failed waits for the result. */
 const PROBE_TIMEOUT_MS = 250;
 
-/** What telling needs. */
+/** What the detector uses. */
 export interface CrashDetectorOptions {
   timers: Timers;
   directory: TargetDirectory;
@@ -18,30 +15,30 @@
   dialect: TargetDialect;
 }
 
-/** Looks at what is known of a target, and asks it where that does not decide. */
+/** Decides from the directory whether a target crashed, and probes it if the directory can't tell. */
 export default class CrashDetector {
-  /** Questions under way, by target: many runs break on one at the same moment. */
+  /** Probes in progress by target: many runs on one target fail at the same time. */
   private readonly pendingProbes = new Map<string, Promise<boolean>>();
 
   constructor(private readonly options: CrashDetectorOptions) {}
 
-  /** Whether any answer came from that incarnation since then; steady time. */
+  /** Whether the target answered after that time of the monotonic clock. */
   hasAnsweredSince(id: string, sinceMs: Millis): boolean {
     return (this.options.directory.get(id)?.evidence.heardAtMs ?? 0) > sinceMs;
   }
 
-  /** Whether the incarnation on which a run broke then is over. */
-  hasCrashed(id: string, brokeAtMs: Millis): Promise<boolean> {
+  /** Whether the target has crashed since a run on it failed. */
+  hasCrashed(id: string, failedAtMs: Millis): Promise<boolean> {
     const target = this.options.directory.get(id)?.target;
     if (target === undefined) {
       return Promise.resolve(true);
     }
-    if (this.hasAnsweredSince(id, brokeAtMs)) {
+    if (this.hasAnsweredSince(id, failedAtMs)) {
       return Promise.resolve(false);
     }
-    const asked = this.pendingProbes.get(id);
-    if (asked !== undefined) {
-      return asked;
+    const pending = this.pendingProbes.get(id);
+    if (pending !== undefined) {
+      return pending;
     }
     const { connections, timers, dialect } = this.options;
     const answer = askTarget(
--- a/packages/gateway/src/create-exchange.ts
+++ b/packages/gateway/src/create-exchange.ts
@@ -1,4 +1,4 @@
-/** Joins a gateway's knowledge, load and evidence to the conversation with its peers. */
+/** Connects a gateway's components to the exchange with its peers. */
 import type { DecisionLog } from '@limelead/decision-log';
 import type { StoreFollower } from '@limelead/follow-store';
 import type { Locality } from '@limelead/locality';
@@ -18,7 +18,7 @@
 import type { GatewaySettings } from './settings.js';
 import TargetScheduler from './target-scheduler.js';
 
-/** What the conversation is about. */
+/** The components and handlers that the exchange uses. */
 export interface ExchangeDependencies {
   settings: GatewaySettings;
   clock: Clock;
@@ -41,16 +41,18 @@
   onReport(peer: PeerId, report: PeerReport): void;
 }
 
-/** Creates the conversation; undefined where this VM has no address for peers. */
-export default function createExchange(parts: ExchangeDependencies): EvidenceExchange | undefined {
-  const { settings, clock, log, directory, locality, storeView } = parts;
-  const { follower, engineLoad, retryBudgets } = parts;
+/** Creates the exchange with peers; undefined if this VM has no peer address. */
+export default function createExchange(
+  dependencies: ExchangeDependencies,
+): EvidenceExchange | undefined {
+  const { settings, clock, log, directory, locality, storeView } = dependencies;
+  const { follower, engineLoad, retryBudgets } = dependencies;
   const { failureDomain, peers, seeds } = settings;
   if (peers === undefined) {
     return undefined;
   }
   const id = formatAddress(peers);
-  const { gate, permits } = parts;
+  const { gate, permits } = dependencies;
   const scheduler = new TargetScheduler({ self: id, clock, directory, locality, gate, permits });
   return new EvidenceExchange({
     ...peers,
@@ -60,7 +62,7 @@
     region: locality.region,
     seeds: seeds.map(formatAddress),
     secret: settings.peerSecret,
-    storeAddress: parts.storeAddress,
+    storeAddress: dependencies.storeAddress,
     clock,
     timers: systemTimers,
     random: systemRandom,
@@ -73,25 +75,25 @@
       isStoreAway: follower.isStoreAway,
     }),
     readMarks: () => storeView.listFingerprints(),
-    onStranger: parts.onPeerOfOtherStore,
-    onFault: parts.onFault,
-    onMisdirected: parts.onMisdirected,
+    onStranger: dependencies.onPeerOfOtherStore,
+    onFault: dependencies.onFault,
+    onMisdirected: dependencies.onMisdirected,
     readUpdate: (since) => storeView.createUpdate(since),
     readLoad: () => engineLoad.read(),
     onLoad: (peer, load) => directory.takePeerLoad(peer, load),
     adviseTarget: (peer, question) => scheduler.advise(peer, question),
     onLost: (target, loss) => directory.takePeerLoss(target, loss),
-    readGuardNews: () => parts.guard.listNews(),
-    onGuardNews: (news, peer) => parts.guard.hear(news, peer),
-    readLimits: () => parts.permits.listLimits(),
-    onLimits: (facts, peer) => parts.permits.onPeerUpdate(peer, facts),
-    readLeaving: () => parts.backpressure.listLeaving(),
-    onLeaving: (facts, peer) => parts.backpressure.onPeerUpdate(peer, facts),
-    onPermits: (message, peer) => parts.permits.hear(peer, message),
-    onPermitPeerLost: (peer) => parts.permits.onPeerLost(peer),
+    readGuardNews: () => dependencies.guard.listNews(),
+    onGuardNews: (news, peer) => dependencies.guard.hear(news, peer),
+    readLimits: () => dependencies.permits.listLimits(),
+    onLimits: (facts, peer) => dependencies.permits.onPeerUpdate(peer, facts),
+    readLeaving: () => dependencies.backpressure.listLeaving(),
+    onLeaving: (facts, peer) => dependencies.backpressure.onPeerUpdate(peer, facts),
+    onPermits: (message, peer) => dependencies.permits.hear(peer, message),
+    onPermitPeerLost: (peer) => dependencies.permits.onPeerLost(peer),
     lendRepeats: (service, wanted) => retryBudgets.lend(service, wanted),
-    onRepeats: parts.onBorrowedRetries,
-    onReport: parts.onReport,
+    onRepeats: dependencies.onBorrowedRetries,
+    onReport: dependencies.onReport,
     onUpdate: (update, peer) => storeView.applyPeerUpdate(update, peer),
   });
 }
--- a/packages/gateway/src/create-fleet-components.ts
+++ b/packages/gateway/src/create-fleet-components.ts
@@ -1,11 +1,11 @@
-/** Creates the parts that settings and configuration ask for. */
+/** Creates the fleet-wide components that the settings enable. */
 import createCapacityComponent from './capacity-component.js';
 import createDutyComponent from './duty-component.js';
 import type { FleetComponent, FleetComponentContext } from './fleet-component.js';
 import createRollOutComponent from './roll-out-component.js';
 import createUsageComponent from './usage-component.js';
 
-/** Gives the parts; roll-outs are always followed. */
+/** The roll-out component is always created; the others depend on the settings. */
 export default function createFleetComponents(context: FleetComponentContext): FleetComponent[] {
   const { settings, platform, log } = context;
   const { duties, unknownDuties = [] } = settings;
@@ -16,14 +16,14 @@
   if (duties === undefined || dutyPlatform === undefined) {
     return [createRollOutComponent(context, undefined)];
   }
-  const dutyPart = createDutyComponent(context, duties);
-  const { duty } = dutyPart;
-  const parts: FleetComponent[] = [dutyPart, createRollOutComponent(context, duty)];
+  const dutyComponent = createDutyComponent(context, duties);
+  const { duty } = dutyComponent;
+  const components: FleetComponent[] = [dutyComponent, createRollOutComponent(context, duty)];
   if (duties.duties.includes('usage')) {
-    parts.push(createUsageComponent(context, { duties, dutyComponent: dutyPart, dutyPlatform }));
+    components.push(createUsageComponent(context, { duties, dutyComponent, dutyPlatform }));
   }
   if (duties.duties.includes('capacity')) {
-    parts.push(createCapacityComponent(context, { duties, duty, dutyPlatform }));
+    components.push(createCapacityComponent(context, { duties, duty, dutyPlatform }));
   }
-  return parts;
+  return components;
 }
--- a/packages/gateway/src/create-permits.ts
+++ b/packages/gateway/src/create-permits.ts
@@ -1,11 +1,11 @@
-/** Joins the permits to send with the targets that are known and the conversation with peers. */
+/** Connects send permits to the target directory and to the exchange with peers. */
 import { SendPermits } from '@limelead/permit-sends';
 import type { FleetComponentContext } from './fleet-component.js';
 
-/** A VM that has no address for peers grants its permits itself. */
-const ALONE = 'this VM';
+/** Grantor of a VM without a peer address: it grants its permits itself. */
+const LOCAL_GRANTOR = 'this VM';
 
-/** Creates them. */
+/** Creates the send permits of one VM. */
 export default function createPermits({
   clock,
   timers,
@@ -20,13 +20,13 @@
     ...{ clock, timers, random, log, metrics },
     fleet: {
       get self() {
-        return readFleet()?.self ?? ALONE;
+        return readFleet()?.self ?? LOCAL_GRANTOR;
       },
       countVms: () => readFleet()?.vmCount ?? 1,
       countReached: () => readFleet()?.reachedCount ?? 1,
       chooseGrantor: (service) => {
         const fleet = readFleet();
-        return fleet === undefined ? ALONE : fleet.chooseGrantor(service);
+        return fleet === undefined ? LOCAL_GRANTOR : fleet.chooseGrantor(service);
       },
       send: (vm, message) => readFleet()?.send(vm, message),
       publishLimits: (facts, from) => readFleet()?.publishLimits(facts, from),
--- a/packages/gateway/src/duty-component.ts
+++ b/packages/gateway/src/duty-component.ts
@@ -1,4 +1,4 @@
-/** The part that stands for the duties of one VM at a time, and holds them where it can. */
+/** Makes this VM a candidate for duties that one VM at a time holds, and holds them when it can. */
 import { ConditionalSeat, DutyKeeper, HeldDuty, type Duty } from '@limelead/hold-duty';
 import { systemClock } from '@limelead/types';
 import { randomUUID } from 'node:crypto';
@@ -8,26 +8,21 @@
 import type { DutySettings } from './settings.js';
 
 /**
- * Time from the start until a VM stands, in milliseconds. By then it was named all
- * others; before, each VM of a fleet that starts would think itself the only candidate.
+ * Time after the start before a VM becomes a candidate. Until it has learned of its
+ * peers, every VM of a starting fleet would see itself as the only candidate.
  */
 const CANDIDACY_DELAY_MS = 2_500;
-/**
- * Part of a lease that is left unused, in milliseconds. Clocks run alike to a thousandth, 3 ms
- * of a lease; the rest is for a busy process, whose call leaves some time behind the check.
- */
+/** Unused end of a lease; covers clock drift and the delay between the lease check and the call. */
 const LEASE_MARGIN_MS = 200;
 
-/** A part, and the duty that it holds or does not. */
+/** A component with a duty that this VM may hold. */
 export interface DutyComponent extends FleetComponent {
   duty: Duty;
-  /** This VM can't carry the duty out; it gives it up where others stand. */
+  /** Releases the duty if this VM can't perform it and a linked peer is a candidate. */
   yieldDuty(): void;
 }
 
-/**
- * Creates the part. One lease covers all duties of a key, so that one VM does all of them.
- */
+/** Creates the component. One lease covers all duties of a key, so one VM holds them all. */
 export default function createDutyComponent(
   context: FleetComponentContext,
   { leaseMs, key = DUTY_KEY }: Pick<DutySettings, 'leaseMs'> & { key?: string },
@@ -53,7 +48,7 @@
       log.write('time-lost', { lostMs: Math.round(lostMs) });
     },
   });
-  const readPlace = (): number | undefined => {
+  const readCandidateIndex = (): number | undefined => {
     const candidates = context.readExchange()?.dutyCandidates;
     if (clock.now() - startedAtMs < CANDIDACY_DELAY_MS) {
       return undefined;
@@ -61,8 +56,8 @@
     if (candidates === undefined || settings.peers === undefined) {
       return 0;
     }
-    const place = candidates.indexOf(formatAddress(settings.peers));
-    return place < 0 ? undefined : place;
+    const index = candidates.indexOf(formatAddress(settings.peers));
+    return index < 0 ? undefined : index;
   };
   const seat = new ConditionalSeat({
     store: platform.storeItems,
@@ -79,7 +74,7 @@
     timers,
     random,
     ttlMs: leaseMs,
-    readPlace,
+    readPlace: readCandidateIndex,
     readCutOffSinceMs: () => context.readExchange()?.cutOffSinceMs,
     isTaken: () => (storeView.revision > 0 ? storeView.has(key) : undefined),
     onFault: (step, { reason, sent, message }) =>
--- a/packages/gateway/src/engine-load.ts
+++ b/packages/gateway/src/engine-load.ts
@@ -1,25 +1,22 @@
-/**
- * This VM's load on engines, as it is told to others. Plain services are left out:
- * runs of engines last, and one more slows the others down.
- */
+/** This VM's load on engines, as peers receive it. Plain services are left out: their calls are short. */
 import type { TargetPace } from '@limelead/forward-request';
 import type { TargetLoad } from '@limelead/share-evidence';
 import type { TargetDirectory, TrackedServiceTarget } from '@limelead/track-service-targets';
 
-/** What it needs. */
+/** What the engine load is computed from. */
 export interface EngineLoadOptions {
   directory: TargetDirectory;
   pace: TargetPace;
   isEngine(service: string): boolean;
-  /** The load changed. */
+  /** Called when the load on an engine changes. */
   onChange(): void;
 }
 
-/** Reads the load, and passes its changes on. */
+/** Computes the load of this VM per engine and reports changes. */
 export default class EngineLoad {
   constructor(private readonly options: EngineLoadOptions) {}
 
-  /** Engines that run something of this VM or keep a copy of it. */
+  /** The load on each engine that runs requests of this VM or holds replicas for it. */
   read(): TargetLoad[] {
     const { directory, pace, isEngine } = this.options;
     return directory
@@ -34,7 +31,7 @@
       }));
   }
 
-  /** This VM's work at a target changed. */
+  /** Handles a change of this VM's load at a target. */
   onTargetLoadChange({ target }: TrackedServiceTarget): void {
     if (this.options.isEngine(target.service)) {
       this.options.onChange();
--- a/packages/gateway/src/fleet-component.ts
+++ b/packages/gateway/src/fleet-component.ts
@@ -1,4 +1,4 @@
-/** Parts of a gateway that look at the whole fleet, such as duties of one VM at a time. */
+/** Components of a gateway with a fleet-wide task, such as a duty that one VM at a time holds. */
 import type { DecisionLog } from '@limelead/decision-log';
 import type { TargetGate, TrafficObserver } from '@limelead/forward-request';
 import type { Metrics } from '@limelead/metrics';
@@ -9,11 +9,11 @@
 import type StoreView from './store-view.js';
 import type { GatewaySettings } from './settings.js';
 
-/** What every part may use. */
+/** What every component may use. */
 export interface FleetComponentContext {
   settings: GatewaySettings;
   platform: GatewayPlatform;
-  /** Steady; for spans of time. */
+  /** Monotonic. */
   clock: Clock;
   timers: Timers;
   random: Random;
@@ -21,26 +21,26 @@
   metrics: Metrics;
   directory: TargetDirectory;
   storeView: StoreView;
-  /** Time since the store confirmed what this VM knows, in milliseconds. */
+  /** Time since the store last confirmed this VM's view. */
   readStoreViewAgeMs(): Millis;
-  /** The conversation with peers; undefined before the gateway is made, and without peers. */
+  /** The exchange with peers; undefined while the gateway is constructed, and without a peer address. */
   readExchange(): EvidenceExchange | undefined;
 }
 
-/** One part. */
+/** A component that the gateway starts, informs and stops. */
 export interface FleetComponent {
-  /** What it has to be told of each request. */
+  /** Receives the events of each request. */
   observer?: TrafficObserver;
-  /** Decides which targets may take a request; one part at most has one. */
+  /** Decides which targets may receive a request; at most one component has a gate. */
   gate?: TargetGate;
-  /** What is known of the store changed. */
+  /** Called after each change of the store view. */
   onStoreViewChange?(): void;
-  /** A peer gave a report, which may be of a kind that this part does not read. */
+  /** Called with each report of a peer, of any kind. */
   onReport?(peer: PeerId, report: PeerReport): void;
-  /** The gateway listens, and begins to learn what there is to know. */
+  /** Called when the gateway listens and begins to follow the store. */
   start(): void;
-  /** A planned stop began; resolves when another VM may go on with what this one did alone. */
+  /** Called when a graceful stop begins; resolves when another VM can take over this VM's duties. */
   handOver(): Promise<void>;
-  /** All requests are over, and links to peers are about to end. */
+  /** Called when all requests are finished, before the links to peers close. */
   onDrained?(): void;
 }
--- a/packages/gateway/src/follower-events.ts
+++ b/packages/gateway/src/follower-events.ts
@@ -1,4 +1,4 @@
-/** What a gateway does with what its follower of the store tells it. */
+/** Handles the events of the gateway's store follower. */
 import type { DecisionLog } from '@limelead/decision-log';
 import { describeThrown } from '@limelead/errors';
 import type { StoreFollowerEvents } from '@limelead/follow-store';
@@ -7,34 +7,34 @@
 import type { Millis } from '@limelead/types';
 import type StoreView from './store-view.js';
 
-/** What the events need. */
+/** What the event handlers use. */
 export interface FollowerEventsOptions {
   log: DecisionLog;
   metrics: Metrics;
   storeView: StoreView;
-  /** Undefined where this VM has no address for peers. */
+  /** Undefined if this VM has no peer address. */
   readExchange(): EvidenceExchange | undefined;
-  /** Time since the store last confirmed what this VM knows, in milliseconds. */
+  /** Time since the store last confirmed this VM's view. */
   readStoreViewAgeMs(): Millis;
 }
 
-/** Writes each event, and passes on what it means for knowledge and peers. */
+/** Creates handlers that log each event and update the store view and the exchange with peers. */
 export default function createFollowerEvents(options: FollowerEventsOptions): StoreFollowerEvents {
   const { log, metrics, storeView, readExchange, readStoreViewAgeMs } = options;
-  const noteSkipped = (rows = 0): void => {
+  const logSkipped = (rows = 0): void => {
     if (rows > 0) {
       log.write('store-rows-skipped', { rows });
     }
   };
   return {
     onList(list) {
-      noteSkipped(list.skipped);
+      logSkipped(list.skipped);
       log.write('store-listed', { items: list.items.length, revision: list.revision });
       storeView.applyList(list);
       readExchange()?.noteStoreAnswered();
     },
     onChanges(changes) {
-      noteSkipped(changes.skipped);
+      logSkipped(changes.skipped);
       storeView.applyChanges(changes);
       readExchange()?.noteStoreAnswered();
     },
--- a/packages/gateway/src/format-address.ts
+++ b/packages/gateway/src/format-address.ts
@@ -1,6 +1,6 @@
 import type { Address } from '@limelead/types';
 
-/** Writes an address as "host:port", by which VMs name each other. */
+/** Formats an address as "host:port"; for the peer address this is the VM's peer id. */
 export default function formatAddress({ host, port }: Address): string {
   return `${host}:${port}`;
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,4 +1,4 @@
-/** One process of the HTTP front door. */
+/** The process of the HTTP front door: wires its components and controls start, reload and stop. */
 import createDecisionLog, {
   createLineLimit,
   type DecisionLog,
@@ -47,39 +47,30 @@
 import { startMetricsServer, startReadinessServer } from './readiness-server.js';
 import type { GatewaySettings } from './settings.js';
 
-/**
- * Time for a connection to a target, in milliseconds. One takes 2 to 6 ms within
- * the users' regions; a stream may stand still for 700 ms until it goes on.
- */
+/** Timeout for opening a connection to a target; short, so that another target can be tried. */
 const CONNECT_TIMEOUT_MS = 250;
-/**
- * Idle connections kept to one target. The users' targets take 90 to 640 from all
- * VMs together, 410 VMs at most; calls of one VM seldom overlap at a target.
- */
+/** Idle connections kept per target. Low, because a target's connection limit is shared by all VMs. */
 const MAX_IDLE_CONNECTIONS = 4;
-/** VMs assumed to share the retry budget while nobody told of more: the smallest site's. */
+/** Minimum number of VMs assumed to share the retry budget, until peers report more. */
 const MIN_VMS = 6;
-/**
- * Time for the balancer to notice that this VM is not ready any more, in
- * milliseconds: it asks once a second and takes a VM out at the second miss.
- */
+/** Time for the load balancer to remove a VM that reports not ready. */
 const BALANCER_REMOVAL_MS = 2_500;
-/** Part of the grace that is kept for closing connections and writing the last lines. */
+/** Part of the stop grace period that is kept for closing connections and flushing the log. */
 const STOP_RESERVE_MS = 150;
-/** Pause between two looks whether anything is still under way, in milliseconds. */
+/** Interval at which a stop checks for requests in progress. */
 const STOP_CHECK_INTERVAL_MS = 50;
 
-/** What this VM listens for. */
+/** The servers of this VM, as log lines and metrics name them. */
 type Listener = 'front-door' | 'readiness' | 'metrics' | 'peers';
 
-/** What a gateway needs from the platform. */
+/** The platform's store, protocols and paths that a gateway uses. */
 export interface GatewayPlatform {
   store: StorePort;
-  /** Where the store is, as "host:port"; peers that name the same are believed before it answers. */
+  /** Address of the store as "host:port". Until the store answers, peers with the same address are trusted. */
   storeAddress: string;
   /** The same store, for reads and writes of single items. */
   storeItems: ConditionalStore;
-  /** Undefined where the platform names no duties. */
+  /** Undefined if the platform configures no duties. */
   dutyPlatform?: DutyPlatform;
   storeDialect: StoreDialect;
   targetDialect: TargetDialect;
@@ -88,7 +79,7 @@
   metricsPath: string;
 }
 
-/** Runs one process. */
+/** One entry VM: accepts requests, follows the store and exchanges state with its peers. */
 export default class Gateway {
   readonly log: DecisionLog;
   private readonly logMisdirected: LimitedLines;
@@ -98,13 +89,13 @@
   private readonly connections: TargetConnections;
   private readonly storeView: StoreView;
   private readonly follower: StoreFollower;
-  /** Undefined where this VM has no address for peers. */
+  /** Undefined if this VM has no peer address. */
   private readonly exchange: EvidenceExchange | undefined;
   private readonly frontDoor: HttpFrontDoor;
   private readonly pace: TargetPace;
   private readonly engineLoad: EngineLoad;
   private readonly retryBudgets: RetryBudgets;
-  /** Parts that look at the whole fleet; those that nothing asks for are not there. */
+  /** Fleet-wide components that the settings enable. */
   private readonly components: FleetComponent[];
   private readonly permits: SendPermits;
   private readonly backpressure: Backpressure;
@@ -212,7 +203,7 @@
     });
   }
 
-  /** Listens, then learns what there is to know; resolves when it listens. */
+  /** Opens all servers, then starts to follow the store. Resolves when the servers listen. */
   async start(): Promise<void> {
     const { settings } = this;
     await this.listen('front-door', () => this.frontDoor.listen());
@@ -229,15 +220,24 @@
     this.components.forEach((part) => part.start());
   }
 
-  private listen<Listening>(door: Listener, open: () => Promise<Listening>): Promise<Listening> {
-    return listenWithRetry({ log: this.log, timers: systemTimers }, door, open);
+  private listen<Listening>(
+    listener: Listener,
+    open: () => Promise<Listening>,
+  ): Promise<Listening> {
+    return listenWithRetry({ log: this.log, timers: systemTimers }, listener, open);
   }
 
   private async startReadiness(): Promise<void> {
     const { readinessPath } = this.platform;
     const isReady = (): boolean => this.isReady;
-    const note = (message: IncomingMessage): void => this.onMisdirected('readiness', message);
-    const server = startReadinessServer(this.settings.readiness, readinessPath, isReady, note);
+    const onMisdirected = (message: IncomingMessage): void =>
+      this.onMisdirected('readiness', message);
+    const server = startReadinessServer(
+      this.settings.readiness,
+      readinessPath,
+      isReady,
+      onMisdirected,
+    );
     this.servers.push(await server);
   }
 
@@ -247,36 +247,37 @@
       return;
     }
     const render = (): string => this.metrics.render();
-    const note = (message: IncomingMessage): void => this.onMisdirected('metrics', message);
-    const server = startMetricsServer(metrics, this.platform.metricsPath, render, note);
+    const onMisdirected = (message: IncomingMessage): void =>
+      this.onMisdirected('metrics', message);
+    const server = startMetricsServer(metrics, this.platform.metricsPath, render, onMisdirected);
     this.servers.push(await server);
   }
 
-  /** A request at a door that is not the callers'; it was told that it was not run. */
-  private onMisdirected(door: Listener, { method, url, rawHeaders }: IncomingMessage): void {
+  /** Counts and logs a request that reached the wrong server; its answer says that it was not run. */
+  private onMisdirected(listener: Listener, { method, url, rawHeaders }: IncomingMessage): void {
     const requestId = readRequestId(this.platform.ingressDialect, rawHeaders);
-    this.metrics.count('limelead_misdirected_total', 1, { door });
-    this.logMisdirected({ door, requestId, method, path: url });
+    this.metrics.count('limelead_misdirected_total', 1, { door: listener });
+    this.logMisdirected({ door: listener, requestId, method, path: url });
   }
 
-  /** Whether new connections are welcome. */
+  /** Whether this VM accepts new requests. */
   get isReady(): boolean {
     return !this.isStopping && this.storeView.isComplete;
   }
 
-  /** Takes over new settings; addresses stay as they are until the next start. */
+  /** Applies new settings. Addresses take effect at the next start only. */
   reload(settings: GatewaySettings): void {
     this.settings = settings;
     this.retryBudgets.change(settings.retryBudget);
     this.log.write('settings-reloaded', { failureDomain: settings.failureDomain });
   }
 
-  /** Keeps the last good settings. */
+  /** Logs invalid settings; the last valid ones stay in force. */
   onInvalidSettings(reason: string): void {
     this.log.write('settings-refused', { reason });
   }
 
-  /** A planned stop: nothing that is under way is cut while the grace lasts. */
+  /** Stops gracefully: requests in progress may finish within the grace period. */
   async stop(): Promise<void> {
     if (this.isStopping) {
       return;
@@ -302,7 +303,7 @@
     this.components.forEach((part) => part.onDrained?.());
     this.follower.stop();
     await this.exchange?.stop();
-    // Callers go first: a stream that loses its target while it has a caller is sent on.
+    // Callers' connections close first: a stream whose target is lost while its caller is connected is retried.
     await this.frontDoor.close();
     this.connections.closeAll();
     this.servers.forEach((server) => server.close());
@@ -382,7 +383,7 @@
     });
   }
 
-  /** Milliseconds since the store last answered this VM, or one whose news came here. */
+  /** Time since the store last confirmed this VM's view, directly or through a peer. */
   private get storeViewAgeMs(): number {
     const newestMs = Math.max(
       this.follower.lastAnswerAtMs,
@@ -426,7 +427,7 @@
   }
 }
 
-/** A target is sent as many requests as it runs at once. */
+/** The number of requests that may run at a target at once. */
 function concurrencyLimitOf({ target }: TrackedServiceTarget): number {
   return Math.max(1, target.slots);
 }
--- a/packages/gateway/src/lapsed-targets.test.ts
+++ b/packages/gateway/src/lapsed-targets.test.ts
@@ -10,9 +10,9 @@
   return { kind: 'put', target: { ...target, leaving: false } };
 }
 
-/** Under a clock and timers that the test moves. */
+/** Creates lapsed targets with a clock and timers that the test advances. */
 function create(leaving: string[] = []) {
-  const told: string[] = [];
+  const removed: string[] = [];
   const due: (() => void)[] = [];
   const clock = { at: 0, now: () => clock.at };
   const lapsed = new LapsedTargets({
@@ -25,32 +25,32 @@
     },
     leavingTargetMs: 2_000,
     isLeaving: (id) => leaving.includes(id),
-    onRemoved: (id) => told.push(id),
+    onRemoved: (id) => removed.push(id),
   });
   const outage = (milliseconds: number): void => {
     lapsed.onStoreLost();
     clock.at += milliseconds;
     lapsed.onStoreRegained();
   };
-  return { lapsed, told, clock, outage, runTimers: () => due.splice(0).forEach((run) => run()) };
+  return { lapsed, removed, clock, outage, runTimers: () => due.splice(0).forEach((run) => run()) };
 }
 
-test('entries that lapsed in an outage are kept until they are back', () => {
-  const { lapsed, told, outage, runTimers } = create();
+test('entries that expired in an outage are kept until they are written again', () => {
+  const { lapsed, removed, outage, runTimers } = create();
   outage(5_000);
   assert.equal(lapsed.filter([gone('a'), gone('b')]), []);
   assert.is(lapsed.filter([put('a')]).length, 1);
   runTimers();
-  assert.equal(told, ['b']);
+  assert.equal(removed, ['b']);
 });
 
-test('a target that said that it leaves is gone at once', () => {
+test('a leaving target is removed at once', () => {
   const { lapsed, outage } = create(['a']);
   outage(5_000);
   assert.equal(lapsed.filter([gone('a')]), [gone('a')]);
 });
 
-test('without an outage, after a short one and after the grace a target is gone at once', () => {
+test('without an outage, after a short one and after the grace period a target is removed at once', () => {
   const { lapsed, outage, clock } = create();
   assert.equal(lapsed.filter([gone('a')]), [gone('a')]);
   outage(300);
@@ -60,18 +60,18 @@
   assert.equal(lapsed.filter([gone('a')]), [gone('a')]);
 });
 
-test('a peer that knows the store again first does not end targets either', () => {
-  const { lapsed, told, clock, runTimers } = create();
+test('removals from a peer that reaches the store first are held back, too', () => {
+  const { lapsed, removed, clock, runTimers } = create();
   lapsed.onStoreLost();
   clock.at += 5_000;
   assert.equal(lapsed.filter([gone('a'), gone('b')]), []);
   lapsed.onStoreRegained();
   assert.equal(lapsed.filter([gone('a'), put('b')]), [put('b')]);
   runTimers();
-  assert.equal(told, ['a']);
+  assert.equal(removed, ['a']);
 });
 
-test('the grace ends before a target that left may get no work any more', () => {
+test('the grace period ends before a leaving target must stop receiving requests', () => {
   const waits: number[] = [];
   const clock = { at: 0, now: () => clock.at };
   const lapsed = new LapsedTargets({
--- a/packages/gateway/src/lapsed-targets.ts
+++ b/packages/gateway/src/lapsed-targets.ts
@@ -1,31 +1,30 @@
 /**
- * Targets whose entries lapsed while the store was away. They live on as long as
- * they did before; those that reach the store write themselves again soon after
- * its return. Dropping them at once would leave requests without any target.
+ * Keeps targets whose store entries expired during an outage of the store. Running targets
+ * write their entries again soon after the outage; without the delay no target would be left.
  */
 import type { TargetChange } from '@limelead/track-service-targets';
 import type { CancelTimer, Clock, Millis, Timers } from '@limelead/types';
 
-/** An outage shorter than this lets no entry lapse, in milliseconds. */
+/** An outage shorter than this expires no entries. */
 const MIN_OUTAGE_MS = 2_000;
-/** Time in which entries that lapsed are back after the store's return, in milliseconds. */
+/** Longest time that a removal is held back; targets write their entries again within it. */
 const MAX_GRACE_MS = 2_000;
-/** Part of the time in which a target that left may still get work. */
+/** Fraction of `leavingTargetMs` that a removal may be held back. */
 const GRACE_FRACTION = 0.9;
 
-/** What holding needs. */
+/** Options of `LapsedTargets`. */
 export interface LapsedTargetsOptions {
   clock: Clock;
   timers: Timers;
-  /** Time after which a target that leaves may get no work any more, in milliseconds. */
+  /** Time within which a leaving target must stop receiving requests. */
   leavingTargetMs: Millis;
-  /** Whether a target is known and said that it leaves; its end is no lapse. */
+  /** Whether a target announced that it leaves; its removal is not held back. */
   isLeaving(id: string): boolean;
-  /** The entry did not come back. */
+  /** Called when a held entry was not written again in time. */
   onRemoved(id: string): void;
 }
 
-/** Holds back the end of targets during and right after an outage of the store. */
+/** Holds back removals of targets during an outage of the store and shortly after it. */
 export default class LapsedTargets {
   private lostAtMs: Millis | undefined;
   private graceEndsAtMs: Millis = -Infinity;
@@ -37,8 +36,8 @@
   }
 
   /**
-   * The store stopped answering this VM, which may notice it only some time after
-   * the store's last answer to any VM.
+   * Starts an outage.
+   * @param lastAnswerAtMs the store's last answer to any VM, which may precede the detection
    */
   onStoreLost(lastAnswerAtMs: Millis = -Infinity): void {
     const now = this.options.clock.now();
@@ -46,7 +45,7 @@
     this.lostAtMs ??= isKnown ? Math.min(now, lastAnswerAtMs) : now;
   }
 
-  /** The store answers again. */
+  /** Ends the outage; after a long one the grace period begins. */
   onStoreRegained(): void {
     if (this.isLongOutage) {
       this.graceEndsAtMs = this.options.clock.now() + this.graceMs;
@@ -54,7 +53,7 @@
     this.lostAtMs = undefined;
   }
 
-  /** Takes changes and gives those that hold now. */
+  /** Returns the changes to apply now; other removals are held back. */
   filter(changes: TargetChange[]): TargetChange[] {
     return changes.filter((change) => !this.shouldHold(change));
   }
@@ -74,13 +73,13 @@
     return true;
   }
 
-  /** A peer may know the store again before this VM does. */
+  /** Whether a long outage is in progress. Changes may arrive through a peer that reaches the store first. */
   private get isLongOutage(): boolean {
     const now = this.options.clock.now();
     return this.lostAtMs !== undefined && now - this.lostAtMs >= MIN_OUTAGE_MS;
   }
 
-  /** Each entry has its own time to come back, from when it was first missing. */
+  /** Starts the grace period of an entry, unless it is already held. */
   private hold(id: string): void {
     if (this.heldRemovals.has(id)) {
       return;
--- a/packages/gateway/src/listen-with-retry.ts
+++ b/packages/gateway/src/listen-with-retry.ts
@@ -1,18 +1,18 @@
-/** Listens, also where another process holds the address for now. */
+/** Opens a server and retries while another process uses its address. */
 import type { DecisionLog } from '@limelead/decision-log';
 import { delay, type Millis, type Timers } from '@limelead/types';
 
-/** Pause between two tries; the one that holds the address may be about to end. */
+/** Pause between two attempts to listen. */
 const RETRY_INTERVAL_MS: Millis = 1_000;
 
 /**
- * Tries until it listens: a process that ended for a taken address would only be started
- * again, to end again. Any other error is thrown.
- * @param door names the address in the lines
+ * Retries until the address is free, instead of exiting into a restart loop. Throws any
+ * other error.
+ * @param listener the server's name in log lines
  */
 export default async function listenWithRetry<Listening>(
   { log, timers }: { log: Pick<DecisionLog, 'write'>; timers: Timers },
-  door: string,
+  listener: string,
   listen: () => Promise<Listening>,
 ): Promise<Listening> {
   for (;;) {
@@ -22,7 +22,11 @@
       if ((thrown as NodeJS.ErrnoException).code !== 'EADDRINUSE') {
         throw thrown;
       }
-      log.write('address-taken', { door, reason: String(thrown), pauseMs: RETRY_INTERVAL_MS });
+      log.write('address-taken', {
+        door: listener,
+        reason: String(thrown),
+        pauseMs: RETRY_INTERVAL_MS,
+      });
       await delay(timers, RETRY_INTERVAL_MS);
     }
   }
--- a/packages/gateway/src/operations-page.test.ts
+++ b/packages/gateway/src/operations-page.test.ts
@@ -1,4 +1,4 @@
-/** The operators' page names every line and figure of the gateway, and no others. */
+/** The operations page lists exactly the log events and metrics of the gateway. */
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
@@ -41,7 +41,7 @@
 const page = readFileSync(join(ROOT, 'docs', 'OPERATIONS.md'), 'utf8');
 const sources = readSources();
 
-test('every line that the gateway writes stands on the page', () => {
+test('the page names every log event that the gateway writes', () => {
   const written = findAll(
     sources,
     /(?:\bwrite|toLine)\((?:vm, clock, )?\s*'([a-z]+(?:-[a-z]+)*)'/g,
@@ -51,7 +51,7 @@
   assert.equal(missing, []);
 });
 
-test('every line in the table is written', () => {
+test('the sources write every log event in the table', () => {
   const table = page.slice(page.indexOf('| Event'), page.indexOf('## From an id'));
   const named = findAll(table, /`([a-z]+-[a-z-]+)`/g);
   const unknown = named.filter(
@@ -60,7 +60,7 @@
   assert.equal(unknown, []);
 });
 
-test('the figures on the page are those of the gateway', () => {
+test('the page lists exactly the metrics of the gateway', () => {
   const pattern = /(limelead_[a-z_]+)/g;
   assert.equal(findAll(page.slice(page.indexOf('## Figures')), pattern), findAll(sources, pattern));
 });
--- a/packages/gateway/src/quarantine-component.ts
+++ b/packages/gateway/src/quarantine-component.ts
@@ -1,7 +1,7 @@
 /**
- * The part that keeps requests that end their targets from further ones. What is proved
- * stands in the platform's store, one write for each such request: a VM that starts learns it before
- * it is ready, and so does a fleet that lost power at once.
+ * Keeps requests that crash targets away from further targets. Quarantines are written to
+ * the platform's store, so that VMs know them before they become ready, also after a
+ * restart of the whole fleet.
  */
 import {
   QUARANTINE_MS,
@@ -17,21 +17,21 @@
 import encodeQuarantine from './quarantine-item.js';
 import CrashDetector from './crash-detector.js';
 
-/** Time until a write that failed is tried again: the store answers in milliseconds or is away. */
+/** Delay before a failed write is retried. */
 const WRITE_RETRY_DELAY_MS: Millis = 2_000;
 
-/** A part that also says before each send whether it may go on. */
+/** A component whose guard decides before each attempt whether a request may be sent. */
 export interface QuarantineComponent extends FleetComponent {
   guard: RequestGuard;
 }
 
-/** What the part needs beside the context. */
+/** What the component needs besides its context. */
 export interface QuarantineComponentOptions {
   connections: TargetConnections;
   countVms(): number;
 }
 
-/** Creates the part. Without evidence against any request it makes no calls and tells nothing. */
+/** Creates the component. While no request is suspected, it makes no calls and sends nothing. */
 export default function createQuarantineComponent(
   context: FleetComponentContext,
   options: QuarantineComponentOptions,
@@ -41,7 +41,7 @@
 
 class QuarantineController implements QuarantineComponent {
   readonly guard: RequestGuard;
-  /** What the store holds, as far as this VM took it. */
+  /** The quarantined requests in the store that were applied to the guard. */
   private storedRequests: ReadonlySet<RequestIdentity> = new Set();
   private processedRevision = 0;
 
@@ -51,11 +51,11 @@
   ) {
     const { clock, timers, random, log, metrics, directory, platform } = context;
     const dialect = platform.targetDialect;
-    const ends = new CrashDetector({ timers, directory, connections, dialect });
+    const crashDetector = new CrashDetector({ timers, directory, connections, dialect });
     this.guard = new RequestGuard({
       ...{ clock, timers, random, log, metrics, countVms },
-      hasEnded: (target, brokeAtMs) => ends.hasCrashed(target, brokeAtMs),
-      wasHeardSince: (target, sinceMs) => ends.hasAnsweredSince(target, sinceMs),
+      hasEnded: (target, brokeAtMs) => crashDetector.hasCrashed(target, brokeAtMs),
+      wasHeardSince: (target, sinceMs) => crashDetector.hasAnsweredSince(target, sinceMs),
       tell: (news, from) => context.readExchange()?.tellGuardNews(news, from),
       onProved: (request, quarantine) =>
         this.storeWithRetry(request, quarantine, clock.now() + QUARANTINE_MS),
@@ -69,7 +69,7 @@
     this.onStoreViewChange();
   }
 
-  /** The store may hold more, or less, than before. */
+  /** Applies added and removed quarantines to the guard. */
   onStoreViewChange(): void {
     const { storeView } = this.context;
     if (!storeView.isComplete || storeView.revision === this.processedRevision) {
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Writes it, again and again where it can't be written; resolves after the first time. The item
-   * goes by itself when its lease ends.
+   * Writes a quarantine and retries failed writes until `untilMs`. Resolves after the first
+   * attempt. The store removes the item when its lease ends.
    */
   private async storeWithRetry(
     request: RequestIdentity,
@@ -119,7 +119,7 @@
     }
   }
 
-  /** Why it does not stand there; undefined where it does. */
+  /** Returns the reason of a failure; undefined if the store holds the quarantine. */
   private async write(
     request: RequestIdentity,
     quarantine: Quarantine,
--- a/packages/gateway/src/quarantine-item.ts
+++ b/packages/gateway/src/quarantine-item.ts
@@ -1,20 +1,20 @@
-/** A request that is kept from targets, as an item of the store, in the product's own shape. */
+/** Encodes quarantined requests as store items. */
 import type { Quarantine } from '@limelead/quarantine-requests';
 import * as E from 'fp-ts/lib/Either.js';
 import * as t from 'io-ts';
 
-/** What the item says; its key names the request. */
+/** The item's value; its key holds the request's identity. */
 const quarantineCodec: t.Type<Quarantine, unknown> = t.type({
   service: t.string,
   caller: t.string,
 });
 
-/** The item's value. */
+/** Encodes a quarantine as the value of its item. */
 export default function encodeQuarantine(quarantine: Quarantine): Buffer {
   return Buffer.from(JSON.stringify(quarantine));
 }
 
-/** What the value says; undefined where it makes no sense. */
+/** Decodes the value of an item; undefined if it is invalid. */
 export function decodeQuarantine(value: Buffer): Quarantine | undefined {
   try {
     const decoded = quarantineCodec.decode(JSON.parse(value.toString('utf8')));
--- a/packages/gateway/src/readiness-server.ts
+++ b/packages/gateway/src/readiness-server.ts
@@ -1,4 +1,4 @@
-/** Small HTTP servers beside the front door: whether this VM is ready, and its figures. */
+/** HTTP servers for the readiness probe and for metrics. */
 import { answerMisdirected } from '@limelead/peer-links';
 import type { Address } from '@limelead/types';
 import { createServer, type IncomingMessage, type Server } from 'node:http';
@@ -6,28 +6,28 @@
 const OK = 200;
 const NOT_READY = 503;
 
-/** Told of a request that came here and belongs elsewhere. */
+/** Called with each request whose path this server does not serve. */
 export type OnMisdirected = (message: IncomingMessage) => void;
 
-/** Answers `path` with 200 while the VM is ready, else with 503. */
+/** Answers `path` with 200 while the VM is ready, otherwise with 503. */
 export function startReadinessServer(
   address: Address,
   path: string,
   isReady: () => boolean,
-  noteMisdirected: OnMisdirected,
+  onMisdirected: OnMisdirected,
 ): Promise<Server> {
   const answer = (): Answer => ({ status: isReady() ? OK : NOT_READY, body: '' });
-  return start(address, path, answer, noteMisdirected);
+  return start(address, path, answer, onMisdirected);
 }
 
-/** Answers `path` with the page of figures. */
+/** Answers `path` with the metrics as text. */
 export function startMetricsServer(
   address: Address,
   path: string,
   render: () => string,
-  noteMisdirected: OnMisdirected,
+  onMisdirected: OnMisdirected,
 ): Promise<Server> {
-  return start(address, path, () => ({ status: OK, body: render() }), noteMisdirected);
+  return start(address, path, () => ({ status: OK, body: render() }), onMisdirected);
 }
 
 interface Answer {
@@ -39,11 +39,11 @@
   { host, port }: Address,
   path: string,
   answer: () => Answer,
-  noteMisdirected: OnMisdirected,
+  onMisdirected: OnMisdirected,
 ): Promise<Server> {
   const server = createServer((request, response) => {
     if (request.url !== path) {
-      noteMisdirected(request);
+      onMisdirected(request);
       answerMisdirected(request, response);
       return;
     }
--- a/packages/gateway/src/removal-history.ts
+++ b/packages/gateway/src/removal-history.ts
@@ -1,10 +1,9 @@
 /**
- * Keys that went lately, with the revision of the store by which they were gone. A peer
- * that lacks little is told what went in place of all that is there: with 3,000 targets
- * the keys of all are 60 KB, which 300 VMs ask for at each change.
+ * Recently removed keys with the store revision of each removal. A peer that lacks only
+ * recent changes receives the removed keys instead of the much longer list of present keys.
  */
 
-/** Removals that are remembered: some minutes of a fleet of thousands of targets. */
+/** Number of removals that are kept. */
 const MAX_REMOVALS = 2_048;
 
 interface Removal {
@@ -12,22 +11,22 @@
   revision: number;
 }
 
-/** Remembers the last removals. */
+/** Keeps the last removals. */
 export default class RemovalHistory {
   private removals: Removal[] = [];
-  /** Every removal behind this revision is remembered; none before the first list. */
+  /** All removals after this revision are kept; `Infinity` before the first list. */
   private completeSince = Infinity;
 
   /**
-   * All that is there was learnt anew at that revision. What came and went unseen before
-   * it may be known to peers, so nothing earlier is told any more.
+   * Restarts the history at the revision of a complete list. Earlier removals are dropped,
+   * because this VM may have missed some of them.
    */
   reset(revision: number): void {
     this.removals = [];
     this.completeSince = revision;
   }
 
-  /** A key was gone by that revision. */
+  /** Records that a key was removed by that revision. */
   record(key: string, revision: number): void {
     this.removals.push({ key, revision });
     if (this.removals.length > MAX_REMOVALS) {
@@ -36,7 +35,7 @@
     }
   }
 
-  /** The keys that went behind a revision; undefined where not all of them are known. */
+  /** Lists the keys removed after a revision; undefined if some of them are unknown. */
   listSince(revision: number): string[] | undefined {
     if (revision < this.completeSince) {
       return undefined;
--- a/packages/gateway/src/roll-out-bounds.test.ts
+++ b/packages/gateway/src/roll-out-bounds.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import toRollOutBounds from './roll-out-bounds.js';
 
-test('bounds that are given count, and others are filled', () => {
+test('missing bounds get defaults, given ones are kept', () => {
   const defaults = { exposureShare: 0.1, exposureSlack: 50, rollBackMs: 5_000 };
   assert.equal(toRollOutBounds({}), defaults);
   assert.equal(toRollOutBounds({ exposureSlack: 0, exposureShare: null }), {
--- a/packages/gateway/src/roll-out-bounds.ts
+++ b/packages/gateway/src/roll-out-bounds.ts
@@ -1,10 +1,10 @@
-/** The bounds on roll-outs, where the platform gives some and where it gives none. */
+/** Bounds on roll-outs from the platform's settings. */
 import type { RollOutBounds } from '@limelead/run-roll-outs';
 
-/** What a bad version may get at most where the platform bounds nothing. */
+/** Bounds on the exposure of a bad version where the platform sets none. */
 const DEFAULTS: RollOutBounds = { exposureShare: 0.1, exposureSlack: 50, rollBackMs: 5_000 };
 
-/** Fills what settings leave out. */
+/** Reads the bounds from settings and fills missing ones with defaults. */
 export default function toRollOutBounds(
   settings: Readonly<Record<string, number | null | undefined>>,
 ): RollOutBounds {
--- a/packages/gateway/src/roll-out-component.ts
+++ b/packages/gateway/src/roll-out-component.ts
@@ -1,4 +1,4 @@
-/** The part that moves a service's traffic to a new version, or back, as an order asks. */
+/** Moves a service's traffic to a new version, or rolls it back, as roll-out orders demand. */
 import type { AdmittedRequest, TargetGate, TrafficObserver } from '@limelead/forward-request';
 import type { Duty } from '@limelead/hold-duty';
 import {
@@ -16,24 +16,24 @@
 import formatAddress from './format-address.js';
 import { ROLL_OUT_DUTY_KEY } from './store-keys.js';
 
-/** Time between two rounds of evidence: a bad version is left within two of them and a look. */
+/** Interval at which evidence on versions is exchanged. */
 const ROUND_INTERVAL_MS = 500;
 /**
- * VMs assumed to share the slack while nobody told of more; too few would let a VM that
- * has just started take all of it.
+ * Minimum number of VMs assumed to share the exposure slack, so that a VM that has just
+ * started doesn't use all of it.
  */
 const MIN_VMS = 6;
-/** Time for which the right to write lasts without renewal: a dead writer is replaced within it. */
+/** TTL of the lease for writing roll-out steps; a crashed writer is replaced after it. */
 const WRITER_LEASE_MS = 3_000;
 
-/** A part that also decides where requests may go. */
+/** A component whose gate decides which targets may receive a request. */
 export interface RollOutComponent extends FleetComponent {
   gate: TargetGate;
 }
 
 /**
- * Creates the part. Without an order and with one version it makes no calls and tells peers
- * nothing; it looks at what is known once for each revision of the store.
+ * Creates the component. Without a roll-out order and with a single version it makes no
+ * calls and sends nothing to peers.
  */
 export default function createRollOutComponent(
   context: FleetComponentContext,
@@ -47,11 +47,11 @@
   readonly gate: TargetGate;
   private readonly rollOuts: RollOuts;
   private readonly incarnation = randomUUID();
-  /** The right to write of this part alone, where the platform names no duties. */
+  /** Duty for writing roll-out steps, used if the platform configures no duties. */
   private ownDuty: DutyComponent | undefined;
   private processedRevision = 0;
   private maxVmCount = 1;
-  /** When another VM last told of a roll-out. */
+  /** When a peer last reported on versions. */
   private lastReportAtMs: Millis = -Infinity;
   private isRoundScheduled = false;
   private isStopping = false;
@@ -74,7 +74,7 @@
     this.onStoreViewChange();
   }
 
-  /** The store told something new: orders, steps and versions are read anew. */
+  /** Reads orders, steps and targets again, once per store revision. */
   onStoreViewChange(): void {
     const { storeView, directory } = this.context;
     if (!storeView.isComplete || storeView.revision === this.processedRevision) {
@@ -172,17 +172,21 @@
     });
   }
 
-  /** The most VMs that were seen: those that are cut off share in the slack, too. */
+  /** The highest number of VMs seen so far: isolated VMs keep their share of the slack. */
   private get vmCount(): number {
     this.maxVmCount = Math.max(this.maxVmCount, this.context.readExchange()?.vmCount ?? 1);
     return this.maxVmCount;
   }
 
-  /** Fresh news of the store, and of another VM where there are any. */
+  /** Whether the store view is recent and, if there are other VMs, a peer has reported recently. */
   private get hasFreshState(): boolean {
     const { settings, clock, readStoreViewAgeMs } = this.context;
-    const hears = clock.now() - this.lastReportAtMs < settings.rollOut.rollBackMs * HEARD_PART;
-    return readStoreViewAgeMs() <= settings.configurationWithinMs && (hears || this.vmCount === 1);
+    const hasRecentReport =
+      clock.now() - this.lastReportAtMs < settings.rollOut.rollBackMs * HEARD_PART;
+    return (
+      readStoreViewAgeMs() <= settings.configurationWithinMs &&
+      (hasRecentReport || this.vmCount === 1)
+    );
   }
 
   private isGatherer(): boolean {
@@ -208,7 +212,7 @@
 
   private createGate(): TargetGate {
     const { rollOuts } = this;
-    // A request may come between the store's news and the word of them.
+    // A request may arrive after the store view changed and before `onStoreViewChange` is called.
     const current = (): RollOuts => {
       this.onStoreViewChange();
       return rollOuts;
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -1,58 +1,58 @@
-/** Settings of one gateway process, in the product's own words. */
+/** Settings of one gateway process. */
 import type { CapacitySettings } from '@limelead/order-capacity';
 import type { LocalityPrices } from '@limelead/locality';
 import type { RollOutBounds } from '@limelead/run-roll-outs';
 import type { RetryBudget } from '@limelead/spend-retries';
 import type { Address } from '@limelead/types';
 
-/** Calls to the platform that only one VM at a time may make, and the bounds on them. */
+/** Duties that one VM at a time holds, and limits on their calls to the platform. */
 export interface DutySettings {
-  /** What this system has to do. */
+  /** The enabled duties. */
   duties: readonly DutyName[];
-  /** Calls that all VMs together may make in a second. */
+  /** Limit on the calls of all VMs together. */
   callsPerSecond: number;
-  /** Within this time holders may not act in the order A, B, A, in milliseconds. */
+  /** TTL of the lease on the duties. */
   leaseMs: number;
-  /** Length of a window of usage, in milliseconds. */
+  /** Length of a usage window. */
   usageWindowMs: number;
-  /** Time behind the end of a window by which its usage is due, in milliseconds. */
+  /** Time after the end of a window within which its usage must be reported. */
   usageDueMs: number;
 }
 
-/** A duty that the product knows. */
+/** A duty that limelead supports. */
 export type DutyName = 'usage' | 'capacity';
 
-/** What a process is told by its VM. Everything else comes from the store. */
+/** Settings of the VM's process; the serving configuration comes from the store. */
 export interface GatewaySettings {
   vm: string;
   failureDomain: string;
   frontDoor: Address;
   readiness: Address;
   metrics?: Address;
-  /** Where other VMs reach this one; undefined where it has no peers. */
+  /** Address at which peers reach this VM; undefined if it has no peers. */
   peers?: Address;
-  /** Some addresses of other VMs, which may be old. */
+  /** Addresses of some peers, which may be outdated. */
   seeds: Address[];
-  /** Shared by the VMs of a fleet; empty where links prove nothing. */
+  /** Secret shared by the VMs of a fleet; empty disables authentication between peers. */
   peerSecret: string;
-  /** Time after which a target that leaves may get no work any more, in milliseconds. */
+  /** Time within which a leaving target must stop receiving requests. */
   leavingTargetMs: number;
-  /** Time within which a configuration that the store accepted has to be in force, in milliseconds. */
+  /** Time within which a configuration accepted by the store must be in force. */
   configurationWithinMs: number;
-  /** Time between the request to stop and the kill, in milliseconds. */
+  /** Time between the stop signal and the kill of the process. */
   stopGraceMs: number;
   retryBudget: RetryBudget;
   rollOut: RollOutBounds;
-  /** Region of this VM; undefined where nothing tells of regions. */
+  /** Region of this VM; undefined if no regions are configured. */
   region?: string;
-  /** Region of each failure domain; empty where nothing tells of regions. */
+  /** Region of each failure domain; empty if no regions are configured. */
   regionOf: Readonly<Record<string, string>>;
-  /** Prices of distance that the operator set; the others have their defaults. */
+  /** Costs of distance set by the operator; others have defaults. */
   localityPrices?: Partial<LocalityPrices>;
-  /** Undefined where the platform names no duties. */
+  /** Undefined if the platform configures no duties. */
   duties?: DutySettings;
-  /** How many targets are ordered, where this system orders them. */
+  /** Settings for ordering targets. */
   capacity: CapacitySettings;
-  /** Duties that the platform names and the product does not know. */
+  /** Duties that the platform names and limelead doesn't support. */
   unknownDuties?: readonly string[];
 }
--- a/packages/gateway/src/store-keys.ts
+++ b/packages/gateway/src/store-keys.ts
@@ -1,15 +1,15 @@
-/** Keys of the platform's store that this system writes for itself. */
+/** Keys in the platform's store that limelead itself writes. */
 
-/** Who holds the duties that one VM at a time may do. */
+/** Lease of the duties that one VM at a time may hold. */
 export const DUTY_KEY = 'limelead/duties';
-/** Who may write the steps of roll-outs, where the platform names no duties. */
+/** Lease of the roll-out duty, used if the platform configures no duties. */
 export const ROLL_OUT_DUTY_KEY = 'limelead/roll-out-duty';
-/** The usage that was settled last. */
+/** The last settled usage. */
 export const USAGE_KEY = 'limelead/usage';
-/** Keys of requests that are kept from targets begin so; the identity follows. */
+/** Prefix of the keys of quarantined requests; the request's identity follows. */
 export const QUARANTINE_KEY_PREFIX = 'limelead/quarantine/';
 
-/** Key of the item of a request. */
+/** Returns the key of a quarantined request. */
 export function quarantineKeyOf(identity: string): string {
   return `${QUARANTINE_KEY_PREFIX}${identity}`;
 }
--- a/packages/gateway/src/store-view.test.ts
+++ b/packages/gateway/src/store-view.test.ts
@@ -15,20 +15,20 @@
   return { id, service: 's', host: 'h', port, failureDomain: 'd', slots: 1, leaving: false };
 }
 
-/** Value of a target that said that it leaves. */
+/** Value of a leaving target. */
 const LEAVING = 'leaving';
-/** Value of a target that began again. */
-const REBORN = 'reborn';
-/** Value of an item that does not hold. */
+/** Value of a target that restarted. */
+const RESTARTED = 'restarted';
+/** Value of an item that can't be decoded. */
 const UNREADABLE = 'unreadable';
-/** Value of a target at an address that others use, too. */
+/** Value of a target at an address that other targets use, too. */
 const AT_PORT_1 = 'at port 1';
 
 function item(key: string, revision: number, value = String(revision)): StoreItem {
   return { key, value: Buffer.from(value), revision };
 }
 
-/** Knowledge whose store holds a configuration under "c" and targets under "t1", "t2" and so on. */
+/** Creates a view of a store with a configuration under "c" and targets under "t1", "t2" and so on. */
 function create() {
   const decoded: string[] = [];
   const versions: number[] = [];
@@ -37,7 +37,7 @@
   const directory = new TargetDirectory(clock, {
     onNotice: ({ kind, target }) => kind === 'joined' && joined.push(target.id),
   });
-  const knowledge = new StoreView({
+  const view = new StoreView({
     clock,
     timers: { after: () => () => undefined },
     log: {
@@ -56,7 +56,7 @@
         }
         if (key !== 'c') {
           const leaving = value.toString() === LEAVING;
-          const id = value.toString() === REBORN ? `${key}@2` : key;
+          const id = value.toString() === RESTARTED ? `${key}@2` : key;
           const port = value.toString() === AT_PORT_1 ? 1 : toTarget(key).port;
           return { kind: 'target', target: { ...toTarget(key), id, leaving, port } };
         }
@@ -81,38 +81,38 @@
   });
   const ids = (): string[] => directory.all().map(({ target }) => target.id);
   const usable = (): string[] => directory.listUsable('s').map(({ target }) => target.id);
-  return { knowledge, decoded, versions, ids, usable, joined, lines };
+  return { view, decoded, versions, ids, usable, joined, lines };
 }
 
-test('what did not change is not decoded again', () => {
-  const { knowledge, decoded, versions, ids } = create();
-  knowledge.applyList({ items: [item('c', 5), item('t1', 3)], revision: 6 });
+test('unchanged items are not decoded again', () => {
+  const { view, decoded, versions, ids } = create();
+  view.applyList({ items: [item('c', 5), item('t1', 3)], revision: 6 });
   decoded.length = 0;
-  knowledge.applyList({ items: [item('c', 5), item('t1', 3), item('t2', 8)], revision: 9 });
+  view.applyList({ items: [item('c', 5), item('t1', 3), item('t2', 8)], revision: 9 });
   assert.equal(decoded, ['t2']);
   assert.equal(versions, [5]);
   assert.equal(ids(), ['t1', 't2']);
 });
 
-test("a peer's update brings what is newer, and ends what is gone", () => {
-  const { knowledge, versions, ids } = create();
-  knowledge.applyList({ items: [item('c', 5), item('t1', 3), item('t2', 4)], revision: 6 });
-  knowledge.applyPeerUpdate(
+test("a peer's update applies newer items and removes missing ones", () => {
+  const { view, versions, ids } = create();
+  view.applyList({ items: [item('c', 5), item('t1', 3), item('t2', 4)], revision: 6 });
+  view.applyPeerUpdate(
     { items: [item('c', 8)], gone: [], present: ['c', 't2'], revision: 9 },
     PEER,
   );
   assert.equal(versions, [5, 8]);
   assert.equal(ids(), ['t2']);
-  assert.is(knowledge.revision, 9);
+  assert.is(view.revision, 9);
 });
 
-test('a peer that lacks little is told what went and came, not all that is there', () => {
-  const { knowledge } = create();
+test('a peer that lacks recent changes receives just these, not the keys of all items', () => {
+  const { view } = create();
   const behind = create();
   const list = { items: [item('c', 5), item('t1', 3), item('t2', 4), item('t3', 4)], revision: 6 };
-  knowledge.applyList(list);
-  behind.knowledge.applyList(list);
-  knowledge.applyChanges({
+  view.applyList(list);
+  behind.view.applyList(list);
+  view.applyChanges({
     changes: [
       { kind: 'gone', key: 't1' },
       { kind: 'gone', key: 't2' },
@@ -120,80 +120,80 @@
     ],
     revision: 8,
   });
-  knowledge.applyChanges({ changes: [{ kind: 'put', item: item('t2', 9) }], revision: 9 });
-  const update = knowledge.createUpdate(6);
+  view.applyChanges({ changes: [{ kind: 'put', item: item('t2', 9) }], revision: 9 });
+  const update = view.createUpdate(6);
   assert.equal(update.gone, ['t1']);
   assert.is(update.present, undefined);
   assert.equal(
     update.items.map(({ key }) => key),
     ['t4', 't2'],
   );
-  behind.knowledge.applyPeerUpdate(update, PEER);
+  behind.view.applyPeerUpdate(update, PEER);
   assert.equal(behind.ids().sort(), ['t2', 't3', 't4']);
-  assert.is(behind.knowledge.revision, 9);
-  assert.equal(behind.knowledge.createUpdate(6).gone, ['t1']);
+  assert.is(behind.view.revision, 9);
+  assert.equal(behind.view.createUpdate(6).gone, ['t1']);
 });
 
-test('a peer that knows less than this VM ever heard of is told all that is there', () => {
-  const { knowledge } = create();
-  knowledge.applyList({ items: [item('c', 5), item('t1', 3)], revision: 6 });
-  assert.equal(knowledge.createUpdate(4).present, ['c', 't1']);
-  assert.equal(knowledge.createUpdate(0).items.length, 2);
+test('a peer whose revision precedes the first list receives the keys of all items', () => {
+  const { view } = create();
+  view.applyList({ items: [item('c', 5), item('t1', 3)], revision: 6 });
+  assert.equal(view.createUpdate(4).present, ['c', 't1']);
+  assert.equal(view.createUpdate(0).items.length, 2);
 });
 
-test('of two targets at one address that a peer tells the one that was written later stands there', () => {
-  const { knowledge, ids } = create();
-  knowledge.applyList({ items: [item('c', 5)], revision: 6 });
+test("of two targets at one address in a peer's update the one written last is kept", () => {
+  const { view, ids } = create();
+  view.applyList({ items: [item('c', 5)], revision: 6 });
   const items = [item('t2', 8, AT_PORT_1), item('t1', 7, AT_PORT_1)];
-  knowledge.applyPeerUpdate({ items, gone: [], revision: 8 }, PEER);
+  view.applyPeerUpdate({ items, gone: [], revision: 8 }, PEER);
   assert.equal(ids(), ['t2']);
 });
 
-test('a peer that knows what came and went while this VM was cut off is told all that is there', () => {
-  const { knowledge } = create();
-  knowledge.applyList({ items: [item('c', 5)], revision: 10 });
+test('a peer that knows an item added and removed while this VM was isolated receives the keys of all items', () => {
+  const { view } = create();
+  view.applyList({ items: [item('c', 5)], revision: 10 });
   const behind = create();
-  behind.knowledge.applyList({ items: [item('c', 5), item('t1', 12)], revision: 15 });
-  knowledge.applyList({ items: [item('c', 5)], revision: 20 });
-  behind.knowledge.applyPeerUpdate(knowledge.createUpdate(15), PEER);
+  behind.view.applyList({ items: [item('c', 5), item('t1', 12)], revision: 15 });
+  view.applyList({ items: [item('c', 5)], revision: 20 });
+  behind.view.applyPeerUpdate(view.createUpdate(15), PEER);
   assert.equal(behind.ids(), []);
 });
 
-test('an update that is older than what is known changes nothing', () => {
-  const { knowledge, versions, ids } = create();
-  knowledge.applyList({ items: [item('c', 5), item('t1', 3)], revision: 6 });
-  knowledge.applyPeerUpdate({ items: [item('c', 4)], gone: [], present: ['c'], revision: 6 }, PEER);
+test('an update older than the view changes nothing', () => {
+  const { view, versions, ids } = create();
+  view.applyList({ items: [item('c', 5), item('t1', 3)], revision: 6 });
+  view.applyPeerUpdate({ items: [item('c', 4)], gone: [], present: ['c'], revision: 6 }, PEER);
   assert.equal(versions, [5]);
   assert.equal(ids(), ['t1']);
 });
 
-test('of two targets at one address the one that was written later stands there', () => {
+test('of two targets at one address the one written last is kept', () => {
   for (const [earlier, later] of [
     ['t1', 't2'],
     ['t2', 't1'],
   ] as const) {
-    const { knowledge, ids, joined } = create();
+    const { view, ids, joined } = create();
     const items = [item(earlier, 3, AT_PORT_1), item(later, 4, AT_PORT_1)];
     items.sort((a, b) => (a.key < b.key ? -1 : 1));
-    knowledge.applyList({ items, revision: 6 });
+    view.applyList({ items, revision: 6 });
     assert.equal(ids(), [later]);
     joined.length = 0;
-    knowledge.applyList({ items, revision: 7 });
+    view.applyList({ items, revision: 7 });
     assert.equal(ids(), [later]);
     assert.equal(joined, []);
   }
 });
 
-test('a target that said that it leaves gets nothing new while the store is away either', () => {
-  const { knowledge, usable } = create();
-  knowledge.applyList({ items: [item('t1', 3), item('t2', 4)], revision: 6 });
-  knowledge.applyChanges({
+test('a leaving target stays unusable during an outage of the store', () => {
+  const { view, usable } = create();
+  view.applyList({ items: [item('t1', 3), item('t2', 4)], revision: 6 });
+  view.applyChanges({
     changes: [{ kind: 'put', item: item('t1', 7, LEAVING) }],
     revision: 7,
   });
-  knowledge.onStoreLost();
+  view.onStoreLost();
   assert.equal(usable(), ['t2']);
-  knowledge.applyPeerUpdate(
+  view.applyPeerUpdate(
     {
       items: [item('t1', 3)],
       gone: [],
@@ -203,7 +203,7 @@
     PEER,
   );
   assert.equal(usable(), ['t2']);
-  knowledge.applyPeerUpdate(
+  view.applyPeerUpdate(
     {
       items: [item('t1', 3)],
       gone: [],
@@ -215,116 +215,122 @@
   assert.equal(usable(), ['t2']);
 });
 
-test('an item that does not hold is told, and what was known before stays in force', () => {
-  const { knowledge, lines } = create();
-  knowledge.applyList({ items: [item('c', 1)], revision: 1 });
+test('an unreadable item is logged, and its last valid content stays in force', () => {
+  const { view, lines } = create();
+  view.applyList({ items: [item('c', 1)], revision: 1 });
   const change = { kind: 'put', item: item('c', 2, UNREADABLE) } as const;
-  knowledge.applyChanges({ changes: [change], revision: 2 });
-  assert.is(knowledge.routes?.version, 1);
-  const told = lines.filter(({ event }) => event === 'store-item-unreadable');
-  assert.equal(told, [
+  view.applyChanges({ changes: [change], revision: 2 });
+  assert.is(view.routes?.version, 1);
+  const logged = lines.filter(({ event }) => event === 'store-item-unreadable');
+  assert.equal(logged, [
     { event: 'store-item-unreadable', key: 'c', revision: 2, reason: 'no version' },
   ]);
 });
 
-test('who holds the duties is known, passed on to peers, and gone with its key', () => {
-  const { knowledge, decoded } = create();
-  knowledge.applyList({ items: [item('c', 5), item(DUTY_KEY, 7)], revision: 8 });
-  assert.ok(knowledge.has(DUTY_KEY) && !decoded.includes(DUTY_KEY));
-  const peer = create().knowledge;
-  peer.applyPeerUpdate(knowledge.createUpdate(0), PEER);
+test('the duty item is kept, sent to peers, and removed with its key', () => {
+  const { view, decoded } = create();
+  view.applyList({ items: [item('c', 5), item(DUTY_KEY, 7)], revision: 8 });
+  assert.ok(view.has(DUTY_KEY) && !decoded.includes(DUTY_KEY));
+  const peer = create().view;
+  peer.applyPeerUpdate(view.createUpdate(0), PEER);
   assert.ok(peer.has(DUTY_KEY));
   peer.applyChanges({ changes: [{ kind: 'gone', key: DUTY_KEY }], revision: 9 });
   assert.not.ok(peer.has(DUTY_KEY));
 });
 
-test('what a peer told before the store answered goes where the store lists otherwise', () => {
-  const { knowledge, versions, ids } = create();
-  knowledge.applyPeerUpdate(
+test("items from peers are dropped if the store's first list contradicts them", () => {
+  const { view, versions, ids } = create();
+  view.applyPeerUpdate(
     { items: [item('c', 90), item('t7', 80)], gone: [], present: ['c', 't7'], revision: 95 },
     PEER,
   );
-  assert.equal(knowledge.listFingerprints(), [], 'a word that is not confirmed proves nothing');
-  knowledge.applyList({ items: [item('c', 5), item('t1', 3)], revision: 200 });
+  assert.equal(view.listFingerprints(), [], 'unconfirmed items identify no store');
+  view.applyList({ items: [item('c', 5), item('t1', 3)], revision: 200 });
   assert.equal(versions, [90, 5]);
   assert.equal(ids(), ['t1']);
-  assert.is(knowledge.revision, 200);
+  assert.is(view.revision, 200);
 });
 
-test('what a peer told before the store answered goes also where its revisions lie further back', () => {
-  const { knowledge, versions } = create();
-  const stranger = create();
+test("items from peers are dropped even if their revisions are lower than the store's", () => {
+  const { view, versions } = create();
+  const otherStore = create();
   const theirs = item('c', 9, '5000');
-  stranger.knowledge.applyList({ items: [theirs], revision: 10 });
-  knowledge.applyPeerUpdate({ items: [theirs], gone: [], present: ['c'], revision: 10 }, PEER);
-  knowledge.applyList({ items: [item('c', 150, '12')], revision: 200 });
+  otherStore.view.applyList({ items: [theirs], revision: 10 });
+  view.applyPeerUpdate({ items: [theirs], gone: [], present: ['c'], revision: 10 }, PEER);
+  view.applyList({ items: [item('c', 150, '12')], revision: 200 });
   assert.equal(versions, [5_000, 12]);
-  const marks = new Set(knowledge.listFingerprints());
-  assert.not.ok(stranger.knowledge.listFingerprints().some((mark) => marks.has(mark)));
+  const fingerprints = new Set(view.listFingerprints());
+  assert.not.ok(
+    otherStore.view.listFingerprints().some((fingerprint) => fingerprints.has(fingerprint)),
+  );
 });
 
-test('what a peer told ahead of the list stays, since the store may have moved on meanwhile', () => {
-  const { knowledge, versions } = create();
-  knowledge.applyList({ items: [item('c', 5)], revision: 6 });
-  knowledge.applyPeerUpdate({ items: [item('c', 9)], gone: [], revision: 9 }, PEER);
-  knowledge.applyList({ items: [item('c', 5)], revision: 7 });
+test('a peer update newer than a later list is kept: the store may have changed meanwhile', () => {
+  const { view, versions } = create();
+  view.applyList({ items: [item('c', 5)], revision: 6 });
+  view.applyPeerUpdate({ items: [item('c', 9)], gone: [], revision: 9 }, PEER);
+  view.applyList({ items: [item('c', 5)], revision: 7 });
   assert.equal(versions, [5, 9]);
 });
 
-test('knowledge of a store that began anew is dropped whole, with its marks', () => {
-  const { knowledge, versions, ids, lines } = create();
-  knowledge.applyList({ items: [item('c', 50), item('t1', 40)], revision: 60 });
-  const [before] = knowledge.listFingerprints();
-  knowledge.reset('store-behind', 7);
-  assert.is(knowledge.routes, undefined);
-  assert.is(knowledge.revision, 0);
-  knowledge.applyList({ items: [item('c', 4), item('t2', 3)], revision: 7 });
+test('the view of a store that was reset is dropped with its fingerprints', () => {
+  const { view, versions, ids, lines } = create();
+  view.applyList({ items: [item('c', 50), item('t1', 40)], revision: 60 });
+  const [before] = view.listFingerprints();
+  view.reset('store-behind', 7);
+  assert.is(view.routes, undefined);
+  assert.is(view.revision, 0);
+  view.applyList({ items: [item('c', 4), item('t2', 3)], revision: 7 });
   assert.equal(versions, [50, 4]);
   assert.equal(ids(), ['t2']);
-  assert.not.ok(knowledge.listFingerprints().includes(before ?? 0));
+  assert.not.ok(view.listFingerprints().includes(before ?? 0));
   assert.ok(lines.some(({ event, known }) => event === 'store-knowledge-dropped' && known === 60));
 });
 
-test('VMs of one store share marks while one of them is a configuration behind', () => {
+test('VMs of one store share fingerprints even if one of them lacks a configuration', () => {
   const [ahead, behind, other] = [create(), create(), create()];
   const made = { ...item('t1', 3), made: 2 };
-  behind.knowledge.applyList({ items: [item('c', 5), made], revision: 6 });
-  ahead.knowledge.applyList({ items: [item('c', 8), { ...made, revision: 7 }], revision: 8 });
-  other.knowledge.applyList({ items: [item('c', 6), { ...made, made: 4 }], revision: 6 });
-  const marks = new Set(behind.knowledge.listFingerprints());
-  assert.ok(ahead.knowledge.listFingerprints().some((mark) => marks.has(mark)));
-  assert.not.ok(other.knowledge.listFingerprints().some((mark) => marks.has(mark)));
+  behind.view.applyList({ items: [item('c', 5), made], revision: 6 });
+  ahead.view.applyList({ items: [item('c', 8), { ...made, revision: 7 }], revision: 8 });
+  other.view.applyList({ items: [item('c', 6), { ...made, made: 4 }], revision: 6 });
+  const fingerprints = new Set(behind.view.listFingerprints());
+  assert.ok(ahead.view.listFingerprints().some((fingerprint) => fingerprints.has(fingerprint)));
+  assert.not.ok(other.view.listFingerprints().some((fingerprint) => fingerprints.has(fingerprint)));
 });
 
-test('a target whose item no longer holds is left, and used again once it does', () => {
-  const { knowledge, usable, ids, lines } = create();
-  knowledge.applyList({ items: [item('c', 5), item('t1', 3), item('t2', 4)], revision: 6 });
-  const spoilt = [item('t1', 7, UNREADABLE), item('t3', 8, UNREADABLE), item('c', 9, UNREADABLE)];
-  const changes = spoilt.map((put) => ({ kind: 'put', item: put }) as const);
-  knowledge.applyChanges({ changes, revision: 9 });
+test('a target with an unreadable item gets no requests until the item is valid again', () => {
+  const { view, usable, ids, lines } = create();
+  view.applyList({ items: [item('c', 5), item('t1', 3), item('t2', 4)], revision: 6 });
+  const unreadable = [
+    item('t1', 7, UNREADABLE),
+    item('t3', 8, UNREADABLE),
+    item('c', 9, UNREADABLE),
+  ];
+  const changes = unreadable.map((put) => ({ kind: 'put', item: put }) as const);
+  view.applyChanges({ changes, revision: 9 });
   assert.equal([usable(), ids()], [['t2'], ['t1', 't2']]);
-  assert.is(knowledge.routes?.version, 5);
-  knowledge.applyList({ items: [...spoilt, item('t2', 4)], revision: 10 });
+  assert.is(view.routes?.version, 5);
+  view.applyList({ items: [...unreadable, item('t2', 4)], revision: 10 });
   assert.equal([usable(), ids()], [['t2'], ['t1', 't2']]);
-  const told = lines.filter(({ event }) => event === 'store-item-unreadable');
+  const logged = lines.filter(({ event }) => event === 'store-item-unreadable');
   assert.equal(
-    told.map(({ key, revision }) => [key, revision]),
+    logged.map(({ key, revision }) => [key, revision]),
     [
       ['t1', 7],
       ['t3', 8],
       ['c', 9],
     ],
   );
-  knowledge.applyChanges({ changes: [{ kind: 'put', item: item('t1', 11) }], revision: 11 });
+  view.applyChanges({ changes: [{ kind: 'put', item: item('t1', 11) }], revision: 11 });
   assert.equal(usable(), ['t1', 't2']);
 });
 
-test('a target that begins again under its name is another one', () => {
-  const { knowledge, ids, joined } = create();
-  knowledge.applyList({ items: [item('c', 5), item('t1', 3)], revision: 6 });
-  knowledge.applyChanges({ changes: [{ kind: 'put', item: item('t1', 7, REBORN) }], revision: 7 });
+test('a target that restarts under its key replaces the old one', () => {
+  const { view, ids, joined } = create();
+  view.applyList({ items: [item('c', 5), item('t1', 3)], revision: 6 });
+  view.applyChanges({ changes: [{ kind: 'put', item: item('t1', 7, RESTARTED) }], revision: 7 });
   assert.equal([ids(), joined], [['t1@2'], ['t1', 't1@2']]);
-  knowledge.applyChanges({ changes: [{ kind: 'gone', key: 't1' }], revision: 8 });
+  view.applyChanges({ changes: [{ kind: 'gone', key: 't1' }], revision: 8 });
   assert.equal(ids(), []);
 });
 
--- a/packages/gateway/src/store-view.ts
+++ b/packages/gateway/src/store-view.ts
@@ -1,7 +1,7 @@
 /**
- * What this VM knows of the store, whichever way it came: the configuration in
- * force and the targets. A configuration is taken only if it is newer than the
- * one in force, and a peer's list only if it is newer than what is known.
+ * This VM's view of the store, updated by the store itself and by peers. A configuration is
+ * applied only if it is newer than the one in force, and a peer's update only if it is newer
+ * than the view.
  */
 import { createLineLimit, type DecisionLog, type LimitedLines } from '@limelead/decision-log';
 import type { StoreChange, StoreChanges, StoreItem, StoreList } from '@limelead/follow-store';
@@ -31,35 +31,35 @@
 import RemovalHistory from './removal-history.js';
 import StoreFingerprints, { fingerprintTarget } from './store-fingerprints.js';
 
-/** Where knowledge came from: the store itself, or the address of a peer that told it. */
+/** Source of an update: the store, or the address of a peer. */
 type UpdateSource = string;
 
 const STORE: UpdateSource = 'store';
 
-/** What an item of the store means. */
+/** A decoded store item. */
 export type DecodedStoreItem =
   | { kind: 'configuration'; configuration: ServingConfiguration }
   | { kind: 'target'; target: ServiceTarget }
   | { kind: 'roll-out'; order: RollOutOrder }
-  /** Written by this system: how far a roll-out is. */
+  /** Written by limelead: the current step of a roll-out. */
   | { kind: 'roll-out-step'; service: string; step: AgreedStep }
-  /** Written by this system: a request of that identity is kept from targets. */
+  /** Written by limelead: requests of that identity are quarantined. */
   | { kind: 'quarantine'; identity: string; quarantine: Quarantine }
-  /** Written by this system: somebody holds the duties. */
+  /** Written by limelead: a VM holds the duties. */
   | { kind: 'duty' }
   /**
-   * It should be one of these, and does not hold. A target that the item named before is left
-   * there as one that leaves: nothing new goes to it until its own writer is back.
+   * An item that can't be decoded. The target that it held before is kept as leaving, so that
+   * it receives no new requests until a valid item is written.
    */
   | { kind: 'unreadable'; reason: string; previousTarget?: ServiceTarget }
   | { kind: 'other' };
 
-/** Reads items of the store in the platform's words. */
+/** Translates between the platform's store items and limelead's types. */
 export interface StoreDialect {
   decode(item: StoreItem): DecodedStoreItem;
-  /** The id of the target whose item has that key; undefined for other items. */
+  /** Returns the id of the target stored under a key; undefined for keys of other items. */
   parseTargetId(key: string): string | undefined;
-  /** The item by which the operator is told how far a roll-out is. */
+  /** Creates the item that shows operators the state of a roll-out. */
   composeRollOutState(service: string, state: RollOutState, version: string): StateItem;
 }
 
@@ -68,40 +68,40 @@
 interface StoreViewItem {
   item: StoreItem;
   decoded: DecodedStoreItem;
-  /** Mark of a target; see `StoreMarks`. */
+  /** Set for targets; see `StoreFingerprints`. */
   fingerprint?: number;
 }
 
-/** What knowledge needs. */
+/** Options of `StoreView`. */
 export interface StoreViewOptions {
   clock: Clock;
   timers: Timers;
   log: DecisionLog;
-  /** Time after which a target that leaves may get no work any more, in milliseconds. */
+  /** Time within which a leaving target must stop receiving requests. */
   leavingTargetMs: Millis;
   directory: TargetDirectory;
   dialect: StoreDialect;
-  /** Time since what is known was last confirmed by the store, in milliseconds. */
+  /** Time since the store last confirmed the view. */
   readAgeMs(): Millis;
-  /** Called with each configuration that comes into force. */
+  /** Called with each configuration that comes into force, compiled. */
   onConfiguration(table: RouteTable): void;
-  /** Called when all that was known turned out to be of another store. */
+  /** Called when the view is dropped because it belongs to another store. */
   onReset(): void;
-  /** Called after each change of what is known. */
+  /** Called after each change of the view. */
   onChange(): void;
 }
 
-/** Holds the configuration in force, and passes changes of targets on. */
+/** Holds the configuration in force and applies changes of targets to the directory. */
 export default class StoreView {
   private routeTable: RouteTable | undefined;
-  /** Items that mean something, by key. */
+  /** Known items by key, except those of kind "other". */
   private readonly items = new Map<string, StoreViewItem>();
   private removals = new RemovalHistory();
-  /** Revisions of items that do not hold and left what was known before in force, by key. */
+  /** Revisions of unreadable items by key; their last valid content stays in force. */
   private readonly unreadableRevisions = new Map<string, number>();
   private readonly logUnreadable: LimitedLines;
   private readonly fingerprints = new StoreFingerprints();
-  /** Whether the store itself gave its list; until then peers' word is all that there is. */
+  /** Whether the store itself has sent its list; until then all items are from peers. */
   private hasStoreList = false;
   private currentRevision = 0;
   private configurationChangedAtMs: Millis = 0;
@@ -125,14 +125,14 @@
   }
 
   /**
-   * The store stopped answering this VM.
-   * @param lastAnswerAtMs when it last answered any VM, where that is known to be earlier
+   * Handles the loss of the store.
+   * @param lastAnswerAtMs the store's last answer to any VM, if known
    */
   onStoreLost(lastAnswerAtMs?: Millis): void {
     this.lapsedTargets.onStoreLost(lastAnswerAtMs);
   }
 
-  /** Marks by which peers of the same store are told from others; none before the store answered. */
+  /** Fingerprints that identify peers of the same store; none before the store's first list. */
   listFingerprints(): readonly number[] {
     if (!this.hasStoreList) {
       return [];
@@ -143,9 +143,9 @@
   }
 
   /**
-   * Drops all that is known: it was of another store, or of this one before it began anew.
-   * The store decides, since it never goes back, and what peers say may be of anywhere.
-   * @param revision up to which the store itself has come
+   * Drops the whole view, because it is of another store, or of this store before it was reset.
+   * Only the store's own answers cause this; its revision never decreases.
+   * @param revision the store's current revision
    */
   reset(reason: string, revision: number): void {
     this.options.log.write('store-knowledge-dropped', {
@@ -167,7 +167,7 @@
     this.options.onReset();
   }
 
-  /** The store answers again. */
+  /** Handles the end of an outage of the store. */
   onStoreRegained(): void {
     this.lapsedTargets.onStoreRegained();
   }
@@ -177,19 +177,19 @@
     return this.routeTable;
   }
 
-  /** Who told the configuration in force: "store", or the address of a peer. */
+  /** Source of the configuration in force: "store", or the address of a peer. */
   get configurationSource(): string | undefined {
     return this.currentSource;
   }
 
-  /** Orders of roll-outs that stand now, with the revision that wrote each. */
+  /** Current roll-out orders, each with the revision that wrote it. */
   listRollOutOrders(): StandingOrder[] {
     return [...this.items.values()].flatMap(({ item, decoded }) =>
       decoded.kind === 'roll-out' ? [{ order: decoded.order, revision: item.revision }] : [],
     );
   }
 
-  /** Steps of roll-outs that all VMs agree on, by service. */
+  /** Agreed steps of roll-outs by service. */
   listRollOutSteps(): ReadonlyMap<string, AgreedStep> {
     return new Map(
       [...this.items.values()].flatMap(({ decoded }): [string, AgreedStep][] =>
@@ -198,7 +198,7 @@
     );
   }
 
-  /** Requests that are kept from targets, by their identities. */
+  /** Quarantined requests by identity. */
   listQuarantines(): ReadonlyMap<string, Quarantine> {
     return new Map(
       [...this.items.values()].flatMap(({ decoded }): [string, Quarantine][] =>
@@ -207,40 +207,40 @@
     );
   }
 
-  /** Whether an item that means something is there. */
+  /** Whether the view holds an item of that key. */
   has(key: string): boolean {
     return this.items.has(key);
   }
 
-  /** What is known beyond a revision, for peers that do not ask the store themselves. */
+  /** Creates the update from a revision to the current one, for peers that don't read the store. */
   createUpdate(since: number): StoreUpdate {
     const items = [...this.items.values()].map(({ item }) => item);
     const gone = this.removals.listSince(since);
     return {
       items: items.filter((item) => item.revision > since),
-      // A key that came back is no longer gone.
+      // A removed key may have been written again.
       gone: gone?.filter((key) => !this.items.has(key)) ?? [],
       present: gone === undefined ? items.map(({ key }) => key) : undefined,
       revision: this.currentRevision,
     };
   }
 
-  /** Revision of the store up to which everything is known; 0 before the first list. */
+  /** Store revision up to which the view is complete; 0 before the first list. */
   get revision(): number {
     return this.currentRevision;
   }
 
-  /** Bytes of the newest configuration; 0 for none. */
+  /** Size of the newest configuration; 0 for none. */
   get configurationBytes(): number {
     return this.currentConfigurationBytes;
   }
 
-  /** Whether requests can be served. */
+  /** Whether the view suffices to serve requests. */
   get isComplete(): boolean {
     return this.routeTable !== undefined && this.currentRevision > 0;
   }
 
-  /** Takes a complete list of the store. */
+  /** Applies a complete list of the store. */
   applyList({ items, revision }: StoreList): void {
     if (items.some((item) => this.contradictsList(item, revision))) {
       this.reset('contradicts-list', revision);
@@ -254,7 +254,7 @@
     this.completeList(revision);
   }
 
-  /** Only what the store listed proves anything; what peers told before it may be of anywhere. */
+  /** Only items listed by the store identify it; items from peers may be of another store. */
   private fingerprintConfigurations(items: StoreItem[]): void {
     this.fingerprints.reset();
     items
@@ -262,7 +262,7 @@
       .forEach((item) => this.fingerprints.addConfiguration(item));
   }
 
-  /** Whether what is known of an item can't be of the store that listed it so. */
+  /** Whether the known version of an item can't be from the store that sent this list. */
   private contradictsList(item: StoreItem, listRevision: number): boolean {
     const known = this.items.get(item.key);
     if (known === undefined || known.item.revision > listRevision) {
@@ -272,7 +272,7 @@
     return known.item.revision > item.revision || (isSame && !known.item.value.equals(item.value));
   }
 
-  /** Takes what a peer knows beyond this VM; nothing where this VM learned as much meanwhile. */
+  /** Applies a peer's update; ignores it if it is not newer than the view. */
   applyPeerUpdate({ items, gone, present, revision }: StoreUpdate, peer: string): void {
     if (revision <= this.currentRevision) {
       return;
@@ -293,7 +293,7 @@
     this.completeList(revision);
   }
 
-  /** All that is known now is all that there is. */
+  /** Completes a full update: the items of the view are now all items of the store. */
   private completeList(revision: number): void {
     this.currentRevision = Math.max(revision, this.currentRevision);
     this.removals.reset(revision);
@@ -302,7 +302,7 @@
     onChange();
   }
 
-  /** Of two targets at one address the one that was written later stands there. */
+  /** Lists the targets; of several at one address the one written last. */
   private listTargets(): ServiceTarget[] {
     const inOrder = [...this.items.values()].sort((a, b) => a.item.revision - b.item.revision);
     const byAddress = new Map<string, ServiceTarget>();
@@ -323,12 +323,12 @@
     }
   }
 
-  /** Takes changes that followed a list. */
+  /** Applies changes that follow the view's revision. */
   applyChanges({ changes, revision }: StoreChanges, source = STORE): void {
     const targetChanges = changes.flatMap((change) =>
       this.toTargetChange(change, revision, source),
     );
-    // Requests that wait are served as targets come; by then all that came with them counts.
+    // Set first: applying targets serves queued requests, which rely on the new revision.
     this.currentRevision = Math.max(revision, this.currentRevision);
     this.options.directory.apply(this.lapsedTargets.filter(targetChanges));
     if (changes.length > 0) {
@@ -354,7 +354,7 @@
     if (target === undefined) {
       return [];
     }
-    // Under its name a target may begin again, and then knows nothing of before.
+    // A restarted target keeps its key and gets a new id.
     const isOther = before !== undefined && before.id !== target.id;
     const put: TargetChange = { kind: 'put', target };
     return isOther ? [{ kind: 'gone', id: before.id }, put] : [put];
@@ -370,27 +370,27 @@
     if (known !== undefined && known.item.revision >= item.revision) {
       return known.decoded;
     }
-    const fact = decodeOwnItem(item) ?? this.options.dialect.decode(item);
-    if (fact.kind === 'unreadable') {
-      return this.applyUnreadable(item, fact.reason);
+    const decoded = decodeOwnItem(item) ?? this.options.dialect.decode(item);
+    if (decoded.kind === 'unreadable') {
+      return this.applyUnreadable(item, decoded.reason);
     }
     this.unreadableRevisions.delete(item.key);
-    if (fact.kind !== 'other') {
+    if (decoded.kind !== 'other') {
       this.items.set(item.key, {
         item,
-        decoded: fact,
-        fingerprint: fingerprintOf(item, fact, known),
+        decoded,
+        fingerprint: fingerprintOf(item, decoded, known),
       });
     }
-    if (fact.kind === 'configuration') {
+    if (decoded.kind === 'configuration') {
       this.fingerprints.addConfiguration(item);
       this.currentConfigurationBytes = item.value.length;
-      this.applyConfiguration(fact.configuration, item.revision, source);
+      this.applyConfiguration(decoded.configuration, item.revision, source);
     }
-    return fact;
+    return decoded;
   }
 
-  /** A target is left; of anything else the last one that held stays. One line for each revision. */
+  /** Keeps a target as leaving; other items keep their last valid content. Logs once per revision. */
   private applyUnreadable(item: StoreItem, reason: string): DecodedStoreItem {
     const { key, revision } = item;
     if ((this.unreadableRevisions.get(key) ?? 0) < revision) {
@@ -398,12 +398,12 @@
       this.logUnreadable({ key, revision, reason });
     }
     const before = this.getTarget(key);
-    const left = before && { ...before, leaving: true };
-    const fact: DecodedStoreItem = { kind: 'unreadable', reason, previousTarget: left };
+    const previousTarget = before && { ...before, leaving: true };
+    const decoded: DecodedStoreItem = { kind: 'unreadable', reason, previousTarget };
     if (this.options.dialect.parseTargetId(key) !== undefined) {
-      this.items.set(key, { item, decoded: fact });
+      this.items.set(key, { item, decoded });
     }
-    return fact;
+    return decoded;
   }
 
   private applyConfiguration(
@@ -413,7 +413,7 @@
   ): void {
     const { clock, log, readAgeMs } = this.options;
     const previous = this.routeTable?.version;
-    // Written behind what only peers told, the store's own counts also with a lower version.
+    // The store's first configuration replaces one from peers even if its version is lower.
     const isFirstOwn = source === STORE && !this.hasStoreList;
     if (previous !== undefined && configuration.version <= previous && !isFirstOwn) {
       return;
@@ -436,30 +436,30 @@
   }
 }
 
-function getDecodedTarget(fact: DecodedStoreItem): ServiceTarget | undefined {
-  if (fact.kind === 'target') {
-    return fact.target;
+function getDecodedTarget(decoded: DecodedStoreItem): ServiceTarget | undefined {
+  if (decoded.kind === 'target') {
+    return decoded.target;
   }
-  return fact.kind === 'unreadable' ? fact.previousTarget : undefined;
+  return decoded.kind === 'unreadable' ? decoded.previousTarget : undefined;
 }
 
-/** A target's heartbeats leave its creation and its address as they are, and so its mark. */
+/** The fingerprint of a target; reused while its creation revision and address stay the same. */
 function fingerprintOf(
   item: StoreItem,
-  fact: DecodedStoreItem,
+  decoded: DecodedStoreItem,
   before?: StoreViewItem,
 ): number | undefined {
-  if (fact.kind !== 'target') {
+  if (decoded.kind !== 'target') {
     return undefined;
   }
-  const { host, port } = fact.target;
+  const { host, port } = decoded.target;
   const known = before?.item.made === item.made ? before : undefined;
-  const at = known && getDecodedTarget(known.decoded);
-  const isSame = at?.host === host && at.port === port;
-  return (isSame ? known?.fingerprint : undefined) ?? fingerprintTarget(item, fact.target);
+  const previous = known && getDecodedTarget(known.decoded);
+  const isSame = previous?.host === host && previous.port === port;
+  return (isSame ? known?.fingerprint : undefined) ?? fingerprintTarget(item, decoded.target);
 }
 
-/** Items that this system writes for itself; undefined for others. */
+/** Decodes items that limelead itself writes; undefined for others. */
 function decodeOwnItem({ key, value }: StoreItem): DecodedStoreItem | undefined {
   if (key === DUTY_KEY || key === ROLL_OUT_DUTY_KEY) {
     return DUTY;
--- a/packages/gateway/src/target-scheduler.test.ts
+++ b/packages/gateway/src/target-scheduler.test.ts
@@ -55,13 +55,13 @@
   return { directory, advise, ask };
 }
 
-test('VMs that ask at the same moment are sent to different idle targets', () => {
+test('VMs that ask at the same time get different idle targets', () => {
   const { ask } = create(40);
   const advised = Array.from({ length: 40 }, (_, index) => ask(`vm-${index}`));
   assert.is(new Set(advised).size, 40);
 });
 
-test('no VM is sent to a target of which all places are taken by others', () => {
+test('a target whose slots are all in use is not advised', () => {
   const { directory, ask } = create(1, 2);
   const load = { requests: 2, reading: 0, copies: 0, slowness: 1 };
   directory.takePeerLoad('vm-a', { targets: new Map([['t0', load]]), advice: 0 });
@@ -70,7 +70,7 @@
   assert.is(ask('vm-b'), 't0');
 });
 
-test('only targets of the part that is asked for are looked at', () => {
+test('only targets of the requested part are advised', () => {
   const { ask } = create(40);
   const even = new Set(Array.from({ length: 20 }, () => ask('vm', { part: 0, parts: 2 })));
   const odd = new Set(Array.from({ length: 20 }, () => ask('vm', { part: 1, parts: 2 })));
@@ -78,23 +78,25 @@
   assert.not([...even].some((target) => odd.has(target)));
 });
 
-test('copies are spread over the targets of other domains, whoever asks', () => {
+test('replicas are spread over the targets of other failure domains', () => {
   const { directory, advise } = create(12);
   const south = Array.from({ length: 10 }, (_, index) => ({
     ...createTarget(100 + index),
     failureDomain: 'south',
   }));
   directory.apply(south.map((target) => ({ kind: 'put', target })));
-  const keepers = Array.from({ length: 10 }, (_, index) =>
+  const replicaTargets = Array.from({ length: 10 }, (_, index) =>
     advise(`vm-${index}`, { ...QUESTION, number: 1, affinityKey: `session ${index}` }),
   ).map((answer) => answer?.copyTo);
-  assert.is(new Set(keepers).size, 10);
+  assert.is(new Set(replicaTargets).size, 10);
   assert.ok(
-    keepers.every((keeper) => directory.get(keeper ?? '')?.target.failureDomain === 'south'),
+    replicaTargets.every(
+      (replicaTarget) => directory.get(replicaTarget ?? '')?.target.failureDomain === 'south',
+    ),
   );
 });
 
-test('what this VM advised itself is counted by its own requests alone', () => {
+test("this VM's own advice is not counted as a peer's load", () => {
   const { directory, ask } = create(1);
   ask('self');
   assert.is(directory.get('t0')?.peerRequests, 0);
--- a/packages/gateway/src/target-scheduler.ts
+++ b/packages/gateway/src/target-scheduler.ts
@@ -1,6 +1,6 @@
 /**
- * Answers the VMs of a large fleet that ask where a stream should go. This VM is told
- * the load of all others, and counts what it advised until they tell of it.
+ * Chooses targets for the streams of other VMs in a large fleet. Knows the load of all VMs,
+ * and counts its own advice as load until the advised VM reports it.
  */
 import {
   chooseCopyKeeper,
@@ -18,7 +18,7 @@
 import type { TargetDirectory, TrackedServiceTarget } from '@limelead/track-service-targets';
 import type { Clock } from '@limelead/types';
 
-/** What a scheduler needs. */
+/** Options of `TargetScheduler`. */
 export interface TargetSchedulerOptions {
   /** This VM. */
   self: PeerId;
@@ -29,11 +29,11 @@
   permits: Pick<SendPermits, 'isLimiting' | 'maySend'>;
 }
 
-/** Chooses targets for other VMs, and for this one. */
+/** Chooses targets for other VMs and for this one. */
 export default class TargetScheduler {
   constructor(private readonly options: TargetSchedulerOptions) {}
 
-  /** The target with the least work; undefined where all are full or none is there. */
+  /** Returns the best target for a peer's request; undefined if none has a free slot. */
   advise(peer: PeerId, question: TargetQuestion): TargetAnswer | undefined {
     const { self, clock, directory, locality } = this.options;
     const { service, number, part, parts } = question;
@@ -59,7 +59,7 @@
     return answer;
   }
 
-  /** A target that names a limit looks idle, and the VM that asks has no permit for it. */
+  /** Leaves out rate-limited targets without permits: they look idle but can't be sent to. */
   private listCandidates(service: string): TrackedServiceTarget[] {
     const { permits } = this.options;
     const targets = this.listAdvisable(service);
@@ -68,13 +68,13 @@
       : targets;
   }
 
-  /** Versions under trial are each VM's own matter. */
+  /** Leaves out versions under trial, on which each VM decides itself. */
   private listAdvisable(service: string): TrackedServiceTarget[] {
     const { directory, gate } = this.options;
     return gate.listAdvisable(service, directory.listUsable(service));
   }
 
-  /** Any part of the targets may keep the copy: what is known of their load is soft anyway. */
+  /** The replica may be at a target of any part, since replica load is only an estimate. */
   private chooseReplicaTarget(
     running: TrackedServiceTarget,
     { service, affinityKey }: TargetQuestion,
--- a/packages/gateway/src/usage-component.test.ts
+++ b/packages/gateway/src/usage-component.test.ts
@@ -1,4 +1,4 @@
-/** The part beside an exchange that notes what is told. */
+/** The usage component with an exchange that records what is sent. */
 import type { PeerReport } from '@limelead/share-evidence';
 import { createManualTime, type ManualTime } from '@limelead/stand-ins';
 import { test } from 'uvu';
@@ -8,22 +8,22 @@
 
 const WINDOW_MS = 5_000;
 
-interface Scene {
+interface Setup {
   time: ManualTime;
   part: FleetComponent;
-  told: PeerReport[];
+  sent: PeerReport[];
   begin(): void;
 }
 
-function createScene(): Scene {
-  // Windows begin at whole multiples in true time, wherever this process started: one that
-  // ends within the 300 ms of the test would part its counts.
+function createSetup(): Setup {
+  // Windows begin at multiples of their length, so start in one: its end within the test would
+  // split the counts.
   const time = createManualTime(WINDOW_MS - (performance.timeOrigin % WINDOW_MS));
-  const told: PeerReport[] = [];
+  const sent: PeerReport[] = [];
   const exchange = {
     linkedCandidates: [{ peer: 'b', linkedAtMs: 0 }],
-    reportTo: (_peer: string, report: PeerReport) => void told.push(report),
-    reportToPeers: (report: PeerReport) => void told.push(report),
+    reportTo: (_peer: string, report: PeerReport) => void sent.push(report),
+    reportToPeers: (report: PeerReport) => void sent.push(report),
   };
   const context = {
     ...time,
@@ -32,31 +32,31 @@
   } as unknown as FleetComponentContext;
   const options = {
     duties: { usageWindowMs: WINDOW_MS, usageDueMs: 10_000 },
-    dutyPart: { duty: { permit: () => undefined } },
+    dutyComponent: { duty: { permit: () => undefined } },
   } as unknown as UsageComponentOptions;
   const part = createUsageComponent(context, options);
   const begun = { organisation: 'a' } as never;
-  return { time, part, told, begin: () => part.observer?.onBegun?.(begun, undefined as never) };
+  return { time, part, sent, begin: () => part.observer?.onBegun?.(begun, undefined as never) };
 }
 
-function listRequests(told: readonly PeerReport[]): number[] {
-  return told.flatMap((report) =>
+function listRequests(sent: readonly PeerReport[]): number[] {
+  return sent.flatMap((report) =>
     report.kind === 'usage' ? report.windows.flatMap(({ counts }) => counts.map(([, n]) => n)) : [],
   );
 }
 
-test('a VM that stops tells what it counted up to its end', async () => {
-  const { time, part, told, begin } = createScene();
+test('a stopping VM sends its counts up to the end', async () => {
+  const { time, part, sent, begin } = createSetup();
   part.start();
   begin();
   await time.advance(300);
-  assert.equal(listRequests(told), [1]);
+  assert.equal(listRequests(sent), [1]);
   begin();
   await part.handOver();
-  assert.equal(listRequests(told), [1, 2]);
+  assert.equal(listRequests(sent), [1, 2]);
   begin();
   part.onDrained?.();
-  assert.equal(listRequests(told), [1, 2, 3]);
+  assert.equal(listRequests(sent), [1, 2, 3]);
 });
 
 test.run();
--- a/packages/gateway/src/usage-component.ts
+++ b/packages/gateway/src/usage-component.ts
@@ -1,4 +1,4 @@
-/** The part that counts usage, tells it to those that stand for the duties, and reports it. */
+/** Counts usage, sends it to the duty candidates, and reports it to the platform as duty holder. */
 import { TimeEstimate } from '@limelead/estimate-time';
 import {
   UsageBook,
@@ -19,32 +19,29 @@
 import { DUTY_KEY, USAGE_KEY } from './store-keys.js';
 import type { DutySettings } from './settings.js';
 
-/**
- * Time between two looks at what is to be told or reported, in milliseconds. A VM that loses
- * power takes so much of its counts with it at most.
- */
+/** Interval at which counts are sent and reported; a crashed VM loses at most the counts of one. */
 const REPORT_INTERVAL_MS = 300;
 /**
- * Time between two words on the time of day, in milliseconds. A VM that starts with a wrong
- * clock counts into wrong windows until it heard others.
+ * Interval at which the time of day is sent to peers. A VM with a wrong clock counts into wrong
+ * windows until it receives theirs.
  */
 const TIME_OF_DAY_INTERVAL_MS = 2_000;
 /**
- * Time from the end of a window until its counts are settled, in milliseconds: what VMs tell
- * has come, and those that were cut off for a moment are back.
+ * Longest delay between the end of a window and its settlement. Within it all counts arrive,
+ * also those of VMs that were isolated for a short time.
  */
 const MAX_SETTLE_DELAY_MS = 2_500;
-/** Part of the time until usage is due that may go into waiting; the rest is for what fails. */
+/** Fraction of the reporting deadline that may pass before settlement; the rest is for retries. */
 const SETTLE_DELAY_FRACTION = 0.3;
 
-/** What the part needs beside the context. */
+/** What the component needs besides its context. */
 export interface UsageComponentOptions {
   duties: DutySettings;
   dutyComponent: DutyComponent;
   dutyPlatform: DutyPlatform;
 }
 
-/** Creates the part. */
+/** Creates the component that counts and reports usage. */
 export default function createUsageComponent(
   context: FleetComponentContext,
   { duties, dutyComponent, dutyPlatform }: UsageComponentOptions,
@@ -60,7 +57,7 @@
     onCounted: (window, organisation) => teller.note(window, organisation),
   });
   const teller = new UsageTeller(counter);
-  const book = new UsageBook({ trueTime, windowMs });
+  const usageTable = new UsageBook({ trueTime, windowMs });
   const reporter = new UsageReporter({
     duty: dutyComponent.duty,
     platform: dutyPlatform,
@@ -70,41 +67,41 @@
     windowMs,
     settleAfterMs: Math.min(MAX_SETTLE_DELAY_MS, usageDueMs * SETTLE_DELAY_FRACTION),
     sum(window) {
-      book.hear(incarnation, counter.list(), readOwnFirst());
-      return book.sum(window);
+      usageTable.hear(incarnation, counter.list(), firstOwnWindow());
+      return usageTable.sum(window);
     },
     isCutOff: (heldSinceMs) => heldSinceMs < (readExchange()?.cutOffSinceMs ?? -Infinity),
     readCountedFrom() {
-      return Math.min(readOwnFirst(), book.countedFrom ?? Infinity);
+      return Math.min(firstOwnWindow(), usageTable.countedFrom ?? Infinity);
     },
     onUnreached: () => dutyComponent.yieldDuty(),
-    events: createEvents(context, (window) => book.countTellers(window)),
+    events: createEvents(context, (window) => usageTable.countTellers(window)),
   });
 
-  function readOwnFirst(): number {
+  function firstOwnWindow(): number {
     const ageMs = clock.now() - startedAtMs;
     return Math.floor((trueTime.now() - ageMs) / windowMs) + 1;
   }
 
-  function tell(): void {
+  function sendUsage(): void {
     const exchange = readExchange();
-    const countedFrom = readOwnFirst();
+    const countedFrom = firstOwnWindow();
     teller.tell(
-      listListeners(exchange, (peer, windows) =>
+      listReceivers(exchange, (peer, windows) =>
         exchange?.reportTo(peer, { kind: 'usage', incarnation, countedFrom, windows }),
       ),
     );
   }
 
-  function look(): void {
-    tell();
+  function runRound(): void {
+    sendUsage();
     void reporter.look();
-    timers.after(REPORT_INTERVAL_MS, look);
+    timers.after(REPORT_INTERVAL_MS, runRound);
   }
 
-  function tellTime(): void {
+  function sendTimeOfDay(): void {
     readExchange()?.reportToPeers({ kind: 'time-of-day', incarnation, timeMs: trueTime.ownTimeMs });
-    timers.after(TIME_OF_DAY_INTERVAL_MS, tellTime);
+    timers.after(TIME_OF_DAY_INTERVAL_MS, sendTimeOfDay);
   }
 
   return {
@@ -117,32 +114,32 @@
     },
     onReport(peer, report) {
       if (report.kind === 'usage') {
-        book.hear(report.incarnation, report.windows, report.countedFrom);
+        usageTable.hear(report.incarnation, report.windows, report.countedFrom);
       } else if (report.kind === 'time-of-day') {
         trueTime.hear(peer, report.incarnation, report.timeMs);
       }
     },
     start() {
-      look();
-      timers.after(REPORT_INTERVAL_MS, tellTime);
+      runRound();
+      timers.after(REPORT_INTERVAL_MS, sendTimeOfDay);
     },
     handOver() {
-      tell();
+      sendUsage();
       return Promise.resolve();
     },
-    // What was counted since the last look would go with the process.
-    onDrained: tell,
+    // Counts since the last round would be lost with the process.
+    onDrained: sendUsage,
   };
 }
 
-/** Those that stand for the duties, each with the link to it. */
-function listListeners(
+/** The linked duty candidates as receivers of usage. */
+function listReceivers(
   exchange: EvidenceExchange | undefined,
-  tell: (peer: PeerId, windows: WindowCounts[]) => void,
+  send: (peer: PeerId, windows: WindowCounts[]) => void,
 ): UsageListener[] {
   return (exchange?.linkedCandidates ?? []).map(({ peer, linkedAtMs }) => ({
     link: `${peer} ${linkedAtMs}`,
-    tell: (windows) => tell(peer, windows),
+    tell: (windows) => send(peer, windows),
   }));
 }
 
