--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -175,8 +175,8 @@
       context: this.createContext(),
       dialect: platform.ingressDialect,
     });
-    this.metrics.gauge('limelead_requests_under_way', () => this.frontDoor.underWay);
-    this.metrics.gauge('limelead_held_body_bytes', () => this.frontDoor.heldBodyBytes);
+    this.metrics.gauge('limelead_requests_under_way', () => this.frontDoor.openRequests);
+    this.metrics.gauge('limelead_held_body_bytes', () => this.frontDoor.bufferedBodyBytes);
     this.metrics.gauge('limelead_log_lines_dropped', () => this.log.dropped);
     this.metrics.gauge('limelead_store_knowledge_age_ms', () => this.storeViewAgeMs);
     this.follower = this.createFollower();
@@ -286,17 +286,17 @@
     const startedAtMs = steadyClock.now();
     const { stopGraceMs } = this.settings;
     const handedOver = Promise.all(this.components.map((part) => part.handOver()));
-    this.log.write('stopping', { underWay: this.frontDoor.underWay, graceMs: stopGraceMs });
-    this.frontDoor.beginStop(startedAtMs + stopGraceMs - STOP_RESERVE_MS);
+    this.log.write('stopping', { underWay: this.frontDoor.openRequests, graceMs: stopGraceMs });
+    this.frontDoor.startDraining(startedAtMs + stopGraceMs - STOP_RESERVE_MS);
     const elapsed = (): number => steadyClock.now() - startedAtMs;
     while (
       elapsed() < stopGraceMs - STOP_RESERVE_MS &&
-      (elapsed() < BALANCER_REMOVAL_MS || this.frontDoor.underWay > 0)
+      (elapsed() < BALANCER_REMOVAL_MS || this.frontDoor.openRequests > 0)
     ) {
       await delay(systemTimers, STOP_CHECK_INTERVAL_MS);
     }
     this.log.write('stopped', {
-      underWay: this.frontDoor.underWay,
+      underWay: this.frontDoor.openRequests,
       afterMs: Math.round(elapsed()),
     });
     await handedOver;
@@ -395,7 +395,7 @@
   private onStoreViewChange(): void {
     this.components.forEach((part) => part.onStoreViewChange?.());
     this.exchange?.noteKnowledge();
-    this.frontDoor.noteKnowledge();
+    this.frontDoor.onStoreViewChange();
   }
 
   private countVms(): number {
--- a/packages/http-front-door/src/held-arrivals.test.ts
+++ b/packages/http-front-door/src/held-requests.test.ts
@@ -1,7 +1,7 @@
 import type { Timers } from '@limelead/types';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import HeldArrivals from './held-arrivals.js';
+import HeldRequests from './held-requests.js';
 
 interface SetTimer {
   afterMs: number;
@@ -23,7 +23,7 @@
 
 test('a request is held for a fifth of the time that its caller waits', () => {
   const { timers, set } = createTimers();
-  const held = new HeldArrivals(timers);
+  const held = new HeldRequests(timers);
   const went: string[] = [];
   held.hold(25_000, () => went.push('stream'));
   held.hold(undefined, () => went.push('call'));
@@ -38,7 +38,7 @@
 
 test('all are released in the order in which they came, and each goes on once', () => {
   const { timers, set } = createTimers();
-  const held = new HeldArrivals(timers);
+  const held = new HeldRequests(timers);
   const went: number[] = [];
   held.hold(1_000, () => went.push(1));
   const forget = held.hold(1_000, () => went.push(2));
@@ -52,7 +52,7 @@
 
 test('where too many wait already, the next one is not held', () => {
   const { timers } = createTimers();
-  const held = new HeldArrivals(timers);
+  const held = new HeldRequests(timers);
   let went = 0;
   for (let index = 0; index < 513; index += 1) {
     held.hold(1_000, () => (went += 1));
--- a/packages/http-front-door/src/held-arrivals.ts
+++ b/packages/http-front-door/src/held-requests.ts
@@ -10,14 +10,14 @@
  * Part of the time that its caller waits for which a request is held. What is
  * left has to be enough to answer it, or to come back for a second try.
  */
-const HELD_SHARE = 0.2;
+const HOLD_FRACTION = 0.2;
 /** Time that a caller who names none is taken to wait, in milliseconds; that of a short call. */
-const DEFAULT_WAIT_MS: Millis = 1_000;
+const DEFAULT_TIMEOUT_MS: Millis = 1_000;
 /** Requests held at once; each keeps a connection and what was read of its body. */
-const MAX_HELD = 512;
+const MAX_HELD_REQUESTS = 512;
 
 /** Holds requests until there is a configuration, or until they waited long enough. */
-export default class HeldArrivals {
+export default class HeldRequests {
   private readonly held = new Map<() => void, CancelTimer>();
 
   constructor(private readonly timers: Timers) {}
@@ -34,16 +34,16 @@
    * @returns forgets the request
    */
   hold(waitMs: Millis | undefined, proceed: () => void): () => void {
-    if (this.held.size >= MAX_HELD) {
+    if (this.held.size >= MAX_HELD_REQUESTS) {
       proceed();
       return () => undefined;
     }
     const run = (): void => {
-      this.forget(run);
+      this.remove(run);
       proceed();
     };
-    this.held.set(run, this.timers.after(shareOf(waitMs), run));
-    return () => this.forget(run);
+    this.held.set(run, this.timers.after(computeHoldMs(waitMs), run));
+    return () => this.remove(run);
   }
 
   /** Lets all go on, first come first served. */
@@ -51,13 +51,13 @@
     [...this.held.keys()].forEach((run) => run());
   }
 
-  private forget(run: () => void): void {
+  private remove(run: () => void): void {
     this.held.get(run)?.();
     this.held.delete(run);
   }
 }
 
 /** The part of a caller's time that a request may be held, or may stay away, in milliseconds. */
-export function shareOf(waitMs: Millis = DEFAULT_WAIT_MS): Millis {
-  return waitMs * HELD_SHARE;
+export function computeHoldMs(waitMs: Millis = DEFAULT_TIMEOUT_MS): Millis {
+  return waitMs * HOLD_FRACTION;
 }
--- a/packages/http-front-door/src/http-front-door.test.ts
+++ b/packages/http-front-door/src/http-front-door.test.ts
@@ -36,7 +36,7 @@
 const clock = { now: () => performance.now() };
 
 const ingress: IngressDialect = {
-  readFacts(rawHeaders) {
+  parseHeaders(rawHeaders) {
     const read = (name: string): string | undefined => {
       const index = rawHeaders.findIndex((part, at) => at % 2 === 0 && part.toLowerCase() === name);
       return index < 0 ? undefined : rawHeaders[index + 1];
@@ -108,7 +108,7 @@
 }
 
 /** A front door before one target that answers with what it got. */
-class Bed {
+class TestBed {
   readonly arrived: Arrived[] = [];
   readonly metrics = createMetrics();
   door!: HttpFrontDoor;
@@ -125,8 +125,8 @@
 
   static async start(
     known: ServingConfiguration | typeof NOTHING_KNOWN = configuration,
-  ): Promise<Bed> {
-    const bed = new Bed();
+  ): Promise<TestBed> {
+    const bed = new TestBed();
     bed.table = known === NOTHING_KNOWN ? undefined : compileRoutes(known);
     bed.target = createServer((request, response) => {
       let body = '';
@@ -147,7 +147,7 @@
       port: 0,
       context: bed.createContext(directory),
       dialect: ingress,
-      maxHeldBytes: MAX_HELD_BYTES,
+      maxBufferedBodyBytes: MAX_HELD_BYTES,
     });
     bed.door.applyLimits(configuration.limits);
     await bed.door.listen();
@@ -242,12 +242,12 @@
 const GOOD = head(['Content-Length: 2']) + '\r\nhi';
 const ANSWERED = /got hi/;
 
-async function statusOf(bed: Bed, bytes: string): Promise<string> {
+async function statusOf(bed: TestBed, bytes: string): Promise<string> {
   return (await bed.exchange(bytes, /\r\n\r\n/)).slice(9, 12);
 }
 
 test('a good request reaches its target as it was, with its organisation in place of the key', async () => {
-  const bed = await Bed.start();
+  const bed = await TestBed.start();
   const text = await bed.exchange(GOOD, ANSWERED);
   assert.match(text, /^HTTP\/1.1 200/);
   assert.equal(bed.arrived, [{ path: '/call/1', body: 'hi', organisation: 'north' }]);
@@ -258,7 +258,7 @@
 });
 
 test('what is no request gets its answer from the closed list and reaches no target', async () => {
-  const bed = await Bed.start();
+  const bed = await TestBed.start();
   const cases: [string, string][] = [
     ['400', 'no request at all\r\n\r\n'],
     ['400', head(['Content-Length: 2', 'Transfer-Encoding: chunked']) + '\r\n0\r\n\r\n'],
@@ -283,7 +283,7 @@
 });
 
 test('every answer that this VM makes itself has a line with the id, where it can be read', async () => {
-  const bed = await Bed.start();
+  const bed = await TestBed.start();
   const both = head(['Content-Length: 2', 'Transfer-Encoding: chunked']) + '\r\n0\r\n\r\n';
   await statusOf(bed, both);
   await statusOf(bed, head([], '/elsewhere/1') + '\r\n');
@@ -304,7 +304,7 @@
 });
 
 test('a request in absolute form goes by the host of its target, and reaches the target as a path', async () => {
-  const bed = await Bed.start();
+  const bed = await TestBed.start();
   const sent = head(['Content-Length: 2'], 'http://vans.example:80/call/1?x=2');
   const text = await bed.exchange(sent.replace('Host: vans', 'Host: other') + '\r\nhi', ANSWERED);
   assert.match(text, /^HTTP\/1.1 200/);
@@ -315,7 +315,7 @@
 });
 
 test('a refusal of a request without a body keeps its connection, one before the end of a body does not', async () => {
-  const bed = await Bed.start();
+  const bed = await TestBed.start();
   const empty = head([], '/elsewhere/1') + '\r\n';
   const text = await bed.exchange(empty + GOOD, ANSWERED);
   assert.match(text, /^HTTP\/1.1 404[^]*HTTP\/1.1 200/);
@@ -325,14 +325,14 @@
 });
 
 test('an expectation that this VM does not know is passed over', async () => {
-  const bed = await Bed.start();
+  const bed = await TestBed.start();
   const text = await bed.exchange(head(['Expect: luck', 'Content-Length: 2']) + '\r\nhi', ANSWERED);
   assert.match(text, /^HTTP\/1.1 200/);
   await bed.stop();
 });
 
 test('a head or body that comes too slowly ends with 408, and nothing else is disturbed', async () => {
-  const bed = await Bed.start();
+  const bed = await TestBed.start();
   const slowHead = bed.exchange('POST /call/1 HTTP/1.1\r\nHost: va');
   const slowBody = bed.exchange(head(['Content-Length: 5']) + '\r\nh', /\r\n\r\n/);
   assert.match(await bed.exchange(GOOD, ANSWERED), /200/);
@@ -343,10 +343,10 @@
 });
 
 test('bodies of many callers together are bounded; what is given back serves others', async () => {
-  const bed = await Bed.start();
+  const bed = await TestBed.start();
   const partial = head(['Content-Length: 1000']) + `\r\n${'x'.repeat(990)}`;
   const held = [bed.exchange(partial), bed.exchange(partial)];
-  while (bed.door.heldBodyBytes < 1_980) {
+  while (bed.door.bufferedBodyBytes < 1_980) {
     await new Promise((resolve) => setImmediate(resolve));
   }
   const whole = head(['Content-Length: 900']) + `\r\n${'x'.repeat(900)}`;
@@ -357,7 +357,7 @@
 });
 
 test('a request inside the body of another is never taken for one', async () => {
-  const bed = await Bed.start();
+  const bed = await TestBed.start();
   const inner = head(['Content-Length: 0'], '/call/inner') + '\r\n';
   const outer = head([`Content-Length: ${inner.length}`]) + `\r\n${inner}`;
   await bed.exchange(outer, /got/);
@@ -369,7 +369,7 @@
 });
 
 test('without a configuration a VM says when to come back, and never that a route is unknown', async () => {
-  const blind = await Bed.start(NOTHING_KNOWN);
+  const blind = await TestBed.start(NOTHING_KNOWN);
   const text = await blind.exchange(GOOD, /\r\n\r\n/);
   assert.match(text, /^HTTP\/1.1 503/);
   assert.match(text, /Retry-After: 0\.\d/);
@@ -377,34 +377,34 @@
 });
 
 test('a request that came before the configuration is held, and served once it is known', async () => {
-  const bed = await Bed.start(NOTHING_KNOWN);
+  const bed = await TestBed.start(NOTHING_KNOWN);
   const held = bed.exchange(GOOD, ANSWERED);
-  while (bed.door.underWay === 0) {
+  while (bed.door.openRequests === 0) {
     await new Promise((resolve) => setImmediate(resolve));
   }
-  bed.door.noteKnowledge();
+  bed.door.onStoreViewChange();
   assert.equal(bed.arrived, []);
   bed.table = compileRoutes(configuration);
-  bed.door.noteKnowledge();
+  bed.door.onStoreViewChange();
   assert.match(await held, /^HTTP\/1.1 200/);
   assert.is(bed.arrived.length, 1);
   await bed.stop();
 });
 
 test('a VM that stops before it knows a configuration refuses at once what it held', async () => {
-  const bed = await Bed.start(NOTHING_KNOWN);
+  const bed = await TestBed.start(NOTHING_KNOWN);
   const held = bed.exchange(GOOD, /\r\n\r\n/);
-  while (bed.door.underWay === 0) {
+  while (bed.door.openRequests === 0) {
     await new Promise((resolve) => setImmediate(resolve));
   }
-  bed.door.beginStop(clock.now() + 5_000);
+  bed.door.startDraining(clock.now() + 5_000);
   assert.match(await held, /^HTTP\/1.1 503/);
   await bed.stop();
 });
 
 test('a stopping VM finishes what it reads and ends each connection with its answer', async () => {
-  const bed = await Bed.start();
-  bed.door.beginStop(clock.now() + 5_000);
+  const bed = await TestBed.start();
+  bed.door.startDraining(clock.now() + 5_000);
   const text = await bed.exchange(GOOD);
   assert.match(text, /^HTTP\/1.1 200/);
   assert.match(text, /connection: close/i);
@@ -412,20 +412,20 @@
 });
 
 test('a front door that closed has no request left that could still be sent on', async () => {
-  const bed = await Bed.start();
+  const bed = await TestBed.start();
   const partial = head(['Content-Length: 1000']) + '\r\nx';
   void bed.exchange(partial);
-  while (bed.door.underWay === 0) {
+  while (bed.door.openRequests === 0) {
     await new Promise((resolve) => setImmediate(resolve));
   }
   await bed.door.close();
-  assert.is(bed.door.underWay, 0);
+  assert.is(bed.door.openRequests, 0);
   await bed.stop();
 });
 
 test('a call that may outlast a stopping VM is refused as not run, and reaches no target', async () => {
-  const bed = await Bed.start();
-  bed.door.beginStop(clock.now() + 150);
+  const bed = await TestBed.start();
+  bed.door.startDraining(clock.now() + 150);
   const text = await bed.exchange(GOOD);
   assert.match(text, /^HTTP\/1.1 503/);
   assert.match(text, /Retry-After: /i);
--- a/packages/http-front-door/src/http-front-door.ts
+++ b/packages/http-front-door/src/http-front-door.ts
@@ -13,10 +13,13 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import checkHead from './check-head.js';
-import describeMalformed, { readBrokenHead, type ParserError } from './describe-malformed.js';
-import HeldArrivals, { shareOf } from './held-arrivals.js';
-import { readRequestId, type IngressDialect, type IngressFacts } from './ingress-dialect.js';
-import readTarget, { type RequestTarget } from './request-target.js';
+import createMalformedAnswer, {
+  parseMalformedHead,
+  type ParserError,
+} from './malformed-request.js';
+import HeldRequests, { computeHoldMs } from './held-requests.js';
+import { readRequestId, type IngressDialect, type IngressHeaders } from './ingress-dialect.js';
+import parseRequestTarget, { type RequestTarget } from './request-target.js';
 import readBody, { BodyBudget } from './read-body.js';
 import ResponseSink from './response-sink.js';
 
@@ -26,12 +29,12 @@
 /** Waiting connections that the system keeps for this process. */
 const BACKLOG = 511;
 /** Bytes of bodies that one VM holds at once, unless its owner says otherwise. */
-const DEFAULT_MAX_HELD_BYTES = 64 * 1024 * 1024;
+const DEFAULT_MAX_BUFFERED_BODY_BYTES = 64 * 1024 * 1024;
 /**
  * Time that a stream likely takes; with less left before a stop it is refused. A
  * call that may be held for less is refused later.
  */
-const STREAM_TIME_MS = 5_500;
+const EXPECTED_STREAM_MS = 5_500;
 
 /** What the front door needs. */
 export interface HttpFrontDoorOptions {
@@ -40,11 +43,11 @@
   context: ForwardContext;
   dialect: IngressDialect;
   /** Bytes of bodies that this VM holds at once. */
-  maxHeldBytes?: number;
+  maxBufferedBodyBytes?: number;
 }
 
 /** A request before the filters. */
-interface Arrival {
+interface PendingRequest {
   message: IncomingMessage;
   response: ServerResponse;
   sink: ResponseSink;
@@ -52,7 +55,7 @@
 }
 
 /** A request in the middle of the filters, with the configuration that it passes them by. */
-interface RoutedArrival extends Arrival {
+interface ParsedRequest extends PendingRequest {
   table: RouteTable;
   target: RequestTarget;
 }
@@ -62,19 +65,21 @@
   private readonly server: Server;
   private isStopping = false;
   /** Steady time by which everything has to be finished once this VM is stopping. */
-  private finishByMs: Millis = Infinity;
-  private open = 0;
+  private drainDeadlineMs: Millis = Infinity;
+  private openRequestCount = 0;
   /** Called when no request is under way any more. */
   private onIdle: () => void = () => undefined;
-  private readonly bodies: BodyBudget;
-  private readonly held: HeldArrivals;
-  private readonly noteMalformed: LimitedLines;
+  private readonly bodyBudget: BodyBudget;
+  private readonly heldRequests: HeldRequests;
+  private readonly logMalformed: LimitedLines;
 
   constructor(private readonly options: HttpFrontDoorOptions) {
     const { log, clock } = options.context;
-    this.noteMalformed = createLineLimit(log, clock, 'request-malformed');
-    this.held = new HeldArrivals(options.context.timers);
-    this.bodies = new BodyBudget(options.maxHeldBytes ?? DEFAULT_MAX_HELD_BYTES);
+    this.logMalformed = createLineLimit(log, clock, 'request-malformed');
+    this.heldRequests = new HeldRequests(options.context.timers);
+    this.bodyBudget = new BodyBudget(
+      options.maxBufferedBodyBytes ?? DEFAULT_MAX_BUFFERED_BODY_BYTES,
+    );
     this.server = createServer(
       {
         maxHeaderSize: PARSER_MAX_HEADER_BYTES,
@@ -99,13 +104,13 @@
   }
 
   /** Requests under way. */
-  get underWay(): number {
-    return this.open;
+  get openRequests(): number {
+    return this.openRequestCount;
   }
 
   /** Bytes of bodies held now. */
-  get heldBodyBytes(): number {
-    return this.bodies.heldBytes;
+  get bufferedBodyBytes(): number {
+    return this.bodyBudget.reservedBytes;
   }
 
   /** Begins to take connections. */
@@ -124,9 +129,9 @@
   }
 
   /** A configuration may be known now: requests that waited for one go on. */
-  noteKnowledge(): void {
-    if (this.held.size > 0 && this.options.context.readTable() !== undefined) {
-      this.held.releaseAll();
+  onStoreViewChange(): void {
+    if (this.heldRequests.size > 0 && this.options.context.readTable() !== undefined) {
+      this.heldRequests.releaseAll();
     }
   }
 
@@ -134,10 +139,10 @@
    * From now on each answer ends its connection, and streams that would likely
    * not be whole by the given time are refused.
    */
-  beginStop(finishByMs: Millis): void {
+  startDraining(finishByMs: Millis): void {
     this.isStopping = true;
-    this.finishByMs = finishByMs;
-    this.held.releaseAll();
+    this.drainDeadlineMs = finishByMs;
+    this.heldRequests.releaseAll();
   }
 
   /** Ends everything; resolves when every request knows that its caller is gone. */
@@ -145,19 +150,19 @@
     const ended = new Promise<void>((resolve) => (this.onIdle = resolve));
     this.server.close();
     this.server.closeAllConnections();
-    return this.open === 0 ? Promise.resolve() : ended;
+    return this.openRequestCount === 0 ? Promise.resolve() : ended;
   }
 
   private onRequest(message: IncomingMessage, response: ServerResponse): void {
     const { context } = this.options;
-    this.open += 1;
-    response.once('close', () => this.onEnded());
+    this.openRequestCount += 1;
+    response.once('close', () => this.onResponseClosed());
     const sink = new ResponseSink(message, response, {
       isStopping: () => this.isStopping,
-      onRefused: (error, status) => this.noteRefusal(message, error, status),
+      onRefused: (error, status) => this.recordRefusal(message, error, status),
     });
-    const arrival: Arrival = { message, response, sink, receivedAtMs: context.clock.now() };
-    this.guard(arrival, () => {
+    const arrival: PendingRequest = { message, response, sink, receivedAtMs: context.clock.now() };
+    this.runGuarded(arrival, () => {
       if (context.readTable() === undefined && !this.isStopping) {
         this.hold(arrival);
       } else {
@@ -167,7 +172,7 @@
   }
 
   /** A fault of this program ends the request that met it, not the others. */
-  private guard({ sink }: Arrival, run: () => void): void {
+  private runGuarded({ sink }: PendingRequest, run: () => void): void {
     const { log, metrics } = this.options.context;
     try {
       run();
@@ -178,51 +183,51 @@
     }
   }
 
-  private onEnded(): void {
-    this.open -= 1;
-    if (this.open === 0) {
+  private onResponseClosed(): void {
+    this.openRequestCount -= 1;
+    if (this.openRequestCount === 0) {
       this.onIdle();
     }
   }
 
-  private hold(arrival: Arrival): void {
-    const forget = this.held.hold(this.readWaitMs(arrival), () => {
-      this.noteHeld(arrival);
-      this.guard(arrival, () => this.route(arrival));
+  private hold(arrival: PendingRequest): void {
+    const forget = this.heldRequests.hold(this.readTimeoutMs(arrival), () => {
+      this.logHeld(arrival);
+      this.runGuarded(arrival, () => this.route(arrival));
     });
     arrival.response.once('close', forget);
   }
 
-  private route(arrival: Arrival): void {
+  private route(arrival: PendingRequest): void {
     const { clock, readTable } = this.options.context;
     const table = readTable();
     if (table !== undefined) {
-      this.filter({ ...arrival, table, target: readTarget(arrival.message) });
+      this.checkRequest({ ...arrival, table, target: parseRequestTarget(arrival.message) });
       return;
     }
     const heldMs = clock.now() - arrival.receivedAtMs;
-    const waitMs = this.readWaitMs(arrival);
+    const waitMs = this.readTimeoutMs(arrival);
     arrival.sink.refuse(
       new LimeleadError('store-unavailable', 'no configuration is known yet', {
-        retryAfterMs: Math.ceil(shareOf(waitMs && Math.max(0, waitMs - heldMs))),
+        retryAfterMs: Math.ceil(computeHoldMs(waitMs && Math.max(0, waitMs - heldMs))),
       }),
     );
   }
 
   /** Milliseconds that the caller waits, where its head can be read and says so. */
-  private readWaitMs({ message }: Arrival): Millis | undefined {
-    const facts = this.options.dialect.readFacts(message.rawHeaders);
-    return E.isRight(facts) ? facts.right.waitMs : undefined;
+  private readTimeoutMs({ message }: PendingRequest): Millis | undefined {
+    const facts = this.options.dialect.parseHeaders(message.rawHeaders);
+    return E.isRight(facts) ? facts.right.timeoutMs : undefined;
   }
 
-  private filter(arrival: RoutedArrival): void {
+  private checkRequest(arrival: ParsedRequest): void {
     const { target, sink, table } = arrival;
     const fault = checkHead(target, table.limits);
     if (fault !== undefined) {
       sink.refuse(fault);
       return;
     }
-    const facts = this.options.dialect.readFacts(target.rawHeaders);
+    const facts = this.options.dialect.parseHeaders(target.rawHeaders);
     if (E.isLeft(facts)) {
       sink.refuse(facts.left);
       return;
@@ -235,7 +240,7 @@
     this.authenticate(arrival, facts.right, route);
   }
 
-  private authenticate(arrival: RoutedArrival, facts: IngressFacts, route: ServingRoute): void {
+  private authenticate(arrival: ParsedRequest, facts: IngressHeaders, route: ServingRoute): void {
     const authentication = arrival.table.authenticate(route, facts.key);
     if (authentication.kind === 'unknown-key') {
       arrival.sink.refuse(new LimeleadError('unauthenticated', 'the key is not known'));
@@ -245,13 +250,13 @@
     const { limits } = arrival.table;
     const giveBack = readBody(
       arrival.message,
-      { maxBytes: limits.maxBodyBytes, pauseMs: limits.idleTimeoutMs },
-      this.bodies,
+      { maxBytes: limits.maxBodyBytes, idleTimeoutMs: limits.idleTimeoutMs },
+      this.bodyBudget,
       this.options.context.timers,
       {
         onRefused: (error) => arrival.sink.refuse(error),
         onBody: (body) =>
-          this.guard(arrival, () =>
+          this.runGuarded(arrival, () =>
             this.admit(arrival, facts, route, {
               body,
               organisation: caller?.organisation,
@@ -264,12 +269,12 @@
   }
 
   private admit(
-    { message, target, sink, receivedAtMs }: RoutedArrival,
-    facts: IngressFacts,
+    { message, target, sink, receivedAtMs }: ParsedRequest,
+    facts: IngressHeaders,
     route: ServingRoute,
     admission: { body: Buffer; organisation?: string; rank: number },
   ): void {
-    if (this.finishByMs - receivedAtMs < timeToAnswer(route)) {
+    if (this.drainDeadlineMs - receivedAtMs < estimateAnswerMs(route)) {
       sink.refuse(new LimeleadError('shutting-down', 'this VM stops before the answer is whole'));
       return;
     }
@@ -278,7 +283,7 @@
       sink.refuse(new LimeleadError('no-target', 'the route has no service'));
       return;
     }
-    const deadlineAtMs = receivedAtMs + (facts.waitMs ?? route.timeoutMs);
+    const deadlineAtMs = receivedAtMs + (facts.timeoutMs ?? route.timeoutMs);
     const admitted: AdmittedRequest = {
       request: {
         requestId: facts.requestId,
@@ -302,7 +307,7 @@
     forward(this.options.context, admitted, sink);
   }
 
-  private noteHeld({ message, receivedAtMs }: Arrival): void {
+  private logHeld({ message, receivedAtMs }: PendingRequest): void {
     const { clock, log, metrics, readTable } = this.options.context;
     const heldMs = Math.round(clock.now() - receivedAtMs);
     metrics.recordMs('limelead_held_for_configuration_ms', heldMs);
@@ -313,7 +318,7 @@
     });
   }
 
-  private noteRefusal(message: IncomingMessage, error: LimeleadError, status: number): void {
+  private recordRefusal(message: IncomingMessage, error: LimeleadError, status: number): void {
     const { log, metrics } = this.options.context;
     metrics.count('limelead_refused_total', 1, { kind: error.kind });
     log.write('request-refused', {
@@ -321,12 +326,12 @@
       kind: error.kind,
       status,
       reason: error.message,
-      ...this.describeKnowledge(),
+      ...this.describeConfiguration(),
     });
   }
 
   /** What decides now: which configuration, who told it, and how old knowledge is. */
-  private describeKnowledge(): LogFields {
+  private describeConfiguration(): LogFields {
     const { readTable, readConfigurationSource, readKnowledgeAgeMs } = this.options.context;
     return {
       configuration: readTable()?.version,
@@ -337,15 +342,15 @@
 
   /** Bytes that are no request, too much of a head, or one that comes too slowly. */
   private onMalformed(error: ParserError, socket: Socket): void {
-    const { status, text } = describeMalformed(error.code);
+    const { status, text } = createMalformedAnswer(error.code);
     this.options.context.metrics.count('limelead_malformed_total', 1, { status: String(status) });
-    const { firstLine, rawHeaders } = readBrokenHead(error.rawPacket);
-    this.noteMalformed({
+    const { firstLine, rawHeaders } = parseMalformedHead(error.rawPacket);
+    this.logMalformed({
       requestId: readRequestId(this.options.dialect, rawHeaders),
       status,
       reason: error.code,
       firstLine,
-      ...this.describeKnowledge(),
+      ...this.describeConfiguration(),
     });
     if (socket.writable && error.code !== 'ECONNRESET') {
       socket.end(`HTTP/1.1 ${status} ${text}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
@@ -356,6 +361,6 @@
 }
 
 /** Time in which an answer on that route is whole, or its final answer is given, in milliseconds. */
-function timeToAnswer({ streaming, timeoutMs }: ServingRoute): Millis {
-  return streaming ? STREAM_TIME_MS : Math.min(timeoutMs, STREAM_TIME_MS);
+function estimateAnswerMs({ streaming, timeoutMs }: ServingRoute): Millis {
+  return streaming ? EXPECTED_STREAM_MS : Math.min(timeoutMs, EXPECTED_STREAM_MS);
 }
--- a/packages/http-front-door/src/index.ts
+++ b/packages/http-front-door/src/index.ts
@@ -1,3 +1,3 @@
 /** The HTTP front door: checks, route, key, body, and the answer back to the caller. */
 export { default as HttpFrontDoor, type HttpFrontDoorOptions } from './http-front-door.js';
-export { readRequestId, type IngressDialect, type IngressFacts } from './ingress-dialect.js';
+export { readRequestId, type IngressDialect, type IngressHeaders } from './ingress-dialect.js';
--- a/packages/http-front-door/src/ingress-dialect.ts
+++ b/packages/http-front-door/src/ingress-dialect.ts
@@ -3,10 +3,10 @@
 import * as E from 'fp-ts/lib/Either.js';
 
 /** Facts of a request that stand in its headers. */
-export interface IngressFacts {
+export interface IngressHeaders {
   requestId: string;
   /** Milliseconds that the caller waits; undefined where it does not say. */
-  waitMs?: number;
+  timeoutMs?: number;
   key?: string;
   /** Number of the last piece that the caller has; 0 is none. */
   lastPiece: number;
@@ -17,11 +17,11 @@
 
 /** Reads requests in the words of one kind of caller. */
 export interface IngressDialect {
-  readFacts(rawHeaders: string[]): E.Either<LimeleadError, IngressFacts>;
+  parseHeaders(rawHeaders: string[]): E.Either<LimeleadError, IngressHeaders>;
 }
 
 /** The id of a request, for a line; empty where its head can't be read. */
 export function readRequestId(dialect: IngressDialect, rawHeaders: string[]): string {
-  const facts = dialect.readFacts(rawHeaders);
+  const facts = dialect.parseHeaders(rawHeaders);
   return E.isRight(facts) ? facts.right.requestId : '';
 }
--- a/packages/http-front-door/src/describe-malformed.ts
+++ b/packages/http-front-door/src/malformed-request.ts
@@ -7,7 +7,7 @@
 }
 
 /** @param code the code of the HTTP parser's error */
-export default function describeMalformed(code: string | undefined): MalformedAnswer {
+export default function createMalformedAnswer(code: string | undefined): MalformedAnswer {
   switch (code) {
     case 'HPE_HEADER_OVERFLOW':
       return { status: 431, text: 'Request Header Fields Too Large' };
@@ -25,22 +25,22 @@
 }
 
 /** Most characters of a first line that are written. */
-const MOST_LINE_CHARACTERS = 200;
+const MAX_FIRST_LINE_CHARACTERS = 200;
 
 /** What can be read of a head that is none. */
-export interface BrokenHead {
+export interface MalformedHead {
   firstLine: string;
   /** Names and values by turns, of the lines that look like headers. */
   rawHeaders: string[];
 }
 
 /** @param packet the bytes in which the parser stopped, which need not begin with the head */
-export function readBrokenHead(packet: Buffer | undefined): BrokenHead {
+export function parseMalformedHead(packet: Buffer | undefined): MalformedHead {
   const [head = ''] = (packet?.toString('latin1') ?? '').split('\r\n\r\n', 1);
   const [firstLine = '', ...lines] = head.split('\r\n');
   const rawHeaders = lines.flatMap((line) => {
     const colon = line.indexOf(':');
     return colon < 1 ? [] : [line.slice(0, colon), line.slice(colon + 1).trim()];
   });
-  return { firstLine: firstLine.slice(0, MOST_LINE_CHARACTERS), rawHeaders };
+  return { firstLine: firstLine.slice(0, MAX_FIRST_LINE_CHARACTERS), rawHeaders };
 }
--- a/packages/http-front-door/src/read-body.ts
+++ b/packages/http-front-door/src/read-body.ts
@@ -7,31 +7,31 @@
 export interface BodyLimits {
   maxBytes: number;
   /** Longest pause between two parts, in milliseconds. */
-  pauseMs: number;
+  idleTimeoutMs: number;
 }
 
 /** Bytes of bodies that the whole VM holds, against the most that it may. */
 export class BodyBudget {
-  private held = 0;
+  private reserved = 0;
 
   constructor(private readonly maxBytes: number) {}
 
   /** Bytes held now. */
-  get heldBytes(): number {
-    return this.held;
+  get reservedBytes(): number {
+    return this.reserved;
   }
 
   /** Takes bytes; false where there is no room, and then nothing was taken. */
-  tryTake(bytes: number): boolean {
-    if (this.held + bytes > this.maxBytes) {
+  tryReserve(bytes: number): boolean {
+    if (this.reserved + bytes > this.maxBytes) {
       return false;
     }
-    this.held += bytes;
+    this.reserved += bytes;
     return true;
   }
 
-  giveBack(bytes: number): void {
-    this.held -= bytes;
+  release(bytes: number): void {
+    this.reserved -= bytes;
   }
 }
 
@@ -51,7 +51,7 @@
 ): () => void {
   const announced = Number(message.headers['content-length'] ?? 0);
   if (announced > limits.maxBytes) {
-    events.onRefused(describeSize(limits));
+    events.onRefused(createTooLargeError(limits));
     return () => undefined;
   }
   const chunks: Buffer[] = [];
@@ -61,7 +61,7 @@
   let cancelTimer = startTimer();
 
   function startTimer() {
-    return timers.after(limits.pauseMs, () =>
+    return timers.after(limits.idleTimeoutMs, () =>
       finish(() => events.onRefused(new LimeleadError('too-slow', 'the body came too slowly'))),
     );
   }
@@ -80,10 +80,10 @@
     }
     bytes += chunk.length;
     if (bytes > limits.maxBytes) {
-      finish(() => events.onRefused(describeSize(limits)));
+      finish(() => events.onRefused(createTooLargeError(limits)));
       return;
     }
-    if (!budget.tryTake(chunk.length)) {
+    if (!budget.tryReserve(chunk.length)) {
       finish(() => events.onRefused(new LimeleadError('overloaded', 'too many bodies at once')));
       return;
     }
@@ -96,11 +96,11 @@
   message.on('error', () => finish(() => undefined));
   message.on('close', () => finish(() => undefined));
   return () => {
-    budget.giveBack(taken);
+    budget.release(taken);
     taken = 0;
   };
 }
 
-function describeSize({ maxBytes }: BodyLimits): LimeleadError {
+function createTooLargeError({ maxBytes }: BodyLimits): LimeleadError {
   return new LimeleadError('too-large', `the body is longer than ${maxBytes} bytes`);
 }
--- a/packages/http-front-door/src/request-target.ts
+++ b/packages/http-front-door/src/request-target.ts
@@ -14,7 +14,7 @@
 }
 
 /** Reads the target. */
-export default function readTarget({
+export default function parseRequestTarget({
   url = '',
   headers,
   rawHeaders,
--- a/packages/http-front-door/src/response-sink.ts
+++ b/packages/http-front-door/src/response-sink.ts
@@ -4,10 +4,10 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 /** Bytes that may wait for a caller who does not read; beyond it the answer is cut. */
-const MAX_WAITING_BYTES = 1024 * 1024;
+const MAX_BUFFERED_BYTES = 1024 * 1024;
 /** How long an answer that came before the end of the body waits for that end, in milliseconds. */
 const BODY_END_TIMEOUT_MS = 1_000;
-const MILLISECONDS_A_SECOND = 1_000;
+const MS_PER_SECOND = 1_000;
 
 /** What a sink tells its owner. */
 export interface ResponseSinkEvents {
@@ -47,8 +47,8 @@
       return;
     }
     this.response.write(bytes);
-    if (this.response.writableLength > MAX_WAITING_BYTES) {
-      this.cut();
+    if (this.response.writableLength > MAX_BUFFERED_BYTES) {
+      this.destroy();
     }
   }
 
@@ -60,7 +60,7 @@
   }
 
   abort(): void {
-    this.cut();
+    this.destroy();
   }
 
   refuse(error: LimeleadError): void {
@@ -79,7 +79,7 @@
       String(Buffer.byteLength(body)),
     ];
     if (answer.mayRetry && answer.execution === 'not-run') {
-      headers.push('Retry-After', String(answer.retryAfterMs / MILLISECONDS_A_SECOND));
+      headers.push('Retry-After', String(answer.retryAfterMs / MS_PER_SECOND));
     }
     const isBodyRead = this.message.complete || isBodyEmpty(this.message);
     if (this.events.isStopping() || !isBodyRead) {
@@ -87,7 +87,7 @@
     }
     this.response.writeHead(status, headers);
     this.response.write(body);
-    this.endBehindBody(isBodyRead);
+    this.endAfterBody(isBodyRead);
   }
 
   /** Told at once where the caller left before: a request and its end may be read together. */
@@ -109,7 +109,7 @@
    * Closing a connection with unread bytes resets it, and the caller might lose
    * the answer; so the rest of the body is read and thrown away first.
    */
-  private endBehindBody(isBodyRead: boolean): void {
+  private endAfterBody(isBodyRead: boolean): void {
     if (isBodyRead) {
       this.response.end();
       return;
@@ -123,7 +123,7 @@
     this.response.once('close', () => clearTimeout(timer));
   }
 
-  private cut(): void {
+  private destroy(): void {
     this.isOver = true;
     this.response.destroy();
   }
--- a/packages/measure/src/experiments/front-door.ts
+++ b/packages/measure/src/experiments/front-door.ts
@@ -212,7 +212,7 @@
 }
 
 const ingress: IngressDialect = {
-  readFacts(rawHeaders) {
+  parseHeaders(rawHeaders) {
     const read = (name: string): string => rawHeaders[rawHeaders.indexOf(name) + 1] ?? '';
     return E.right({
       requestId: read('id'),
