--- a/packages/http-front-door/src/check-head.ts
+++ b/packages/http-front-door/src/check-head.ts
@@ -1,32 +1,33 @@
-/** Pure check of a request's head against the limits of the configuration. */
+/** Checks a request head against the configured limits. */
 import { LimeleadError } from '@limelead/errors';
 import type { CallerLimits } from '@limelead/types';
 import type { RequestTarget } from './request-target.js';
 
-/** Name, colon, blank and line end of a header line. */
+/** Colon, blank and line end of a header line. */
 const HEADER_LINE_OVERHEAD_BYTES = 4;
 
-/** What a head may not be; undefined where it holds. */
+/** Returns the error of an invalid head; undefined if it is valid. */
 export default function checkHead(
   { rawHeaders, path }: RequestTarget,
   limits: Pick<CallerLimits, 'maxHeaderBytes'>,
 ): LimeleadError | undefined {
   const bytes = rawHeaders.reduce(
-    (sum, part, index) => sum + part.length + (index % 2) * HEADER_LINE_OVERHEAD_BYTES,
+    (sum, field, index) => sum + field.length + (index % 2) * HEADER_LINE_OVERHEAD_BYTES,
     path.length,
   );
   if (bytes > limits.maxHeaderBytes) {
-    return new LimeleadError('headers-too-large', 'the head is too long');
+    return new LimeleadError('headers-too-large', 'the request head is too long');
   }
   if (!path.startsWith('/')) {
     return new LimeleadError('invalid-request', 'the path does not begin with a slash');
   }
   if (countHeader(rawHeaders, 'host') > 1) {
-    return new LimeleadError('invalid-request', 'more than one host');
+    return new LimeleadError('invalid-request', 'more than one Host header');
   }
   return undefined;
 }
 
 function countHeader(rawHeaders: string[], name: string): number {
-  return rawHeaders.filter((part, index) => index % 2 === 0 && part.toLowerCase() === name).length;
+  return rawHeaders.filter((field, index) => index % 2 === 0 && field.toLowerCase() === name)
+    .length;
 }
--- a/packages/http-front-door/src/held-requests.test.ts
+++ b/packages/http-front-door/src/held-requests.test.ts
@@ -21,43 +21,43 @@
   return { timers, set };
 }
 
-test('a request is held for a fifth of the time that its caller waits', () => {
+test("a request is held for a fifth of its caller's timeout", () => {
   const { timers, set } = createTimers();
   const held = new HeldRequests(timers);
-  const went: string[] = [];
-  held.hold(25_000, () => went.push('stream'));
-  held.hold(undefined, () => went.push('call'));
+  const continued: string[] = [];
+  held.hold(25_000, () => continued.push('stream'));
+  held.hold(undefined, () => continued.push('call'));
   assert.equal(
     set.map(({ afterMs }) => afterMs),
     [5_000, 200],
   );
   set[1]?.run();
-  assert.equal(went, ['call']);
+  assert.equal(continued, ['call']);
   assert.is(held.size, 1);
 });
 
-test('all are released in the order in which they came, and each goes on once', () => {
+test('requests are released once each, in order of arrival', () => {
   const { timers, set } = createTimers();
   const held = new HeldRequests(timers);
-  const went: number[] = [];
-  held.hold(1_000, () => went.push(1));
-  const forget = held.hold(1_000, () => went.push(2));
-  held.hold(1_000, () => went.push(3));
-  forget();
+  const continued: number[] = [];
+  held.hold(1_000, () => continued.push(1));
+  const drop = held.hold(1_000, () => continued.push(2));
+  held.hold(1_000, () => continued.push(3));
+  drop();
   held.releaseAll();
   held.releaseAll();
-  assert.equal(went, [1, 3]);
+  assert.equal(continued, [1, 3]);
   assert.ok(set.every(({ isCancelled }) => isCancelled));
 });
 
-test('where too many wait already, the next one is not held', () => {
+test('a request over the limit is not held', () => {
   const { timers } = createTimers();
   const held = new HeldRequests(timers);
-  let went = 0;
+  let continued = 0;
   for (let index = 0; index < 513; index += 1) {
-    held.hold(1_000, () => (went += 1));
+    held.hold(1_000, () => (continued += 1));
   }
-  assert.is(went, 1);
+  assert.is(continued, 1);
   assert.is(held.size, 512);
 });
 
--- a/packages/http-front-door/src/held-requests.ts
+++ b/packages/http-front-door/src/held-requests.ts
@@ -1,39 +1,34 @@
 /**
- * Requests that arrived before this VM knew a configuration. A VM that starts
- * learns it within milliseconds of the store's answer, and while the store is
- * away no other VM that just started knows more, so a request that can wait is
- * better held for a while than refused.
+ * Requests that arrive before this VM has a configuration. It usually loads one soon after
+ * the start, so such requests are held for a while instead of being refused.
  */
 import type { CancelTimer, Millis, Timers } from '@limelead/types';
 
-/**
- * Part of the time that its caller waits for which a request is held. What is
- * left has to be enough to answer it, or to come back for a second try.
- */
+/** Fraction of the caller's timeout for which a request is held; the rest is for the answer or a retry. */
 const HOLD_FRACTION = 0.2;
-/** Time that a caller who names none is taken to wait, in milliseconds; that of a short call. */
+/** Timeout assumed for callers that send none. */
 const DEFAULT_TIMEOUT_MS: Millis = 1_000;
-/** Requests held at once; each keeps a connection and what was read of its body. */
+/** Limit on held requests; each keeps a connection and buffered data. */
 const MAX_HELD_REQUESTS = 512;
 
-/** Holds requests until there is a configuration, or until they waited long enough. */
+/** Holds requests until a configuration is known or their hold time has passed. */
 export default class HeldRequests {
   private readonly held = new Map<() => void, CancelTimer>();
 
   constructor(private readonly timers: Timers) {}
 
-  /** Requests held now. */
+  /** Number of held requests. */
   get size(): number {
     return this.held.size;
   }
 
   /**
-   * Holds a request. `proceed` is called once, when the request waited long enough
-   * or all are released; at once where too many wait already.
-   * @param waitMs time that the caller still waits; undefined where it does not say
-   * @returns forgets the request
+   * Holds a request. Calls `proceed` once: after the hold time, on `releaseAll`, or at once if
+   * too many requests are held.
+   * @param timeoutMs the caller's timeout, if known
+   * @returns a function that drops the request
    */
-  hold(waitMs: Millis | undefined, proceed: () => void): () => void {
+  hold(timeoutMs: Millis | undefined, proceed: () => void): () => void {
     if (this.held.size >= MAX_HELD_REQUESTS) {
       proceed();
       return () => undefined;
@@ -42,11 +37,11 @@
       this.remove(run);
       proceed();
     };
-    this.held.set(run, this.timers.after(computeHoldMs(waitMs), run));
+    this.held.set(run, this.timers.after(computeHoldMs(timeoutMs), run));
     return () => this.remove(run);
   }
 
-  /** Lets all go on, first come first served. */
+  /** Continues all held requests in order of arrival. */
   releaseAll(): void {
     [...this.held.keys()].forEach((run) => run());
   }
@@ -57,7 +52,7 @@
   }
 }
 
-/** The part of a caller's time that a request may be held, or may stay away, in milliseconds. */
-export function computeHoldMs(waitMs: Millis = DEFAULT_TIMEOUT_MS): Millis {
-  return waitMs * HOLD_FRACTION;
+/** Time to hold a request, or to wait before a retry, for a caller's timeout. */
+export function computeHoldMs(timeoutMs: Millis = DEFAULT_TIMEOUT_MS): Millis {
+  return timeoutMs * HOLD_FRACTION;
 }
--- a/packages/http-front-door/src/http-front-door.ts
+++ b/packages/http-front-door/src/http-front-door.ts
@@ -1,4 +1,4 @@
-/** The HTTP server that callers meet, and the filters that each request passes. */
+/** The HTTP server for callers and the checks that each request passes before it is forwarded. */
 import { createLineLimit, type LimitedLines, type LogFields } from '@limelead/decision-log';
 import { describeThrown, LimeleadError, toLimeleadError } from '@limelead/errors';
 import {
@@ -23,30 +23,27 @@
 import readBody, { BodyBudget } from './read-body.js';
 import ResponseSink from './response-sink.js';
 
-/** Largest head that the parser takes; the configured limit is checked behind it. */
+/** Largest head that the parser accepts; the configured limit is checked afterwards. */
 const PARSER_MAX_HEADER_BYTES = 64 * 1024;
 const CHECK_INTERVAL_MS = 500;
-/** Waiting connections that the system keeps for this process. */
+/** Length of the listen queue. */
 const BACKLOG = 511;
-/** Bytes of bodies that one VM holds at once, unless its owner says otherwise. */
+/** Default limit on request bodies in memory. */
 const DEFAULT_MAX_BUFFERED_BODY_BYTES = 64 * 1024 * 1024;
-/**
- * Time that a stream likely takes; with less left before a stop it is refused. A
- * call that may be held for less is refused later.
- */
+/** Expected duration of a stream. A draining VM refuses streams that would outlast it. */
 const EXPECTED_STREAM_MS = 5_500;
 
-/** What the front door needs. */
+/** Options of `HttpFrontDoor`. */
 export interface HttpFrontDoorOptions {
   host: string;
   port: number;
   context: ForwardContext;
   dialect: IngressDialect;
-  /** Bytes of bodies that this VM holds at once. */
+  /** Limit on request bodies in memory. */
   maxBufferedBodyBytes?: number;
 }
 
-/** A request before the filters. */
+/** A request that is not checked yet. */
 interface PendingRequest {
   message: IncomingMessage;
   response: ServerResponse;
@@ -54,20 +51,20 @@
   receivedAtMs: Millis;
 }
 
-/** A request in the middle of the filters, with the configuration that it passes them by. */
+/** A request with its parsed target and the configuration that it is checked against. */
 interface ParsedRequest extends PendingRequest {
   table: RouteTable;
   target: RequestTarget;
 }
 
-/** Serves callers. */
+/** Accepts callers' requests, checks them and forwards them to targets. */
 export default class HttpFrontDoor {
   private readonly server: Server;
   private isStopping = false;
-  /** Steady time by which everything has to be finished once this VM is stopping. */
+  /** Time by which all requests must finish once this VM drains. */
   private drainDeadlineMs: Millis = Infinity;
   private openRequestCount = 0;
-  /** Called when no request is under way any more. */
+  /** Called when the last open request ends. */
   private onIdle: () => void = () => undefined;
   private readonly bodyBudget: BodyBudget;
   private readonly heldRequests: HeldRequests;
@@ -89,7 +86,7 @@
       },
       (message, response) => this.onRequest(message, response),
     );
-    // The runtime would answer 417 by itself, without a line; what is expected is the body's matter.
+    // Without a listener Node answers an unknown `Expect` header with 417 and logs nothing.
     this.server.on('checkExpectation', (message: IncomingMessage, response: ServerResponse) =>
       this.onRequest(message, response),
     );
@@ -98,22 +95,22 @@
     );
   }
 
-  /** The port that it listens on. */
+  /** The port that the server listens on. */
   get port(): number {
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Requests under way. */
+  /** Number of requests in progress. */
   get openRequests(): number {
     return this.openRequestCount;
   }
 
-  /** Bytes of bodies held now. */
+  /** Bytes of request bodies in memory. */
   get bufferedBodyBytes(): number {
     return this.bodyBudget.reservedBytes;
   }
 
-  /** Begins to take connections. */
+  /** Starts to accept connections. */
   listen(): Promise<void> {
     const { host, port } = this.options;
     return new Promise((resolve, reject) => {
@@ -122,13 +119,13 @@
     });
   }
 
-  /** Takes over the limits of a new configuration. */
+  /** Applies the limits of a new configuration. */
   applyLimits(limits: CallerLimits): void {
     this.server.headersTimeout = limits.headerTimeoutMs;
     this.server.keepAliveTimeout = limits.idleTimeoutMs;
   }
 
-  /** A configuration may be known now: requests that waited for one go on. */
+  /** Continues held requests once a configuration is known. */
   onStoreViewChange(): void {
     if (this.heldRequests.size > 0 && this.options.context.readTable() !== undefined) {
       this.heldRequests.releaseAll();
@@ -136,16 +133,16 @@
   }
 
   /**
-   * From now on each answer ends its connection, and streams that would likely
-   * not be whole by the given time are refused.
+   * Starts to drain: each answer closes its connection, and requests that are expected to
+   * outlast the deadline are refused.
    */
-  startDraining(finishByMs: Millis): void {
+  startDraining(drainDeadlineMs: Millis): void {
     this.isStopping = true;
-    this.drainDeadlineMs = finishByMs;
+    this.drainDeadlineMs = drainDeadlineMs;
     this.heldRequests.releaseAll();
   }
 
-  /** Ends everything; resolves when every request knows that its caller is gone. */
+  /** Closes all connections; resolves when all requests have ended. */
   close(): Promise<void> {
     const ended = new Promise<void>((resolve) => (this.onIdle = resolve));
     this.server.close();
@@ -161,17 +158,17 @@
       isStopping: () => this.isStopping,
       onRefused: (error, status) => this.recordRefusal(message, error, status),
     });
-    const arrival: PendingRequest = { message, response, sink, receivedAtMs: context.clock.now() };
-    this.runGuarded(arrival, () => {
+    const pending: PendingRequest = { message, response, sink, receivedAtMs: context.clock.now() };
+    this.runGuarded(pending, () => {
       if (context.readTable() === undefined && !this.isStopping) {
-        this.hold(arrival);
+        this.hold(pending);
       } else {
-        this.route(arrival);
+        this.route(pending);
       }
     });
   }
 
-  /** A fault of this program ends the request that met it, not the others. */
+  /** Runs a step of a request; an unexpected exception fails this request only. */
   private runGuarded({ sink }: PendingRequest, run: () => void): void {
     const { log, metrics } = this.options.context;
     try {
@@ -190,74 +187,74 @@
     }
   }
 
-  private hold(arrival: PendingRequest): void {
-    const forget = this.heldRequests.hold(this.readTimeoutMs(arrival), () => {
-      this.logHeld(arrival);
-      this.runGuarded(arrival, () => this.route(arrival));
+  private hold(pending: PendingRequest): void {
+    const cancelHold = this.heldRequests.hold(this.readTimeoutMs(pending), () => {
+      this.logHeld(pending);
+      this.runGuarded(pending, () => this.route(pending));
     });
-    arrival.response.once('close', forget);
+    pending.response.once('close', cancelHold);
   }
 
-  private route(arrival: PendingRequest): void {
+  private route(pending: PendingRequest): void {
     const { clock, readTable } = this.options.context;
     const table = readTable();
     if (table !== undefined) {
-      this.checkRequest({ ...arrival, table, target: parseRequestTarget(arrival.message) });
+      this.checkRequest({ ...pending, table, target: parseRequestTarget(pending.message) });
       return;
     }
-    const heldMs = clock.now() - arrival.receivedAtMs;
-    const waitMs = this.readTimeoutMs(arrival);
-    arrival.sink.refuse(
-      new LimeleadError('store-unavailable', 'no configuration is known yet', {
-        retryAfterMs: Math.ceil(computeHoldMs(waitMs && Math.max(0, waitMs - heldMs))),
+    const heldMs = clock.now() - pending.receivedAtMs;
+    const timeoutMs = this.readTimeoutMs(pending);
+    pending.sink.refuse(
+      new LimeleadError('store-unavailable', 'no configuration has been loaded yet', {
+        retryAfterMs: Math.ceil(computeHoldMs(timeoutMs && Math.max(0, timeoutMs - heldMs))),
       }),
     );
   }
 
-  /** Milliseconds that the caller waits, where its head can be read and says so. */
+  /** The caller's timeout, if its headers are valid and contain one. */
   private readTimeoutMs({ message }: PendingRequest): Millis | undefined {
-    const facts = this.options.dialect.parseHeaders(message.rawHeaders);
-    return E.isRight(facts) ? facts.right.timeoutMs : undefined;
+    const headers = this.options.dialect.parseHeaders(message.rawHeaders);
+    return E.isRight(headers) ? headers.right.timeoutMs : undefined;
   }
 
-  private checkRequest(arrival: ParsedRequest): void {
-    const { target, sink, table } = arrival;
+  private checkRequest(pending: ParsedRequest): void {
+    const { target, sink, table } = pending;
     const fault = checkHead(target, table.limits);
     if (fault !== undefined) {
       sink.refuse(fault);
       return;
     }
-    const facts = this.options.dialect.parseHeaders(target.rawHeaders);
-    if (E.isLeft(facts)) {
-      sink.refuse(facts.left);
+    const headers = this.options.dialect.parseHeaders(target.rawHeaders);
+    if (E.isLeft(headers)) {
+      sink.refuse(headers.left);
       return;
     }
     const route = table.findRoute(target.host, target.path);
     if (route === undefined) {
-      sink.refuse(new LimeleadError('not-found', 'no route takes this host and path'));
+      sink.refuse(new LimeleadError('not-found', 'no route matches this host and path'));
       return;
     }
-    this.authenticate(arrival, facts.right, route);
+    this.authenticate(pending, headers.right, route);
   }
 
-  private authenticate(arrival: ParsedRequest, facts: IngressHeaders, route: ServingRoute): void {
-    const authentication = arrival.table.authenticate(route, facts.key);
+  private authenticate(pending: ParsedRequest, headers: IngressHeaders, route: ServingRoute): void {
+    const authentication = pending.table.authenticate(route, headers.key);
     if (authentication.kind === 'unknown-key') {
-      arrival.sink.refuse(new LimeleadError('unauthenticated', 'the key is not known'));
+      pending.sink.refuse(new LimeleadError('unauthenticated', 'unknown API key'));
       return;
     }
     const caller = authentication.kind === 'known' ? authentication.caller : undefined;
-    const { limits } = arrival.table;
-    const giveBack = readBody(
-      arrival.message,
+    const { limits } = pending.table;
+    const releaseBody = readBody(
+      pending.message,
       { maxBytes: limits.maxBodyBytes, idleTimeoutMs: limits.idleTimeoutMs },
       this.bodyBudget,
       this.options.context.timers,
       {
-        onRefused: (error) => arrival.sink.refuse(error),
+        onRefused: (error) => pending.sink.refuse(error),
         onBody: (body) =>
-          this.runGuarded(arrival, () =>
-            this.admit(arrival, facts, route, {
+          this.runGuarded(pending, () =>
+            this.admit(pending, headers, route, {
               body,
               organisation: caller?.organisation,
               rank: caller?.rank ?? route.rank,
@@ -265,36 +262,38 @@
           ),
       },
     );
-    arrival.response.once('close', giveBack);
+    pending.response.once('close', releaseBody);
   }
 
   private admit(
     { message, target, sink, receivedAtMs }: ParsedRequest,
-    facts: IngressHeaders,
+    headers: IngressHeaders,
     route: ServingRoute,
     admission: { body: Buffer; organisation?: string; rank: number },
   ): void {
     if (this.drainDeadlineMs - receivedAtMs < estimateAnswerMs(route)) {
-      sink.refuse(new LimeleadError('shutting-down', 'this VM stops before the answer is whole'));
+      sink.refuse(
+        new LimeleadError('shutting-down', 'this VM stops before the answer can be completed'),
+      );
       return;
     }
-    const service = chooseShare(route, facts.requestId);
+    const service = chooseShare(route, headers.requestId);
     if (service === undefined) {
       sink.refuse(new LimeleadError('no-target', 'the route has no service'));
       return;
     }
-    const deadlineAtMs = receivedAtMs + (facts.timeoutMs ?? route.timeoutMs);
+    const deadlineAtMs = receivedAtMs + (headers.timeoutMs ?? route.timeoutMs);
     const admitted: AdmittedRequest = {
       request: {
-        requestId: facts.requestId,
+        requestId: headers.requestId,
         method: message.method ?? 'GET',
         path: target.path,
         rawHeaders: target.rawHeaders,
         body: admission.body,
         deadlineAtMs,
-        lastPiece: facts.lastPiece,
-        affinityKey: facts.affinityKey === '' ? facts.requestId : facts.affinityKey,
-        promptTokens: facts.promptTokens,
+        lastPiece: headers.lastPiece,
+        affinityKey: headers.affinityKey === '' ? headers.requestId : headers.affinityKey,
+        promptTokens: headers.promptTokens,
       },
       route,
       service,
@@ -330,7 +329,7 @@
     });
   }
 
-  /** What decides now: which configuration, who told it, and how old knowledge is. */
+  /** Log fields of the configuration in force: version, source and age of the store view. */
   private describeConfiguration(): LogFields {
     const { readTable, readConfigurationSource, readKnowledgeAgeMs } = this.options.context;
     return {
@@ -340,7 +339,7 @@
     };
   }
 
-  /** Bytes that are no request, too much of a head, or one that comes too slowly. */
+  /** Answers bytes that are not a valid request, a head that is too large, or one that arrives too slowly. */
   private onMalformed(error: ParserError, socket: Socket): void {
     const { status, text } = createMalformedAnswer(error.code);
     this.options.context.metrics.count('limelead_malformed_total', 1, { status: String(status) });
@@ -360,7 +359,7 @@
   }
 }
 
-/** Time in which an answer on that route is whole, or its final answer is given, in milliseconds. */
+/** Expected time until an answer on that route is complete. */
 function estimateAnswerMs({ streaming, timeoutMs }: ServingRoute): Millis {
   return streaming ? EXPECTED_STREAM_MS : Math.min(timeoutMs, EXPECTED_STREAM_MS);
 }
--- a/packages/http-front-door/src/index.ts
+++ b/packages/http-front-door/src/index.ts
@@ -1,3 +1,3 @@
-/** The HTTP front door: checks, route, key, body, and the answer back to the caller. */
+/** The HTTP server for callers: checks, routing, authentication, body, and the answer. */
 export { default as HttpFrontDoor, type HttpFrontDoorOptions } from './http-front-door.js';
 export { readRequestId, type IngressDialect, type IngressHeaders } from './ingress-dialect.js';
--- a/packages/http-front-door/src/malformed-request.ts
+++ b/packages/http-front-door/src/malformed-request.ts
@@ -1,4 +1,4 @@
-/** What a caller is told whose bytes are no request that the parser takes. */
+/** Answers to bytes that the HTTP parser rejects, and what can be logged of them. */
 
 /** Status line of an answer without a body. */
 export interface MalformedAnswer {
@@ -6,7 +6,10 @@
   text: string;
 }
 
-/** @param code the code of the HTTP parser's error */
+/**
+ * Chooses the status line for a parser error.
+ * @param code the parser's error code
+ */
 export default function createMalformedAnswer(code: string | undefined): MalformedAnswer {
   switch (code) {
     case 'HPE_HEADER_OVERFLOW':
@@ -18,29 +21,32 @@
   }
 }
 
-/** What the runtime tells of bytes that its parser does not take. */
+/** Node's error for bytes that its parser rejects. */
 export interface ParserError extends NodeJS.ErrnoException {
-  /** The packet in which it stopped; undefined where none came in time. */
+  /** The packet in which the parser failed; undefined after a timeout. */
   rawPacket?: Buffer;
 }
 
-/** Most characters of a first line that are written. */
+/** Longest first line in a log line. */
 const MAX_FIRST_LINE_CHARACTERS = 200;
 
-/** What can be read of a head that is none. */
+/** Readable parts of a malformed head. */
 export interface MalformedHead {
   firstLine: string;
-  /** Names and values by turns, of the lines that look like headers. */
+  /** Alternating names and values of the lines that look like headers. */
   rawHeaders: string[];
 }
 
-/** @param packet the bytes in which the parser stopped, which need not begin with the head */
+/**
+ * Reads what it can of a malformed head.
+ * @param packet the bytes in which the parser failed, not always the start of the head
+ */
 export function parseMalformedHead(packet: Buffer | undefined): MalformedHead {
   const [head = ''] = (packet?.toString('latin1') ?? '').split('\r\n\r\n', 1);
   const [firstLine = '', ...lines] = head.split('\r\n');
   const rawHeaders = lines.flatMap((line) => {
-    const colon = line.indexOf(':');
-    return colon < 1 ? [] : [line.slice(0, colon), line.slice(colon + 1).trim()];
+    const separator = line.indexOf(':');
+    return separator < 1 ? [] : [line.slice(0, separator), line.slice(separator + 1).trim()];
   });
   return { firstLine: firstLine.slice(0, MAX_FIRST_LINE_CHARACTERS), rawHeaders };
 }
--- a/packages/http-front-door/src/read-body.ts
+++ b/packages/http-front-door/src/read-body.ts
@@ -1,27 +1,27 @@
-/** Reads a request's body whole, within limits of size and time. */
+/** Reads a whole request body within limits on size and time. */
 import { LimeleadError } from '@limelead/errors';
 import type { Timers } from '@limelead/types';
 import type { IncomingMessage } from 'node:http';
 
-/** How a body may arrive. */
+/** Limits on a request body. */
 export interface BodyLimits {
   maxBytes: number;
-  /** Longest pause between two parts, in milliseconds. */
+  /** Longest pause between two chunks. */
   idleTimeoutMs: number;
 }
 
-/** Bytes of bodies that the whole VM holds, against the most that it may. */
+/** Limits the bytes of all request bodies in memory. */
 export class BodyBudget {
   private reserved = 0;
 
   constructor(private readonly maxBytes: number) {}
 
-  /** Bytes held now. */
+  /** Bytes reserved now. */
   get reservedBytes(): number {
     return this.reserved;
   }
 
-  /** Takes bytes; false where there is no room, and then nothing was taken. */
+  /** Reserves bytes; returns false and reserves nothing if the limit would be exceeded. */
   tryReserve(bytes: number): boolean {
     if (this.reserved + bytes > this.maxBytes) {
       return false;
@@ -35,13 +35,13 @@
   }
 }
 
-/** What became of a body; exactly one of the two is called, or none where the caller left. */
+/** Result of reading a body. One of the two is called, or none if the caller disconnects. */
 export interface BodyEvents {
   onBody(body: Buffer): void;
   onRefused(error: LimeleadError): void;
 }
 
-/** Starts reading. What it takes from the budget is given back by the result. */
+/** Starts reading a body. The returned function releases the bytes reserved for it. */
 export default function readBody(
   message: IncomingMessage,
   limits: BodyLimits,
@@ -49,28 +49,28 @@
   timers: Timers,
   events: BodyEvents,
 ): () => void {
-  const announced = Number(message.headers['content-length'] ?? 0);
-  if (announced > limits.maxBytes) {
+  const contentLength = Number(message.headers['content-length'] ?? 0);
+  if (contentLength > limits.maxBytes) {
     events.onRefused(createTooLargeError(limits));
     return () => undefined;
   }
   const chunks: Buffer[] = [];
   let bytes = 0;
-  let taken = 0;
+  let reserved = 0;
   let isOver = false;
   let cancelTimer = startTimer();
 
   function startTimer() {
     return timers.after(limits.idleTimeoutMs, () =>
-      finish(() => events.onRefused(new LimeleadError('too-slow', 'the body came too slowly'))),
+      finish(() => events.onRefused(new LimeleadError('too-slow', 'the body arrived too slowly'))),
     );
   }
 
-  function finish(tell: () => void): void {
+  function finish(notify: () => void): void {
     if (!isOver) {
       isOver = true;
       cancelTimer();
-      tell();
+      notify();
     }
   }
 
@@ -84,10 +84,12 @@
       return;
     }
     if (!budget.tryReserve(chunk.length)) {
-      finish(() => events.onRefused(new LimeleadError('overloaded', 'too many bodies at once')));
+      finish(() =>
+        events.onRefused(new LimeleadError('overloaded', 'too many request bodies in memory')),
+      );
       return;
     }
-    taken += chunk.length;
+    reserved += chunk.length;
     chunks.push(chunk);
     cancelTimer();
     cancelTimer = startTimer();
@@ -96,8 +98,8 @@
   message.on('error', () => finish(() => undefined));
   message.on('close', () => finish(() => undefined));
   return () => {
-    budget.release(taken);
-    taken = 0;
+    budget.release(reserved);
+    reserved = 0;
   };
 }
 
--- a/packages/http-front-door/src/request-target.ts
+++ b/packages/http-front-door/src/request-target.ts
@@ -1,19 +1,19 @@
-/** Pure reading of a request's target (RFC 9112, 3.2): a path, or a whole URL as sent to proxies. */
+/** Parses a request target (RFC 9112, 3.2): a path, or an absolute URL as sent to proxies. */
 import type { IncomingMessage } from 'node:http';
 
 const ABSOLUTE = /^https?:\/\/([^/?#]+)([/?].*)?$/i;
 
-/** Where a request goes. */
+/** Host, path and headers of a request. */
 export interface RequestTarget {
-  /** Host, with its port where one is given; empty where the request names none. */
+  /** Host, with the port if given; empty if the request has none. */
   host: string;
-  /** Begins with a slash where the target holds; with the query. */
+  /** Path and query; a valid one begins with a slash. */
   path: string;
-  /** Headers as sent; the host of a whole URL replaces the one of the header, as the standard asks. */
+  /** Headers as sent; the host of an absolute URL replaces that of the `Host` header, as the RFC requires. */
   rawHeaders: string[];
 }
 
-/** Reads the target. */
+/** Parses the target of a message. */
 export default function parseRequestTarget({
   url = '',
   headers,
@@ -29,7 +29,7 @@
 }
 
 function replaceHost(rawHeaders: string[], host: string): string[] {
-  return rawHeaders.map((part, index) =>
-    index % 2 === 1 && rawHeaders[index - 1]?.toLowerCase() === 'host' ? host : part,
+  return rawHeaders.map((field, index) =>
+    index % 2 === 1 && rawHeaders[index - 1]?.toLowerCase() === 'host' ? host : field,
   );
 }
--- a/packages/http-front-door/src/response-sink.test.ts
+++ b/packages/http-front-door/src/response-sink.test.ts
@@ -4,8 +4,8 @@
 import * as assert from 'uvu/assert';
 import ResponseSink from './response-sink.js';
 
-/** Takes one request of a caller that closes its connection, and gives it once that was seen. */
-async function takeFromLeavingCaller(): Promise<[IncomingMessage, ServerResponse, () => void]> {
+/** Receives a request whose caller disconnects, and resolves once the server has noticed. */
+async function receiveFromClosedCaller(): Promise<[IncomingMessage, ServerResponse, () => void]> {
   const server = createServer();
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
@@ -20,16 +20,16 @@
   return arrival;
 }
 
-test('who asks after the caller left is told that it is gone', async () => {
-  const [message, response, stop] = await takeFromLeavingCaller();
+test('a callback added after the caller disconnected is called at once', async () => {
+  const [message, response, stop] = await receiveFromClosedCaller();
   const sink = new ResponseSink(message, response, {
     isStopping: () => false,
     onRefused: () => undefined,
   });
-  let told = 0;
-  sink.onGone(() => (told += 1));
+  let calls = 0;
+  sink.onGone(() => (calls += 1));
   stop();
-  assert.is(told, 1);
+  assert.is(calls, 1);
 });
 
 test.run();
--- a/packages/http-front-door/src/response-sink.ts
+++ b/packages/http-front-door/src/response-sink.ts
@@ -1,22 +1,22 @@
-/** Writes one answer to one caller. */
+/** Writes the answer to one request. */
 import { toHttpStatus, type LimeleadError } from '@limelead/errors';
 import type { AnswerSink } from '@limelead/forward-request';
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
-/** Bytes that may wait for a caller who does not read; beyond it the answer is cut. */
+/** Limit on bytes buffered for a slow caller; beyond it the connection is destroyed. */
 const MAX_BUFFERED_BYTES = 1024 * 1024;
-/** How long an answer that came before the end of the body waits for that end, in milliseconds. */
+/** Longest wait of a refusal for the end of the request body. */
 const BODY_END_TIMEOUT_MS = 1_000;
 const MS_PER_SECOND = 1_000;
 
-/** What a sink tells its owner. */
+/** Callbacks of a sink. */
 export interface ResponseSinkEvents {
-  /** Whether this VM is stopping: then no connection is kept. */
+  /** Whether this VM is stopping; answers then close their connections. */
   isStopping(): boolean;
   onRefused(error: LimeleadError, status: number): void;
 }
 
-/** The caller's side of one request. */
+/** The response to one request, with refusals and keep-alive handling. */
 export default class ResponseSink implements AnswerSink {
   private isOver = false;
 
@@ -90,24 +90,24 @@
     this.endAfterBody(isBodyRead);
   }
 
-  /** Told at once where the caller left before: a request and its end may be read together. */
+  /** Calls back when the caller disconnects before the end of the answer; at once if it already has. */
   onGone(callback: () => void): void {
-    const tell = (): void => {
+    const notify = (): void => {
       if (!this.isOver) {
         this.isOver = true;
         callback();
       }
     };
     if (this.response.closed) {
-      tell();
+      notify();
     } else {
-      this.response.on('close', tell);
+      this.response.on('close', notify);
     }
   }
 
   /**
-   * Closing a connection with unread bytes resets it, and the caller might lose
-   * the answer; so the rest of the body is read and thrown away first.
+   * Discards the rest of the body before the answer ends: closing a connection with unread
+   * bytes resets it, and the caller might lose the answer.
    */
   private endAfterBody(isBodyRead: boolean): void {
     if (isBodyRead) {
@@ -129,7 +129,7 @@
   }
 }
 
-/** A request is told when its head is read; one without a body is only then about to be complete. */
+/** Whether a request has no body. `complete` may still be false when its head has been read. */
 function isBodyEmpty({ headers }: IncomingMessage): boolean {
   const hasLength = Number(headers['content-length'] ?? 0) > 0;
   return !hasLength && headers['transfer-encoding'] === undefined;
