--- a/packages/daemon/src/peer-conversation.ts
+++ b/packages/daemon/src/peer-conversation.ts
@@ -7,7 +7,7 @@
   type PeerMessage,
   type PeerMessageOf,
 } from '@limelead/peer-links';
-import { splitIntoChunks } from '@limelead/store-configuration';
+import { splitIntoParts } from '@limelead/store-configuration';
 import { chooseLinks } from '@limelead/track-members';
 import type { Change, TargetId, VmId } from '@limelead/types';
 import BreakerEvidence from './breaker-evidence.js';
@@ -263,7 +263,7 @@
       return;
     }
     const { revision } = configuration.configuration;
-    const parts = splitIntoChunks(configuration.configuration, SNAPSHOT_PART_CHARACTERS);
+    const parts = splitIntoParts(configuration.configuration, SNAPSHOT_PART_CHARACTERS);
     parts.forEach((content, part) =>
       this.links?.send(peer, {
         kind: 'snapshot',
--- a/packages/daemon/src/watch-configuration.test.ts
+++ b/packages/daemon/src/watch-configuration.test.ts
@@ -1,6 +1,6 @@
 import { PortFault } from '@limelead/errors';
 import createMetrics from '@limelead/metrics';
-import type { ReadResult } from '@limelead/store-configuration';
+import type { StoredConfiguration } from '@limelead/store-configuration';
 import { createManualTime } from '@limelead/stand-ins';
 import * as E from 'fp-ts/lib/Either.js';
 import { test } from 'uvu';
@@ -12,7 +12,7 @@
 test('a service that did not answer is asked for an answer at once, not with a long watch', async () => {
   const { clock, timers, advance } = createManualTime();
   const holder = new ConfigurationHolder();
-  const found: ReadResult = {
+  const found: StoredConfiguration = {
     configuration: { ...holder.configuration, revision: 3 },
     changes: [],
     headVersion: 7,
@@ -20,7 +20,7 @@
   };
   const answers = [true, true, false, false, true, true];
   const calls: string[] = [];
-  const answer = (call: string) => async (): Promise<E.Either<PortFault, ReadResult>> => {
+  const answer = (call: string) => async (): Promise<E.Either<PortFault, StoredConfiguration>> => {
     calls.push(call);
     return answers.shift() === true
       ? E.right(found)
--- a/packages/daemon/src/watch-configuration.ts
+++ b/packages/daemon/src/watch-configuration.ts
@@ -1,6 +1,6 @@
 /** Keeps the configuration of this VM up with the platform's service. */
 import type { PortFault } from '@limelead/errors';
-import type { ReadResult } from '@limelead/store-configuration';
+import type { StoredConfiguration } from '@limelead/store-configuration';
 import * as E from 'fp-ts/lib/Either.js';
 import isWatcher from './is-watcher.js';
 import startLoop, { type Loop } from './loop.js';
@@ -41,7 +41,7 @@
     }
   }
 
-  private async take(result: E.Either<PortFault, ReadResult>): Promise<void> {
+  private async take(result: E.Either<PortFault, StoredConfiguration>): Promise<void> {
     this.noteReachable(E.isRight(result));
     if (E.isLeft(result)) {
       return;
--- a/packages/measure/src/capacity/measure-slopes.ts
+++ b/packages/measure/src/capacity/measure-slopes.ts
@@ -4,7 +4,7 @@
 import { hashKey } from '@limelead/demo';
 import { decodeMessage, encodeMessage, type PeerMessage } from '@limelead/peer-links';
 import createHandleSigner from '@limelead/resume-handle';
-import { splitIntoChunks } from '@limelead/store-configuration';
+import { splitIntoParts } from '@limelead/store-configuration';
 import { createMemberTable } from '@limelead/track-members';
 import { createTargetTable } from '@limelead/track-targets';
 import type { Change, ListedVm, LoadReport, VersionedResource } from '@limelead/types';
@@ -43,11 +43,11 @@
     const before = usedKb();
     const configuration = createConfiguration(count);
     held.push([count, usedKb() - before]);
-    const parts = splitIntoChunks(configuration);
+    const parts = splitIntoParts(configuration);
     encoded.push([count, sum(parts.map((part) => JSON.stringify(part).length)) / KB]);
     snapshotMs.push([
       count,
-      timeMs(() => splitIntoChunks(configuration).map((p) => JSON.stringify(p))),
+      timeMs(() => splitIntoParts(configuration).map((p) => JSON.stringify(p))),
     ]);
     changeMs.push([count, timeMs(() => applyChanges(configuration, [createChange(count + 1)]))]);
   }
--- a/packages/store-configuration/src/apply-change.ts
+++ b/packages/store-configuration/src/apply-change.ts
@@ -14,14 +14,14 @@
 import {
   appendToHead,
   compactHead,
-  loadResult,
+  loadStoredConfiguration,
   readHead,
   swapHead,
-  toResult,
-  type ReadResult,
+  toStoredConfiguration,
+  type StoredConfiguration,
 } from './stored-head.js';
 
-const MAX_TRIES = 8;
+const MAX_ATTEMPTS = 8;
 const RETRY_DELAY_MS = 100;
 
 /** What applying needs. */
@@ -32,14 +32,14 @@
 }
 
 /** A change, who asks for it, and what this VM already knows. */
-export interface ApplyOrder {
+export interface ApplyInput {
   known: Configuration;
   request: ChangeRequest;
   operator: string;
 }
 
-type TryOutcome =
-  | { kind: 'accepted'; result: ReadResult }
+type AttemptOutcome =
+  | { kind: 'accepted'; result: StoredConfiguration }
   | { kind: 'refused'; refusal: ChangeRefusal }
   | { kind: 'lost-race' }
   /** `mayBeAccepted` where the swap itself got no reply. */
@@ -52,11 +52,11 @@
  */
 export default async function applyChange(
   dependencies: ApplyDependencies,
-  order: ApplyOrder,
-): Promise<E.Either<ChangeRefusal, ReadResult>> {
+  order: ApplyInput,
+): Promise<E.Either<ChangeRefusal, StoredConfiguration>> {
   let mayBeAccepted = false;
-  for (let tries = 1; tries <= MAX_TRIES; tries += 1) {
-    const outcome = await tryOnce(dependencies, order);
+  for (let tries = 1; tries <= MAX_ATTEMPTS; tries += 1) {
+    const outcome = await attemptChange(dependencies, order);
     switch (outcome.kind) {
       case 'accepted':
         return E.right(outcome.result);
@@ -76,17 +76,17 @@
   );
 }
 
-async function tryOnce(
+async function attemptChange(
   { store, clock }: ApplyDependencies,
-  { known, request, operator }: ApplyOrder,
-): Promise<TryOutcome> {
+  { known, request, operator }: ApplyInput,
+): Promise<AttemptOutcome> {
   const found = await readHead(store.get(HEAD_KEY))();
   if (E.isLeft(found)) {
-    return fault(found.left, false);
+    return toFaultOutcome(found.left, false);
   }
-  const loaded = await loadResult(store, known, found.right)();
+  const loaded = await loadStoredConfiguration(store, known, found.right)();
   if (E.isLeft(loaded)) {
-    return fault(loaded.left, false);
+    return toFaultOutcome(loaded.left, false);
   }
   const { head, version } = found.right;
   if (head.changes.some(({ changeId }) => changeId === request.changeId)) {
@@ -100,11 +100,11 @@
   const changed = applyChanges(configuration, [planned.right]);
   const next = await compactHead(store, appendToHead(head, planned.right), changed)();
   if (E.isLeft(next)) {
-    return fault(next.left, false);
+    return toFaultOutcome(next.left, false);
   }
   const swapped = await swapHead(store, version, next.right)();
   if (E.isLeft(swapped)) {
-    return fault(swapped.left, true);
+    return toFaultOutcome(swapped.left, true);
   }
   if (swapped.right === undefined) {
     return { kind: 'lost-race' };
@@ -114,10 +114,10 @@
   }
   return {
     kind: 'accepted',
-    result: toResult(changed, { head: next.right, version: swapped.right }),
+    result: toStoredConfiguration(changed, { head: next.right, version: swapped.right }),
   };
 }
 
-function fault({ sent }: PortFault, wasSwap: boolean): TryOutcome {
+function toFaultOutcome({ sent }: PortFault, wasSwap: boolean): AttemptOutcome {
   return { kind: 'fault', mayBeAccepted: wasSwap && sent === 'maybe' };
 }
--- a/packages/store-configuration/src/configuration-store.test.ts
+++ b/packages/store-configuration/src/configuration-store.test.ts
@@ -16,7 +16,7 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { createConfigurationStore, type ReadResult } from './index.js';
+import { createConfigurationStore, type StoredConfiguration } from './index.js';
 
 function createSystem(faults?: StoreFaults) {
   const time = createManualTime();
@@ -46,7 +46,7 @@
 async function read(
   system: System,
   known: Configuration = EMPTY_CONFIGURATION,
-): Promise<ReadResult> {
+): Promise<StoredConfiguration> {
   const result = await system.configuration.read(known)();
   assert.ok(E.isRight(result));
   return result.right;
--- a/packages/store-configuration/src/configuration-store.ts
+++ b/packages/store-configuration/src/configuration-store.ts
@@ -9,29 +9,29 @@
 import { HEAD_KEY } from './keys.js';
 import { writeSnapshot } from './snapshot.js';
 import {
-  loadResult,
+  loadStoredConfiguration,
   MAX_HEAD_CHANGES,
   readHead,
-  readResult,
+  readStoredConfiguration,
   swapHead,
-  toResult,
-  type ReadResult,
+  toStoredConfiguration,
+  type StoredConfiguration,
 } from './stored-head.js';
 
 /** Access to the configuration in the platform's service. */
 export interface ConfigurationStore {
   /** Reads the head; what is already known is not read again. */
-  read(known: Configuration): PortCall<ReadResult>;
+  read(known: Configuration): PortCall<StoredConfiguration>;
   /** Waits until the head is above a version or the wait ends, then reads it. */
-  watch(known: Configuration, headVersion: number, waitMs: number): PortCall<ReadResult>;
+  watch(known: Configuration, headVersion: number, waitMs: number): PortCall<StoredConfiguration>;
   /** Accepts a change or says why not; an ambiguous outcome is resolved by reading. */
   apply(
     known: Configuration,
     request: ChangeRequest,
     operator: string,
-  ): Promise<E.Either<ChangeRefusal, ReadResult>>;
+  ): Promise<E.Either<ChangeRefusal, StoredConfiguration>>;
   /** Puts a newer configuration back after the service was restored from something older. */
-  restore(known: Configuration, recent: readonly Change[]): PortCall<ReadResult>;
+  restore(known: Configuration, recent: readonly Change[]): PortCall<StoredConfiguration>;
   listChanges(before: number, limit: number): PortCall<Change[]>;
 }
 
@@ -42,9 +42,9 @@
   timers: Timers,
 ): ConfigurationStore {
   return {
-    read: (known) => readResult(store, known),
+    read: (known) => readStoredConfiguration(store, known),
     watch: (known, headVersion, waitMs) =>
-      readResult(store, known, store.watch(HEAD_KEY, headVersion, waitMs)),
+      readStoredConfiguration(store, known, store.watch(HEAD_KEY, headVersion, waitMs)),
     apply: (known, request, operator) =>
       applyChange({ store, clock, timers }, { known, request, operator }),
     restore: (known, recent) => restore(store, known, recent),
@@ -59,7 +59,7 @@
   store: KeyValueStore,
   known: Configuration,
   recent: readonly Change[],
-): PortCall<ReadResult> {
+): PortCall<StoredConfiguration> {
   return async () => {
     const found = await readHead(store.get(HEAD_KEY))();
     if (E.isLeft(found)) {
@@ -67,7 +67,7 @@
     }
     const { head, version } = found.right;
     if (head.revision >= known.revision) {
-      return loadResult(store, known, found.right)();
+      return loadStoredConfiguration(store, known, found.right)();
     }
     const snapshot = await writeSnapshot(store, known)();
     if (E.isLeft(snapshot)) {
@@ -84,7 +84,7 @@
       return swapped;
     }
     return swapped.right === undefined
-      ? readResult(store, known)()
-      : E.right(toResult(known, { head: newer, version: swapped.right }));
+      ? readStoredConfiguration(store, known)()
+      : E.right(toStoredConfiguration(known, { head: newer, version: swapped.right }));
   };
 }
--- a/packages/store-configuration/src/history.ts
+++ b/packages/store-configuration/src/history.ts
@@ -13,8 +13,8 @@
 import { segmentKey } from './keys.js';
 
 /** Changes that stay in the head, so that VMs catch up without reading more. */
-const KEPT_CHANGES = 32;
-const KEPT_CHARACTERS = 100_000;
+const RETAINED_HEAD_CHANGES = 32;
+const MAX_RETAINED_CHARACTERS = 100_000;
 const MAX_SEGMENT_CHARACTERS = 400_000;
 
 /** Some changes in a row. */
@@ -32,7 +32,7 @@
 /** Moves older changes of a head into segments; gives the shorter head. */
 export function archiveChanges(store: KeyValueStore, head: Head): PortCall<Head> {
   return async () => {
-    const keptFrom = findKeptFrom(head.changes);
+    const keptFrom = findFirstRetained(head.changes);
     const segments = cutSegments(head.archived, head.changes.slice(0, keptFrom));
     for (const segment of segments) {
       const key = segmentKey(lastRevisionOf(segment));
@@ -87,12 +87,12 @@
 }
 
 /** Index of the oldest change that stays in the head. */
-function findKeptFrom(changes: Change[]): number {
+function findFirstRetained(changes: Change[]): number {
   let characters = 0;
   let index = changes.length;
-  while (index > 0 && changes.length - index < KEPT_CHANGES) {
+  while (index > 0 && changes.length - index < RETAINED_HEAD_CHANGES) {
     characters += JSON.stringify(changes[index - 1]).length;
-    if (characters > KEPT_CHARACTERS) {
+    if (characters > MAX_RETAINED_CHARACTERS) {
       break;
     }
     index -= 1;
--- a/packages/store-configuration/src/index.ts
+++ b/packages/store-configuration/src/index.ts
@@ -1,5 +1,5 @@
 /** Keeps the configuration in the platform's key-value service, with its audit trail. */
 export { default as createConfigurationStore } from './configuration-store.js';
 export type { ConfigurationStore } from './configuration-store.js';
-export type { ReadResult } from './stored-head.js';
-export { splitIntoChunks, type SnapshotPart } from './snapshot.js';
+export type { StoredConfiguration } from './stored-head.js';
+export { splitIntoParts, type SnapshotPart } from './snapshot.js';
--- a/packages/store-configuration/src/snapshot.ts
+++ b/packages/store-configuration/src/snapshot.ts
@@ -28,7 +28,7 @@
 }) as unknown as t.Type<SnapshotPart, unknown>;
 
 /** Splits a configuration into parts of limited size. */
-export function splitIntoChunks(
+export function splitIntoParts(
   configuration: Configuration,
   maxCharacters: number = MAX_PART_CHARACTERS,
 ): SnapshotPart[] {
@@ -62,7 +62,7 @@
 ): PortCall<SnapshotReference> {
   return async () => {
     const { revision } = configuration;
-    const parts = splitIntoChunks(configuration);
+    const parts = splitIntoParts(configuration);
     for (const [index, part] of parts.entries()) {
       const written = await store.compareAndSwap(
         snapshotKey(revision, index),
--- a/packages/store-configuration/src/stored-head.ts
+++ b/packages/store-configuration/src/stored-head.ts
@@ -20,7 +20,7 @@
 const MAX_HEAD_CHARACTERS = 400_000;
 
 /** The configuration and the newest changes, as read. */
-export interface ReadResult {
+export interface StoredConfiguration {
   configuration: Configuration;
   changes: Change[];
   /** Version of the head key, for a following watch. */
@@ -30,43 +30,48 @@
 }
 
 /** The head with the version of its key. */
-export interface ReadHead {
+export interface VersionedHead {
   head: Head;
   version: number;
 }
 
 /** Puts a head and the configuration that it stands for together. */
-export function toResult(configuration: Configuration, { head, version }: ReadHead): ReadResult {
+export function toStoredConfiguration(
+  configuration: Configuration,
+  { head, version }: VersionedHead,
+): StoredConfiguration {
   const { changes, revision: storedRevision } = head;
   return { configuration, changes, headVersion: version, storedRevision };
 }
 
 /** Reads the head and loads what is not yet known. */
-export function readResult(
+export function readStoredConfiguration(
   store: KeyValueStore,
   known: Configuration,
   call: PortCall<StoredValue> = store.get(HEAD_KEY),
-): PortCall<ReadResult> {
+): PortCall<StoredConfiguration> {
   return async () => {
     const found = await readHead(call)();
-    return E.isLeft(found) ? found : loadResult(store, known, found.right)();
+    return E.isLeft(found) ? found : loadStoredConfiguration(store, known, found.right)();
   };
 }
 
 /** Loads what a head stands for. */
-export function loadResult(
+export function loadStoredConfiguration(
   store: KeyValueStore,
   known: Configuration,
-  read: ReadHead,
-): PortCall<ReadResult> {
+  read: VersionedHead,
+): PortCall<StoredConfiguration> {
   return async () => {
     const configuration = await loadConfiguration(store, known, read.head)();
-    return E.isLeft(configuration) ? configuration : E.right(toResult(configuration.right, read));
+    return E.isLeft(configuration)
+      ? configuration
+      : E.right(toStoredConfiguration(configuration.right, read));
   };
 }
 
 /** Decodes the head that a call gives. */
-export function readHead(call: PortCall<StoredValue>): PortCall<ReadHead> {
+export function readHead(call: PortCall<StoredValue>): PortCall<VersionedHead> {
   return async () => {
     const stored = await call();
     if (E.isLeft(stored)) {
