--- a/packages/store-configuration/src/apply-change.ts
+++ b/packages/store-configuration/src/apply-change.ts
@@ -1,4 +1,4 @@
-/** Applies one change; an ambiguous outcome is resolved by reading. */
+/** Applies one change with retries. */
 import {
   applyChanges,
   planChange,
@@ -24,14 +24,14 @@
 const MAX_ATTEMPTS = 8;
 const RETRY_DELAY_MS = 100;
 
-/** What applying needs. */
+/** The store, clock and timers used to apply a change. */
 export interface ApplyDependencies {
   store: KeyValueStore;
   clock: Clock;
   timers: Timers;
 }
 
-/** A change, who asks for it, and what this VM already knows. */
+/** A change, the operator who requests it, and the configuration that this VM has. */
 export interface ApplyInput {
   known: Configuration;
   request: ChangeRequest;
@@ -42,20 +42,20 @@
   | { kind: 'accepted'; result: StoredConfiguration }
   | { kind: 'refused'; refusal: ChangeRefusal }
   | { kind: 'lost-race' }
-  /** `mayBeAccepted` where the swap itself got no reply. */
+  /** `mayBeAccepted` if the swap may have been executed without a reply. */
   | { kind: 'fault'; mayBeAccepted: boolean };
 
 /**
- * A lost reply leaves open whether the swap took effect, and a delayed request
- * may still take effect. Trying again resolves both: the change id tells an
- * accepted change, and a swap at the same version can succeed only once.
+ * Applies a change. If the reply to the swap is lost, the change may have been accepted, or may
+ * still be. A retry resolves both: it finds an accepted change by its id, and only one swap at
+ * a version can succeed.
  */
 export default async function applyChange(
   dependencies: ApplyDependencies,
   order: ApplyInput,
 ): Promise<E.Either<ChangeRefusal, StoredConfiguration>> {
   let mayBeAccepted = false;
-  for (let tries = 1; tries <= MAX_ATTEMPTS; tries += 1) {
+  for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt += 1) {
     const outcome = await attemptChange(dependencies, order);
     switch (outcome.kind) {
       case 'accepted':
@@ -66,7 +66,7 @@
         break;
       case 'fault':
         mayBeAccepted ||= outcome.mayBeAccepted;
-        await delay(dependencies.timers, RETRY_DELAY_MS * tries);
+        await delay(dependencies.timers, RETRY_DELAY_MS * attempt);
     }
   }
   return E.left(
--- a/packages/store-configuration/src/configuration-store.test.ts
+++ b/packages/store-configuration/src/configuration-store.test.ts
@@ -68,7 +68,7 @@
   assert.is((await read(system)).configuration.revision, 1);
 });
 
-test('of two operators who race, one is accepted and the other is shown what is there', async () => {
+test('of two concurrent changes one is accepted and the other gets a conflict with the current state', async () => {
   const system = createSystem();
   await apply(system, change('c0', 0, putOrganisation('haneul')));
   const [first, second] = await Promise.all([
@@ -83,7 +83,7 @@
   assert.is((await history(system)).length, 2);
 });
 
-test('operators who change different things do not disturb each other', async () => {
+test('concurrent changes of different resources are all accepted', async () => {
   const system = createSystem();
   const outcomes = await Promise.all(
     ['a', 'b', 'c', 'd'].map((name) => apply(system, change(name, 0, putOrganisation(name)))),
@@ -92,7 +92,7 @@
   assert.is((await read(system)).configuration.revision, 4);
 });
 
-test('a put over a removal that the operator has not seen is a conflict', async () => {
+test('a put that ignores a newer removal is a conflict', async () => {
   const system = createSystem();
   await apply(system, change('c1', 0, putOrganisation('haneul')));
   await apply(system, change('c2', 1, { delete: { kind: 'organisation', name: 'haneul' } }));
@@ -100,7 +100,7 @@
   assert.ok(E.isLeft(outcome) && outcome.left.kind === 'conflict');
 });
 
-test('a change whose reply was lost is accepted once, and the operator is told so', async () => {
+test('a change whose reply is lost is accepted once and reported as accepted', async () => {
   let losses = 1;
   const system = createSystem({
     isOut: false,
@@ -111,7 +111,7 @@
   assert.is((await history(system)).length, 1);
 });
 
-test('while the service is out a change is not accepted, and it is said so', async () => {
+test('during an outage of the service a change fails with store-unavailable', async () => {
   const faults: StoreFaults = { isOut: true, onSwap: () => 'ok' };
   const system = createSystem(faults);
   const outcome = await apply(system, change('c1', 0, putOrganisation('haneul')));
@@ -120,7 +120,7 @@
   assert.is((await history(system)).length, 0);
 });
 
-test('a service that carries out but never answers leaves the outcome open, not a false no', async () => {
+test('a change fails with outcome-unknown if the service executes it without a reply', async () => {
   const faults: StoreFaults = { isOut: false, onSwap: () => 'ok' };
   const system = createSystem(faults);
   faults.onSwap = () => {
@@ -130,10 +130,10 @@
   const outcome = await apply(system, change('c1', 0, putOrganisation('haneul')));
   assert.ok(E.isLeft(outcome) && outcome.left.kind === 'outcome-unknown');
   faults.isOut = false;
-  assert.is((await history(system))[0]?.changeId, 'c1', 'it did take effect');
+  assert.is((await history(system))[0]?.changeId, 'c1', 'the change took effect');
 });
 
-test('old changes are archived, and a VM that starts anew gets the same configuration', async () => {
+test('old changes are archived, and a new VM reads the same configuration', async () => {
   const system = createSystem();
   let known = EMPTY_CONFIGURATION;
   for (let revision = 0; revision < 250; revision += 1) {
@@ -153,7 +153,7 @@
   assert.ok(system.state.get('limelead/configuration/head').value.length < 400_000);
 });
 
-test('after a restore from something older, the newer configuration is put back', async () => {
+test('after a restore from a backup the newer configuration is written back', async () => {
   const system = createSystem();
   await apply(system, change('c1', 0, putOrganisation('haneul')));
   const backup = system.state.backUp();
@@ -162,42 +162,42 @@
   system.state.restore(backup);
   const stale = await read(system, configuration);
   assert.is(stale.storedRevision, 1);
-  assert.is(stale.configuration.revision, 2, 'what is in force does not go back');
+  assert.is(stale.configuration.revision, 2, 'the configuration in force stays the newer one');
   await system.configuration.restore(configuration, changes)();
   const fresh = (await read(system)).configuration;
   assert.is(fresh.revision, 2);
   assert.is(findSpec(fresh, 'organisation', 'haneul')?.requestsPerSecond, 7);
 });
 
-test('differential: against a plain list of changes, under lost replies and refusals', async () => {
+test('matches a plain list of changes under lost replies and refusals', async () => {
   const step = fc.record({
     name: fc.constantFrom('a', 'b', 'c'),
     isStale: fc.boolean(),
-    fates: fc.array(fc.constantFrom('ok' as const, 'refused' as const, 'reply-lost' as const), {
+    replies: fc.array(fc.constantFrom('ok' as const, 'refused' as const, 'reply-lost' as const), {
       maxLength: 3,
     }),
   });
   await fc.assert(
     fc.asyncProperty(fc.array(step, { maxLength: 15 }), async (steps) => {
-      let fates: ReturnType<StoreFaults['onSwap']>[] = [];
-      const system = createSystem({ isOut: false, onSwap: () => fates.shift() ?? 'ok' });
+      let replies: ReturnType<StoreFaults['onSwap']>[] = [];
+      const system = createSystem({ isOut: false, onSwap: () => replies.shift() ?? 'ok' });
       const accepted: string[] = [];
-      let naive = EMPTY_CONFIGURATION;
-      for (const [index, { name, isStale, fates: drawn }] of steps.entries()) {
-        fates = [...drawn];
-        const base = isStale ? Math.max(0, naive.revision - 1) : naive.revision;
+      let expected = EMPTY_CONFIGURATION;
+      for (const [index, { name, isStale, replies: planned }] of steps.entries()) {
+        replies = [...planned];
+        const base = isStale ? Math.max(0, expected.revision - 1) : expected.revision;
         const request = change(`c${index}`, base, putOrganisation(name, index + 1));
         const outcome = await apply(system, request);
         if (E.isRight(outcome)) {
           accepted.push(request.changeId);
-          const revision = naive.revision + 1;
-          naive = applyChanges(naive, [{ ...request, revision, operator: 'mina', atMs: 0 }]);
+          const revision = expected.revision + 1;
+          expected = applyChanges(expected, [{ ...request, revision, operator: 'mina', atMs: 0 }]);
         } else {
           assert.is(outcome.left.kind, 'conflict');
         }
       }
       const { configuration } = await read(system);
-      assert.equal([...configuration.resources], [...naive.resources]);
+      assert.equal([...configuration.resources], [...expected.resources]);
       const audited = (await history(system)).map(({ changeId }) => changeId).reverse();
       assert.equal(audited, accepted);
     }),
--- a/packages/store-configuration/src/configuration-store.ts
+++ b/packages/store-configuration/src/configuration-store.ts
@@ -20,22 +20,23 @@
 
 /** Access to the configuration in the platform's service. */
 export interface ConfigurationStore {
-  /** Reads the head; what is already known is not read again. */
+  /** Reads the configuration; loads only what `known` lacks. */
   read(known: Configuration): PortCall<StoredConfiguration>;
-  /** Waits until the head is above a version or the wait ends, then reads it. */
+  /** Waits until the head has a higher version or the wait ends, then reads the configuration. */
   watch(known: Configuration, headVersion: number, waitMs: number): PortCall<StoredConfiguration>;
-  /** Accepts a change or says why not; an ambiguous outcome is resolved by reading. */
+  /** Applies a change; retries if the outcome is unknown. */
   apply(
     known: Configuration,
     request: ChangeRequest,
     operator: string,
   ): Promise<E.Either<ChangeRefusal, StoredConfiguration>>;
-  /** Puts a newer configuration back after the service was restored from something older. */
+  /** Writes a newer configuration back after the service was restored from a backup. */
   restore(known: Configuration, recent: readonly Change[]): PortCall<StoredConfiguration>;
+  /** Lists changes below a revision, newest first. */
   listChanges(before: number, limit: number): PortCall<Change[]>;
 }
 
-/** Creates the access. */
+/** Creates a configuration store on a key-value store. */
 export default function createConfigurationStore(
   store: KeyValueStore,
   clock: Clock,
--- a/packages/store-configuration/src/head.ts
+++ b/packages/store-configuration/src/head.ts
@@ -1,22 +1,22 @@
-/** The head: what is in force, by reference to a snapshot and the newest changes. */
+/** The head: the configuration in force as a reference to a snapshot and the newest changes. */
 import { changeCodec } from '@limelead/configuration-state';
 import type { Change, Revision } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
 import * as t from 'io-ts';
 
-/** Where a snapshot is. */
+/** Identifies the parts of a snapshot. */
 export interface SnapshotReference {
   revision: Revision;
   parts: number;
 }
 
-/** The value under the head key. */
+/** The value of the head key. */
 export interface Head {
   revision: Revision;
   snapshot: SnapshotReference;
-  /** Last revision of the newest archived segment of the history; 0 where there is none. */
+  /** Last revision of the newest archived history segment; 0 for none. */
   archived: Revision;
-  /** The newest changes in order, up to `revision`; they follow on the snapshot or overlap it. */
+  /** The newest changes in order, up to `revision`; they continue or overlap the snapshot. */
   changes: Change[];
 }
 
@@ -35,7 +35,7 @@
   changes: t.array(changeCodec),
 });
 
-/** Reads a head; an absent key is the empty head, undefined is a value that does not hold. */
+/** Decodes a head. An empty value, which stands for an absent key, gives the empty head; undefined if invalid. */
 export function decodeHead(value: string): Head | undefined {
   if (value === '') {
     return EMPTY_HEAD;
@@ -44,7 +44,7 @@
   return E.isRight(decoded) ? decoded.right : undefined;
 }
 
-/** Parses JSON; undefined where it is none. */
+/** Parses JSON; undefined if invalid. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
--- a/packages/store-configuration/src/history.ts
+++ b/packages/store-configuration/src/history.ts
@@ -1,7 +1,6 @@
 /**
- * Archived segments of the history: a list linked from the newest to the
- * oldest, whose end is named in the head. A segment is the same whoever
- * writes it, because it is cut from the same head.
+ * Archived history segments: a list linked from the newest to the oldest, which starts at the
+ * head. VMs that archive the same head write identical segments.
  */
 import { changeCodec } from '@limelead/configuration-state';
 import { PortFault } from '@limelead/errors';
@@ -12,14 +11,14 @@
 import { parseJson, type Head } from './head.js';
 import { segmentKey } from './keys.js';
 
-/** Changes that stay in the head, so that VMs catch up without reading more. */
+/** Changes that stay in the head, so that VMs that lack only these need no other read. */
 const RETAINED_HEAD_CHANGES = 32;
 const MAX_RETAINED_CHARACTERS = 100_000;
 const MAX_SEGMENT_CHARACTERS = 400_000;
 
-/** Some changes in a row. */
+/** Consecutive changes. */
 export interface Segment {
-  /** Last revision of the segment before; 0 where there is none. */
+  /** Last revision of the previous segment; 0 for none. */
   previous: Revision;
   changes: Change[];
 }
@@ -29,7 +28,7 @@
   changes: t.array(changeCodec),
 }) as unknown as t.Type<Segment, unknown>;
 
-/** Moves older changes of a head into segments; gives the shorter head. */
+/** Writes older changes of a head to segments; returns the shortened head. */
 export function archiveChanges(store: KeyValueStore, head: Head): PortCall<Head> {
   return async () => {
     const keptFrom = findFirstRetained(head.changes);
@@ -82,7 +81,7 @@
     const decoded = segmentCodec.decode(parseJson(stored.right.value));
     return E.isRight(decoded)
       ? E.right(decoded.right)
-      : E.left(new PortFault('invalid', 'no', `history up to ${lastRevision} does not hold`));
+      : E.left(new PortFault('invalid', 'no', `history segment ${lastRevision} is invalid`));
   };
 }
 
--- a/packages/store-configuration/src/index.ts
+++ b/packages/store-configuration/src/index.ts
@@ -1,4 +1,4 @@
-/** Keeps the configuration in the platform's key-value service, with its audit trail. */
+/** Stores the configuration and its audit trail in the platform's key-value service. */
 export { default as createConfigurationStore } from './configuration-store.js';
 export type { ConfigurationStore } from './configuration-store.js';
 export type { StoredConfiguration } from './stored-head.js';
--- a/packages/store-configuration/src/keys.ts
+++ b/packages/store-configuration/src/keys.ts
@@ -1,10 +1,10 @@
 /** Keys in the platform's key-value service. */
 import type { Revision } from '@limelead/types';
 
-/** The one value whose compare-and-swap accepts a change. */
+/** Key of the head; a compare-and-swap of its value accepts a change. */
 export const HEAD_KEY = 'limelead/configuration/head';
 
-/** Key of one part of a snapshot. */
+/** Key of a part of a snapshot. */
 export function snapshotKey(revision: Revision, part: number): string {
   return `limelead/configuration/snapshot/${revision}/${part}`;
 }
--- a/packages/store-configuration/src/snapshot.ts
+++ b/packages/store-configuration/src/snapshot.ts
@@ -1,4 +1,4 @@
-/** Snapshots of the whole configuration, in parts that fit the service's limit on values. */
+/** Snapshots of the snapshot configuration, in parts below the service's size limit of a value. */
 import {
   removalCodec,
   versionedResourceCodec,
@@ -13,10 +13,10 @@
 import { parseJson, type SnapshotReference } from './head.js';
 import { snapshotKey } from './keys.js';
 
-/** Half of the service's limit of a megabyte, to leave room for its own encoding. */
+/** Half of the service's limit of a megabyte, since its encoding enlarges values. */
 const MAX_PART_CHARACTERS = 500_000;
 
-/** One part of a snapshot. */
+/** A part of a snapshot. */
 export interface SnapshotPart {
   resources: VersionedResource[];
   removals: Removal[];
@@ -35,7 +35,7 @@
   const parts: SnapshotPart[] = [];
   let part: SnapshotPart = { resources: [], removals: [] };
   let size = 0;
-  const makeRoom = (item: object): void => {
+  const reserve = (item: object): void => {
     const itemSize = JSON.stringify(item).length;
     if (size > 0 && size + itemSize > maxCharacters) {
       parts.push(part);
@@ -45,17 +45,17 @@
     size += itemSize;
   };
   for (const resource of configuration.resources.values()) {
-    makeRoom(resource);
+    reserve(resource);
     part.resources.push(resource);
   }
   for (const removal of configuration.removals.values()) {
-    makeRoom(removal);
+    reserve(removal);
     part.removals.push(removal);
   }
   return [...parts, part];
 }
 
-/** Writes every part; parts that somebody else has already written are left as they are. */
+/** Writes all parts; parts that another VM has already written are kept. */
 export function writeSnapshot(
   store: KeyValueStore,
   configuration: Configuration,
@@ -77,13 +77,13 @@
   };
 }
 
-/** Reads every part of a snapshot. */
+/** Reads all parts of a snapshot and joins them. */
 export function readSnapshot(
   store: KeyValueStore,
   { revision, parts }: SnapshotReference,
 ): PortCall<SnapshotPart> {
   return async () => {
-    const whole: SnapshotPart = { resources: [], removals: [] };
+    const snapshot: SnapshotPart = { resources: [], removals: [] };
     for (let index = 0; index < parts; index += 1) {
       const stored = await store.get(snapshotKey(revision, index))();
       if (E.isLeft(stored)) {
@@ -91,16 +91,16 @@
       }
       const part = partCodec.decode(parseJson(stored.right.value));
       if (E.isLeft(part)) {
-        return E.left(new PortFault('invalid', 'maybe', 'a part of the snapshot does not hold'));
+        return E.left(new PortFault('invalid', 'maybe', 'a snapshot part is invalid'));
       }
-      whole.resources.push(...part.right.resources);
-      whole.removals.push(...part.right.removals);
+      snapshot.resources.push(...part.right.resources);
+      snapshot.removals.push(...part.right.removals);
     }
-    return E.right(whole);
+    return E.right(snapshot);
   };
 }
 
-/** Removes an old snapshot that no head refers to any more. Best effort. */
+/** Deletes a snapshot that no head refers to; ignores failures. */
 export async function deleteSnapshot(
   store: KeyValueStore,
   { revision, parts }: SnapshotReference,
--- a/packages/store-configuration/src/stored-head.ts
+++ b/packages/store-configuration/src/stored-head.ts
@@ -1,4 +1,4 @@
-/** Reads the head with what it refers to, and swaps it. */
+/** Reads, compacts and swaps the head. */
 import {
   applyChanges,
   EMPTY_CONFIGURATION,
@@ -14,18 +14,18 @@
 import { HEAD_KEY } from './keys.js';
 import { readSnapshot, writeSnapshot } from './snapshot.js';
 
-/** Changes in the head at which older ones are archived. */
+/** Number of changes in the head above which older ones are archived. */
 export const MAX_HEAD_CHANGES = 96;
-/** Characters of the head at which older changes are archived early. */
+/** Length of the head above which older changes are archived. */
 const MAX_HEAD_CHARACTERS = 400_000;
 
-/** The configuration and the newest changes, as read. */
+/** The configuration and its newest changes, as read from the service. */
 export interface StoredConfiguration {
   configuration: Configuration;
   changes: Change[];
-  /** Version of the head key, for a following watch. */
+  /** Version of the head key; a watch continues from it. */
   headVersion: number;
-  /** Revision in the service; below the configuration's own where the service was restored. */
+  /** Revision in the service; lower than the configuration's if the service was restored from a backup. */
   storedRevision: Revision;
 }
 
@@ -35,7 +35,7 @@
   version: number;
 }
 
-/** Puts a head and the configuration that it stands for together. */
+/** Combines a head with its configuration. */
 export function toStoredConfiguration(
   configuration: Configuration,
   { head, version }: VersionedHead,
@@ -44,7 +44,7 @@
   return { configuration, changes, headVersion: version, storedRevision };
 }
 
-/** Reads the head and loads what is not yet known. */
+/** Reads the head and loads what `known` lacks. */
 export function readStoredConfiguration(
   store: KeyValueStore,
   known: Configuration,
@@ -56,7 +56,7 @@
   };
 }
 
-/** Loads what a head stands for. */
+/** Loads the configuration of a head. */
 export function loadStoredConfiguration(
   store: KeyValueStore,
   known: Configuration,
@@ -70,7 +70,7 @@
   };
 }
 
-/** Decodes the head that a call gives. */
+/** Decodes the head that a call returns. */
 export function readHead(call: PortCall<StoredValue>): PortCall<VersionedHead> {
   return async () => {
     const stored = await call();
@@ -79,12 +79,12 @@
     }
     const head = decodeHead(stored.right.value);
     return head === undefined
-      ? E.left(new PortFault('invalid', 'no', 'the head of the configuration does not hold'))
+      ? E.left(new PortFault('invalid', 'no', 'the head of the configuration is invalid'))
       : E.right({ head, version: stored.right.version });
   };
 }
 
-/** Catches up from what is known; reads the snapshot only where the head's changes do not reach back. */
+/** Updates the known configuration; reads the snapshot only if the head lacks some of the missing changes. */
 function loadConfiguration(
   store: KeyValueStore,
   known: Configuration,
@@ -108,12 +108,12 @@
   };
 }
 
-/** The head with one more change. */
+/** Returns the head with one more change. */
 export function appendToHead(head: Head, change: Change): Head {
   return { ...head, revision: change.revision, changes: [...head.changes, change] };
 }
 
-/** Moves old changes into the history behind a snapshot, before the head gets too large. */
+/** If the head is large, writes a snapshot and archives old changes; returns the resulting head. */
 export function compactHead(
   store: KeyValueStore,
   head: Head,
@@ -132,7 +132,7 @@
   };
 }
 
-/** Gives the new version, or undefined where somebody else was faster. */
+/** Replaces the head; returns its new version, or undefined if another VM replaced it first. */
 export function swapHead(
   store: KeyValueStore,
   version: number,
