--- a/packages/configuration-state/src/codecs.ts
+++ b/packages/configuration-state/src/codecs.ts
@@ -29,21 +29,21 @@
 const MAX_DOMAINS = 64;
 const MAX_OPERATIONS = 1_000;
 const MAX_REASON_CHARACTERS = 500;
-const LONGEST_MS = 86_400_000;
+const MAX_DURATION_MS = 86_400_000;
 
 const name = textMatching(/^[a-z0-9][a-z0-9-]{0,63}$/, 'a name of 1 to 64 of a-z, 0-9 and -');
 const label = textMatching(/^[\w.:/-]{0,128}$/, 'a text of up to 128 of letters, digits and ._:/-');
-const filledLabel = textMatching(
+const nonEmptyLabel = textMatching(
   /^[\w.:/-]{1,128}$/,
   'a text of 1 to 128 of letters, digits and ._:/-',
 );
 const keyHash = textMatching(/^[0-9a-f]{64}$/, 'a SHA-256 in 64 hex digits');
-const milliseconds = integerBetween(0, LONGEST_MS);
+const milliseconds = integerBetween(0, MAX_DURATION_MS);
 
 const modelService = closed('model service', {
-  model: filledLabel,
+  model: nonEmptyLabel,
   adapter: label,
-  version: filledLabel,
+  version: nonEmptyLabel,
 });
 const plainService = closed('plain service', { timeoutMs: integerBetween(1, 600_000) });
 
@@ -72,8 +72,8 @@
 /** A recovery policy. */
 export const recoveryPolicyCodec: t.Type<RecoveryPolicy, unknown> = closed('recovery policy', {
   suspicionFactor: positiveUpTo(1_000),
-  minSilenceMs: integerBetween(1, LONGEST_MS),
-  maxSilenceMs: integerBetween(1, LONGEST_MS),
+  minSilenceMs: integerBetween(1, MAX_DURATION_MS),
+  maxSilenceMs: integerBetween(1, MAX_DURATION_MS),
   hedge: t.boolean,
   probeFirst: t.boolean,
 });
@@ -84,15 +84,15 @@
   rank: integerBetween(0, 100),
   deadlineMs: milliseconds,
   recovery: recoveryPolicyCodec,
-  maxQueueMs: integerBetween(1, LONGEST_MS),
+  maxQueueMs: integerBetween(1, MAX_DURATION_MS),
 });
 
 /** A placement rule. */
 export const placementRuleCodec: t.Type<PlacementRule, unknown> = closed('placement rule', {
   name,
-  model: filledLabel,
+  model: nonEmptyLabel,
   adapter: label,
-  version: filledLabel,
+  version: nonEmptyLabel,
   targets: integerBetween(0, 100_000),
   failureDomains: listOfAtMost(name, MAX_DOMAINS),
 });
--- a/packages/configuration-state/src/configuration.ts
+++ b/packages/configuration-state/src/configuration.ts
@@ -34,15 +34,15 @@
 };
 
 /** Builds a configuration from a snapshot. */
-export function fromResources(
+export function buildConfiguration(
   revision: Revision,
   resources: readonly VersionedResource[],
   removals: readonly Removal[],
 ): Configuration {
   const entries = resources.map(
-    (versioned) => [keyOf(nameOfResource(versioned.resource)), versioned] as const,
+    (versioned) => [resourceKey(nameOfResource(versioned.resource)), versioned] as const,
   );
-  const removed = removals.map((removal) => [keyOf(removal.name), removal] as const);
+  const removed = removals.map((removal) => [resourceKey(removal.name), removal] as const);
   return { revision, resources: new Map(entries), removals: new Map(removed) };
 }
 
@@ -65,7 +65,7 @@
     applyOperations(resources, removals, change);
     revision = change.revision;
   }
-  return { revision, resources, removals: dropOldest(removals) };
+  return { revision, resources, removals: limitRemovals(removals) };
 }
 
 /** Finds one resource's spec. */
@@ -74,21 +74,21 @@
   kind: Kind,
   name: string,
 ): ResourceShapes[Kind] | undefined {
-  const found = configuration.resources.get(keyOf({ kind, name }));
+  const found = configuration.resources.get(resourceKey({ kind, name }));
   return found?.resource.spec as ResourceShapes[Kind] | undefined;
 }
 
 /** Finds a resource with its revision. */
-export function findVersioned(
+export function findResource(
   configuration: Configuration,
   name: ResourceName,
 ): VersionedResource | undefined {
-  return configuration.resources.get(keyOf(name));
+  return configuration.resources.get(resourceKey(name));
 }
 
 /** The revision that last put or removed a resource; 0 where it never was there. */
-export function findLastTouch(configuration: Configuration, name: ResourceName): Revision {
-  const found = findVersioned(configuration, name) ?? configuration.removals.get(keyOf(name));
+export function findLastRevision(configuration: Configuration, name: ResourceName): Revision {
+  const found = findResource(configuration, name) ?? configuration.removals.get(resourceKey(name));
   return found?.revision ?? 0;
 }
 
@@ -115,7 +115,7 @@
   const { revision } = change;
   for (const operation of change.operations) {
     const name = nameOfOperation(operation);
-    const key = keyOf(name);
+    const key = resourceKey(name);
     removals.delete(key);
     if ('put' in operation) {
       resources.set(key, { revision, resource: operation.put });
@@ -126,10 +126,10 @@
   }
 }
 
-function dropOldest(removals: Map<string, Removal>): Map<string, Removal> {
+function limitRemovals(removals: Map<string, Removal>): Map<string, Removal> {
   return new Map([...removals].slice(-MAX_REMOVALS));
 }
 
-function keyOf({ kind, name }: ResourceName): string {
+function resourceKey({ kind, name }: ResourceName): string {
   return `${kind}/${name}`;
 }
--- a/packages/configuration-state/src/plan-change.ts
+++ b/packages/configuration-state/src/plan-change.ts
@@ -10,9 +10,9 @@
 import * as E from 'fp-ts/lib/Either.js';
 import {
   applyChanges,
-  findLastTouch,
+  findLastRevision,
   findSpec,
-  findVersioned,
+  findResource,
   listSpecs,
   nameOfOperation,
   type Configuration,
@@ -38,7 +38,7 @@
   }
   const conflicts = findConflicts(configuration, request);
   if (conflicts.length > 0) {
-    return E.left(describeConflict(configuration, conflicts));
+    return E.left(createConflictError(configuration, conflicts));
   }
   const change: Change = { ...request, ...author, revision: configuration.revision + 1 };
   const fault = findDanglingReference(applyChanges(configuration, [change]));
@@ -51,17 +51,17 @@
 function findConflicts(configuration: Configuration, request: ChangeRequest): ResourceName[] {
   return request.operations
     .map(nameOfOperation)
-    .filter((name) => findLastTouch(configuration, name) > request.baseRevision);
+    .filter((name) => findLastRevision(configuration, name) > request.baseRevision);
 }
 
-function describeConflict(
+function createConflictError(
   configuration: Configuration,
   conflicts: ResourceName[],
 ): ConflictError<VersionedResource> {
   const names = conflicts.map(({ kind, name }) => `${kind} ${name}`);
   const message = `changed or removed since the base revision: ${names.join(', ')}`;
   const current = conflicts
-    .map((name) => findVersioned(configuration, name))
+    .map((name) => findResource(configuration, name))
     .filter((versioned) => versioned !== undefined);
   return new ConflictError(message, configuration.revision, current);
 }
--- a/packages/daemon/src/snapshot-assembler.ts
+++ b/packages/daemon/src/snapshot-assembler.ts
@@ -1,5 +1,9 @@
 /** Puts the parts of a configuration together that a peer sends. */
-import { fromResources, type Configuration, type Removal } from '@limelead/configuration-state';
+import {
+  buildConfiguration,
+  type Configuration,
+  type Removal,
+} from '@limelead/configuration-state';
 import type { PeerMessageOf } from '@limelead/peer-links';
 import type { VersionedResource, VmId } from '@limelead/types';
 
@@ -30,7 +34,7 @@
       return undefined;
     }
     this.assemblies.delete(peer);
-    return fromResources(revision, open.resources, open.removals);
+    return buildConfiguration(revision, open.resources, open.removals);
   }
 
   /** Forgets what a peer has begun to send. */
--- a/packages/measure/src/capacity/measure-slopes.ts
+++ b/packages/measure/src/capacity/measure-slopes.ts
@@ -1,6 +1,10 @@
 /** Measures the slopes of docs/CAPACITY.md, one after another in this process. */
 import chooseTarget from '@limelead/choose-target';
-import { applyChanges, fromResources, type Configuration } from '@limelead/configuration-state';
+import {
+  applyChanges,
+  buildConfiguration,
+  type Configuration,
+} from '@limelead/configuration-state';
 import { hashKey } from '@limelead/demo';
 import { decodeMessage, encodeMessage, type PeerMessage } from '@limelead/peer-links';
 import createHandleSigner from '@limelead/resume-handle';
@@ -157,7 +161,7 @@
     revision: 1,
     resource: { kind: 'organisation', spec: createOrganisation(index) },
   }));
-  return fromResources(organisations, resources, []);
+  return buildConfiguration(organisations, resources, []);
 }
 
 function createOrganisation(index: number) {
--- a/packages/store-configuration/src/stored-head.ts
+++ b/packages/store-configuration/src/stored-head.ts
@@ -2,7 +2,7 @@
 import {
   applyChanges,
   EMPTY_CONFIGURATION,
-  fromResources,
+  buildConfiguration,
   type Configuration,
 } from '@limelead/configuration-state';
 import { PortFault } from '@limelead/errors';
@@ -104,7 +104,7 @@
       return snapshot;
     }
     const { resources, removals } = snapshot.right;
-    return E.right(applyChanges(fromResources(revision, resources, removals), head.changes));
+    return E.right(applyChanges(buildConfiguration(revision, resources, removals), head.changes));
   };
 }
 
