--- a/packages/configuration-state/src/codecs.ts
+++ b/packages/configuration-state/src/codecs.ts
@@ -1,4 +1,4 @@
-/** Codecs of the resources and changes. */
+/** Codecs of resources and changes. */
 import {
   closed,
   integerBetween,
@@ -47,14 +47,13 @@
 });
 const plainService = closed('plain service', { timeoutMs: integerBetween(1, 600_000) });
 
-/** A service; exactly one of `model` and `plain`. */
+/** A service with exactly one of `model` and `plain`. */
 export const serviceCodec: t.Type<Service, unknown> = t.refinement(
   closed('service', { name, defaultPriority: name }, { model: modelService, plain: plainService }),
   (service) => (service.model === undefined) !== (service.plain === undefined),
   'a service with exactly one of "model" and "plain"',
 );
 
-/** An organisation. */
 export const organisationCodec: t.Type<Organisation, unknown> = closed('organisation', {
   name,
   keyHashes: listOfAtMost(keyHash, MAX_KEYS),
@@ -63,13 +62,11 @@
   maxConcurrent: integerBetween(1, 1_000_000),
 });
 
-/** An operator. */
 export const operatorCodec: t.Type<Operator, unknown> = closed('operator', {
   name,
   keyHashes: listOfAtMost(keyHash, MAX_KEYS),
 });
 
-/** A recovery policy. */
 export const recoveryPolicyCodec: t.Type<RecoveryPolicy, unknown> = closed('recovery policy', {
   suspicionFactor: positiveUpTo(1_000),
   minSilenceMs: integerBetween(1, MAX_DURATION_MS),
@@ -78,7 +75,6 @@
   probeFirst: t.boolean,
 });
 
-/** A priority. */
 export const priorityCodec: t.Type<Priority, unknown> = closed('priority', {
   name,
   rank: integerBetween(0, 100),
@@ -87,7 +83,6 @@
   maxQueueMs: integerBetween(1, MAX_DURATION_MS),
 });
 
-/** A placement rule. */
 export const placementRuleCodec: t.Type<PlacementRule, unknown> = closed('placement rule', {
   name,
   model: nonEmptyLabel,
@@ -112,7 +107,7 @@
 
 const resourceName = closed('resource name', { kind: oneOf(...RESOURCE_KINDS), name });
 
-/** One step of a change. */
+/** One operation of a change: puts or deletes a resource. */
 export const operationCodec = t.union([
   closed('put', { put: resourceCodec }),
   closed('delete', { delete: resourceName }),
@@ -125,7 +120,7 @@
   reason: textMatching(new RegExp(`^.{0,${MAX_REASON_CHARACTERS}}$`, 's'), 'up to 500 characters'),
 };
 
-/** A change that an operator asks for. */
+/** A change that an operator requests. */
 export const changeRequestCodec = closed('change', changeRequestProps) as t.Type<
   ChangeRequest,
   unknown
@@ -139,13 +134,13 @@
   atMs: t.number,
 }) as t.Type<Change, unknown>;
 
-/** The name of a resource and the revision that removed it. */
+/** The name of a removed resource and the revision that removed it. */
 export const removalCodec = closed('removal', {
   revision: integerBetween(0, Number.MAX_SAFE_INTEGER),
   name: resourceName,
 }) as t.Type<Removal, unknown>;
 
-/** A resource and the revision that last touched it. */
+/** A resource and the revision that last changed it. */
 export const versionedResourceCodec = closed('versioned resource', {
   revision: integerBetween(0, Number.MAX_SAFE_INTEGER),
   resource: resourceCodec,
--- a/packages/configuration-state/src/configuration.ts
+++ b/packages/configuration-state/src/configuration.ts
@@ -1,4 +1,4 @@
-/** The configuration in force, as an index of resources. */
+/** The configuration as an index of resources. */
 import {
   nameOfResource,
   type Change,
@@ -9,7 +9,7 @@
   type VersionedResource,
 } from '@limelead/types';
 
-/** Removals remembered, so that a race between a removal and a put is seen; the oldest go first. */
+/** Number of newest removals that are kept to detect conflicts between a removal and a put. */
 const MAX_REMOVALS = 1_000;
 
 /** A resource that was removed. */
@@ -18,7 +18,7 @@
   name: ResourceName;
 }
 
-/** All resources by kind and name, at one revision. Never changed in place. */
+/** All resources by kind and name, at one revision. Immutable. */
 export interface Configuration {
   revision: Revision;
   resources: ReadonlyMap<string, VersionedResource>;
@@ -33,7 +33,7 @@
   removals: new Map(),
 };
 
-/** Builds a configuration from a snapshot. */
+/** Builds a configuration from the contents of a snapshot. */
 export function buildConfiguration(
   revision: Revision,
   resources: readonly VersionedResource[],
@@ -46,7 +46,7 @@
   return { revision, resources: new Map(entries), removals: new Map(removed) };
 }
 
-/** Applies accepted changes in order; those at or below the revision are skipped, a gap stops it. */
+/** Applies accepted changes in order. Skips those at or below the revision and stops at a gap. */
 export function applyChanges(
   configuration: Configuration,
   changes: readonly Change[],
@@ -68,7 +68,7 @@
   return { revision, resources, removals: limitRemovals(removals) };
 }
 
-/** Finds one resource's spec. */
+/** Finds the spec of a resource. */
 export function findSpec<Kind extends ResourceKind>(
   configuration: Configuration,
   kind: Kind,
@@ -86,13 +86,13 @@
   return configuration.resources.get(resourceKey(name));
 }
 
-/** The revision that last put or removed a resource; 0 where it never was there. */
+/** The revision that last put or removed a resource; 0 if none is known. */
 export function findLastRevision(configuration: Configuration, name: ResourceName): Revision {
   const found = findResource(configuration, name) ?? configuration.removals.get(resourceKey(name));
   return found?.revision ?? 0;
 }
 
-/** All specs of a kind. */
+/** The specs of all resources of a kind. */
 export function listSpecs<Kind extends ResourceKind>(
   configuration: Configuration,
   kind: Kind,
@@ -102,7 +102,7 @@
     .map(({ resource }) => resource.spec as ResourceShapes[Kind]);
 }
 
-/** Names the resource that an operation touches. */
+/** Returns the name of the resource that an operation changes. */
 export function nameOfOperation(operation: Change['operations'][number]): ResourceName {
   return 'put' in operation ? nameOfResource(operation.put) : operation.delete;
 }
--- a/packages/configuration-state/src/index.ts
+++ b/packages/configuration-state/src/index.ts
@@ -1,4 +1,4 @@
-/** Operators' configuration as plain data: checks a change, applies it, detects conflicts. */
+/** The operators' configuration as immutable data: validates changes, applies them and detects conflicts. */
 export * from './codecs.js';
 export * from './configuration.js';
 export { default as planChange, type ChangeRefusal } from './plan-change.js';
--- a/packages/configuration-state/src/plan-change.ts
+++ b/packages/configuration-state/src/plan-change.ts
@@ -1,4 +1,4 @@
-/** Pure decision: whether a change is accepted on top of a configuration. */
+/** Decides whether a change is accepted. */
 import { ConflictError, LimeleadError } from '@limelead/errors';
 import type {
   Change,
@@ -18,16 +18,16 @@
   type Configuration,
 } from './configuration.js';
 
-/** Why a change is refused. */
+/** The error of a refused change. */
 export type ChangeRefusal = LimeleadError | ConflictError<VersionedResource>;
 
-/** Who asks, and when. */
+/** The operator who requests a change, and the time of acceptance. */
 export interface ChangeAuthor {
   operator: string;
   atMs: Millis;
 }
 
-/** Gives the change as it would be accepted, at the next revision. */
+/** Returns the accepted change with the next revision, or the reason of its refusal. */
 export default function planChange(
   configuration: Configuration,
   request: ChangeRequest,
@@ -47,7 +47,7 @@
     : E.left(new LimeleadError('invalid-request', fault));
 }
 
-/** Resources touched by the request that somebody else changed since its base revision. */
+/** Names of requested resources that changed after the request's base revision. */
 function findConflicts(configuration: Configuration, request: ChangeRequest): ResourceName[] {
   return request.operations
     .map(nameOfOperation)
@@ -72,5 +72,5 @@
   );
   return dangling === undefined
     ? undefined
-    : `service ${dangling.name} names the priority ${dangling.defaultPriority}, which does not exist`;
+    : `service ${dangling.name} refers to the priority ${dangling.defaultPriority}, which does not exist`;
 }
