--- a/packages/forward-request/src/forwarding.fixture.ts
+++ b/packages/forward-request/src/forwarding.fixture.ts
@@ -189,7 +189,11 @@
   readonly directory = new TargetDirectory(clock, {
     hasAnnouncedLeaving: (id) => this.backpressure.isLeaving(id),
   });
-  readonly connections = new TargetConnections({ clock, connectTimeoutMs: 300, maxIdle: 4 });
+  readonly connections = new TargetConnections({
+    clock,
+    connectTimeoutMs: 300,
+    maxIdlePerTarget: 4,
+  });
   readonly context: ForwardContext;
   private readonly backpressure: Backpressure;
   /** What a scheduler would say; by default there is none. */
--- a/packages/forward-request/src/silence-watch.test.ts
+++ b/packages/forward-request/src/silence-watch.test.ts
@@ -27,7 +27,7 @@
     clock,
     timers,
     directory,
-    connections: new TargetConnections({ clock, connectTimeoutMs: 1, maxIdle: 1 }),
+    connections: new TargetConnections({ clock, connectTimeoutMs: 1, maxIdlePerTarget: 1 }),
     dialect: {} as TargetDialect,
     log: createDecisionLog({ vm: 'test', clock, output: (_, done) => done() }),
   });
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -135,7 +135,7 @@
     this.connections = new TargetConnections({
       clock: steadyClock,
       connectTimeoutMs: CONNECT_TIMEOUT_MS,
-      maxIdle: MAX_IDLE_CONNECTIONS,
+      maxIdlePerTarget: MAX_IDLE_CONNECTIONS,
       onOpened: () => this.metrics.count('limelead_connections_opened_total'),
     });
     this.storeView = new StoreView({
@@ -421,7 +421,7 @@
       this.permits.forget(target.id);
     }
     if (kind !== 'joined') {
-      this.connections.release(target.id);
+      this.connections.closeIdle(target.id);
       this.pace.forget(target.id);
     }
   }
--- a/packages/http-front-door/src/http-front-door.test.ts
+++ b/packages/http-front-door/src/http-front-door.test.ts
@@ -118,7 +118,7 @@
   private readonly connections = new TargetConnections({
     clock,
     connectTimeoutMs: 300,
-    maxIdle: 2,
+    maxIdlePerTarget: 2,
   });
   private readonly sockets: Socket[] = [];
   private text = '';
--- a/packages/measure/src/experiments/front-door.ts
+++ b/packages/measure/src/experiments/front-door.ts
@@ -148,7 +148,11 @@
     random: systemRandom,
     backpressure: NO_BACKPRESSURE,
   };
-  const connections = new TargetConnections({ clock, connectTimeoutMs: 1_000, maxIdle: 64 });
+  const connections = new TargetConnections({
+    clock,
+    connectTimeoutMs: 1_000,
+    maxIdlePerTarget: 64,
+  });
   const table = compileRoutes({
     version: 1,
     routes: [createRoute('/call/', false), createRoute('/stream/', true)],
--- a/packages/target-connections/src/target-connection.ts
+++ b/packages/target-connections/src/target-connection.ts
@@ -2,11 +2,11 @@
 import { PortFault, type Sent } from '@limelead/errors';
 import type { Clock, Millis } from '@limelead/types';
 import { Client, type Dispatcher } from 'undici';
-import createConnector from './connect-socket.js';
+import createConnector from './create-connector.js';
 
 /** How long an idle connection is kept where the target tells nothing, in milliseconds. */
 const DEFAULT_IDLE_MS = 4_000;
-const LONGEST_IDLE_MS = 60_000;
+const MAX_IDLE_MS = 60_000;
 /** Time before the end that a target tells, at which a connection is no longer used. */
 const IDLE_MARGIN_MS = 1_000;
 
@@ -64,7 +64,7 @@
       headersTimeout: 0,
       bodyTimeout: 0,
       keepAliveTimeout: DEFAULT_IDLE_MS,
-      keepAliveMaxTimeout: LONGEST_IDLE_MS,
+      keepAliveMaxTimeout: MAX_IDLE_MS,
       keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
     });
     this.client.on('disconnect', () => this.close());
@@ -142,7 +142,7 @@
     }
     const rawHeaders = (controller.rawHeaders ?? []) as unknown as (Buffer | string)[];
     this.events.onHead(
-      toHead(
+      parseHead(
         status,
         rawHeaders.map((part) => part.toString('latin1')),
       ),
@@ -186,7 +186,7 @@
   }
 }
 
-function toHead(status: number, rawHeaders: string[]): AnswerHead {
+function parseHead(status: number, rawHeaders: string[]): AnswerHead {
   const headers = new Map<string, string>();
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     headers.set((rawHeaders[index] ?? '').toLowerCase(), rawHeaders[index + 1] ?? '');
--- a/packages/target-connections/src/target-connections.test.ts
+++ b/packages/target-connections/src/target-connections.test.ts
@@ -45,7 +45,7 @@
 }
 
 function createConnections(): TargetConnections {
-  return new TargetConnections({ clock, connectTimeoutMs: 300, maxIdle: 4 });
+  return new TargetConnections({ clock, connectTimeoutMs: 300, maxIdlePerTarget: 4 });
 }
 
 function send(
@@ -102,7 +102,7 @@
   const connections = createConnections();
   const { fault } = await send(connections, target.target);
   assert.is(fault?.sent, 'no');
-  assert.is(connections.count('t1'), 0);
+  assert.is(connections.countConnections('t1'), 0);
 });
 
 test('an answer that is cut short is a fault, whether it has a length or chunks', async () => {
@@ -185,7 +185,7 @@
   const closed = new Promise((resolve) => target.sockets[0]?.once('close', resolve));
   open.cancel();
   await closed;
-  assert.is(connections.count('t1'), 0);
+  assert.is(connections.countConnections('t1'), 0);
   await target.stop();
 });
 
--- a/packages/target-connections/src/target-connections.ts
+++ b/packages/target-connections/src/target-connections.ts
@@ -23,7 +23,7 @@
   /** Time for a connection to come up, in milliseconds. */
   connectTimeoutMs: number;
   /** Idle connections kept for each target. */
-  maxIdle: number;
+  maxIdlePerTarget: number;
   /** Called for each connection that is opened. */
   onOpened?: () => void;
 }
@@ -44,9 +44,9 @@
     options: SendOptions,
     events: CallEvents,
   ): OpenCall {
-    const idle = this.takeIdle(target.id, options.maxIdleMs);
+    const idle = this.acquireIdle(target.id, options.maxIdleMs);
     if (idle === undefined) {
-      return this.sendAnew(target, call, events);
+      return this.sendOnNewConnection(target, call, events);
     }
     let open = idle.send(call, {
       onHead: (head) => events.onHead(head),
@@ -54,7 +54,7 @@
       onEnd: () => events.onEnd(),
       onFault: (fault) => {
         if (fault.sent === 'no') {
-          open = this.sendAnew(target, call, events);
+          open = this.sendOnNewConnection(target, call, events);
         } else {
           events.onFault(fault);
         }
@@ -64,9 +64,13 @@
   }
 
   /** What can't be sent at all is a fault of this call; thrown, it would end whatever woke the request. */
-  private sendAnew(target: ServiceTarget, call: TargetCall, events: CallEvents): OpenCall {
+  private sendOnNewConnection(
+    target: ServiceTarget,
+    call: TargetCall,
+    events: CallEvents,
+  ): OpenCall {
     try {
-      return this.open(target).send(call, events);
+      return this.openConnection(target).send(call, events);
     } catch (thrown) {
       const fault = new PortFault('unreachable', 'no', String(thrown));
       let isCancelled = false;
@@ -76,12 +80,12 @@
   }
 
   /** Open connections to a target, busy and idle. */
-  count(targetId: string): number {
+  countConnections(targetId: string): number {
     return this.byTarget.get(targetId)?.size ?? 0;
   }
 
   /** Ends the idle connections to a target that takes no more work. */
-  release(targetId: string): void {
+  closeIdle(targetId: string): void {
     for (const connection of [...(this.byTarget.get(targetId) ?? [])]) {
       if (!connection.isBusy) {
         connection.close();
@@ -96,23 +100,23 @@
     }
   }
 
-  private takeIdle(targetId: string, maxIdleMs: Millis): TargetConnection | undefined {
+  private acquireIdle(targetId: string, maxIdleMs: Millis): TargetConnection | undefined {
     const idle = [...(this.byTarget.get(targetId) ?? [])]
       .filter((connection) => !connection.isBusy && !connection.isClosed)
       .sort((a, b) => b.idleSinceMs - a.idleSinceMs);
-    idle.slice(this.options.maxIdle).forEach((connection) => connection.close());
+    idle.slice(this.options.maxIdlePerTarget).forEach((connection) => connection.close());
     const newest = idle[0];
     const oldestUsableMs = this.options.clock.now() - maxIdleMs;
     return newest !== undefined && newest.idleSinceMs > oldestUsableMs ? newest : undefined;
   }
 
-  private open(target: ServiceTarget): TargetConnection {
+  private openConnection(target: ServiceTarget): TargetConnection {
     const { clock, connectTimeoutMs } = this.options;
     const connection = new TargetConnection(
       `http://${target.host}:${target.port}`,
       connectTimeoutMs,
       clock,
-      (closed) => this.forget(target.id, closed),
+      (closed) => this.remove(target.id, closed),
     );
     const connections = this.byTarget.get(target.id) ?? new Set<TargetConnection>();
     this.byTarget.set(target.id, connections);
@@ -121,7 +125,7 @@
     return connection;
   }
 
-  private forget(targetId: string, connection: TargetConnection): void {
+  private remove(targetId: string, connection: TargetConnection): void {
     const connections = this.byTarget.get(targetId);
     connections?.delete(connection);
     if (connections?.size === 0) {
