--- a/packages/target-connections/src/create-connector.ts
+++ b/packages/target-connections/src/create-connector.ts
@@ -1,13 +1,13 @@
-/** Opens TCP connections with a bound on the time that a silent peer may take. */
+/** Opens TCP connections with a timeout. */
 import { connect, type Socket } from 'node:net';
 import type { buildConnector } from 'undici';
 
-/** Keep-alive probes find peers that vanished without a word. */
+/** Delay of TCP keep-alive probes, which detect peers that disappeared. */
 const KEEP_ALIVE_DELAY_MS = 1_000;
 
 /**
- * Creates a connector that gives up after the given time. `onBroken` is called
- * when the connection ends with an error, before the HTTP library hears of it.
+ * Creates a connector with a connect timeout. Calls `onBroken` when the connection ends with an
+ * error, before the HTTP library handles the error.
  */
 export default function createConnector(
   timeoutMs: number,
@@ -27,8 +27,8 @@
       socket.off('error', onError);
       socket.on('error', onBroken);
       socket.on('end', () => {
-        // A reset that comes together with data is told as a plain end; but after
-        // a reset the system knows the peer's address no more.
+        // A reset that arrives together with data is reported as a normal end, but the socket
+        // then has no remote address.
         if (socket.remoteAddress === undefined) {
           onBroken();
         }
--- a/packages/target-connections/src/index.ts
+++ b/packages/target-connections/src/index.ts
@@ -1,4 +1,4 @@
-/** Connections to targets: caps, ages, one request at a time, and what is certain about a failed call. */
+/** Pools HTTP connections to targets and reports for each failed call whether the target may have received it. */
 export { default as TargetConnections } from './target-connections.js';
 export type { SendOptions, TargetConnectionsOptions } from './target-connections.js';
 export { default as createConnector } from './create-connector.js';
--- a/packages/target-connections/src/target-connection.ts
+++ b/packages/target-connections/src/target-connection.ts
@@ -1,20 +1,20 @@
-/** One connection to one target, which carries one request at a time. */
+/** A connection to a target that carries one request at a time. */
 import { PortFault, type Sent } from '@limelead/errors';
 import type { Clock, Millis } from '@limelead/types';
 import { Client, type Dispatcher } from 'undici';
 import createConnector from './create-connector.js';
 
-/** How long an idle connection is kept where the target tells nothing, in milliseconds. */
+/** Keep-alive timeout for targets that announce none. */
 const DEFAULT_IDLE_MS = 4_000;
 const MAX_IDLE_MS = 60_000;
-/** Time before the end that a target tells, at which a connection is no longer used. */
+/** Time before the announced keep-alive timeout at which a connection is no longer used. */
 const IDLE_MARGIN_MS = 1_000;
 
 /** A request to a target. */
 export interface TargetCall {
   method: string;
   path: string;
-  /** Names and values by turns. */
+  /** Alternating names and values. */
   headers: string[];
   body: Buffer;
 }
@@ -22,31 +22,31 @@
 /** Status and headers of an answer. */
 export interface AnswerHead {
   status: number;
-  /** Names and values by turns, as received. */
+  /** Alternating names and values, as received. */
   rawHeaders: string[];
-  /** Values by name in lower case; the last one where a name comes twice. */
+  /** Values by lower-case name; the last value of a repeated name. */
   headers: ReadonlyMap<string, string>;
 }
 
-/** What the sender of a call is told. After `onEnd` or `onFault` nothing follows. */
+/** Events of a call. `onEnd` or `onFault` is the last one. */
 export interface CallEvents {
   onHead(head: AnswerHead): void;
   onData(chunk: Buffer): void;
-  /** The answer is whole. */
+  /** Called when the answer is complete. */
   onEnd(): void;
   onFault(fault: PortFault): void;
 }
 
-/** A call under way. */
+/** A call in progress. */
 export interface OpenCall {
-  /** Stops the call; the connection ends with it, and no event follows. */
+  /** Cancels the call and closes its connection; no further event is emitted. */
   cancel(): void;
 }
 
-/** A connection that is opened with its first request. */
+/** A connection that opens when its first request is sent. */
 export default class TargetConnection {
   isBusy = false;
-  /** When it last finished an answer; 0 before the first. */
+  /** When the last answer was completed; 0 before the first. */
   idleSinceMs: Millis = 0;
   isClosed = false;
   private isBroken = false;
@@ -71,7 +71,7 @@
     this.client.on('connectionError', () => this.close());
   }
 
-  /** Sends a call. */
+  /** Sends a call; the connection must not be busy. */
   send(call: TargetCall, events: CallEvents): OpenCall {
     this.isBusy = true;
     const handler = new CallHandler(events, {
@@ -91,7 +91,7 @@
     return { cancel: () => handler.cancel() };
   }
 
-  /** Ends the connection and whatever runs on it. */
+  /** Closes the connection and fails the call that runs on it. */
   close(): void {
     if (this.isClosed) {
       return;
@@ -107,15 +107,15 @@
   }
 }
 
-/** What a call does with its connection. */
+/** The operations of a connection that a call uses. */
 interface ConnectionControl {
-  /** True once the connection ended with an error. */
+  /** Whether the connection ended with an error. */
   isBroken(): boolean;
   onIdle(): void;
   close(): void;
 }
 
-/** Turns the events of the HTTP library into ours, and knows what was sent. */
+/** Converts the events of the HTTP library to `CallEvents` and records whether the request was sent. */
 class CallHandler implements Dispatcher.DispatchHandler {
   private sent: Sent = 'no';
   private isOver = false;
@@ -128,7 +128,7 @@
 
   onRequestStart(controller: Dispatcher.DispatchController): void {
     if (this.isOver || this.sent === 'maybe') {
-      // A second start would be a second send of the same request.
+      // A second start would send the request again.
       controller.abort(new Error('not sent again'));
       return;
     }
@@ -157,7 +157,7 @@
 
   onResponseEnd(controller: Dispatcher.DispatchController): void {
     if (this.connection.isBroken()) {
-      // The library takes an answer without a length as whole even after a reset.
+      // The library treats an answer without a length as complete even after a reset.
       this.onResponseError(controller, new Error('reset before the end of the answer'));
       return;
     }
--- a/packages/target-connections/src/target-connections.test.ts
+++ b/packages/target-connections/src/target-connections.test.ts
@@ -14,7 +14,7 @@
   fault?: PortFault;
 }
 
-/** A raw target: `answer` is called for each request that arrived, with its number. */
+/** Starts a TCP server as target; `answer` is called for each request, with its number. */
 async function startTarget(answer: (socket: Socket, request: number) => void) {
   let requests = 0;
   const sockets: Socket[] = [];
@@ -74,7 +74,7 @@
   });
 }
 
-test('a connection that rested a moment is used again, one that rested too long is not', async () => {
+test('a connection is reused within the maximum idle time only', async () => {
   const target = await startTarget((socket) => socket.write(ANSWER));
   const connections = createConnections();
   assert.is((await send(connections, target.target)).body, 'ok');
@@ -86,7 +86,7 @@
   await target.stop();
 });
 
-test('a reset after the request was written may have run, and is never sent again', async () => {
+test('a request is not sent again after a reset, since the target may have received it', async () => {
   const target = await startTarget((socket) => socket.resetAndDestroy());
   const connections = createConnections();
   const { fault } = await send(connections, target.target);
@@ -96,7 +96,7 @@
   await target.stop();
 });
 
-test('where no connection comes up, nothing was sent', async () => {
+test('a failed connect is reported as not sent', async () => {
   const target = await startTarget(() => undefined);
   await target.stop();
   const connections = createConnections();
@@ -105,12 +105,12 @@
   assert.is(connections.countConnections('t1'), 0);
 });
 
-test('an answer that is cut short is a fault, whether it has a length or chunks', async () => {
-  const cut = [
+test('a truncated answer is a fault, with a length or chunks', async () => {
+  const truncated = [
     'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort',
     'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n',
   ];
-  for (const bytes of cut) {
+  for (const bytes of truncated) {
     const target = await startTarget((socket) => socket.end(bytes));
     const connections = createConnections();
     const outcome = await send(connections, target.target);
@@ -120,13 +120,13 @@
   }
 });
 
-test('an answer without a length is whole when its connection closes, and not when it is reset', async () => {
+test('an answer without a length is complete when its connection closes, not when it is reset', async () => {
   const head = 'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it';
   const closing = await startTarget((socket) => socket.end(head));
   const connections = createConnections();
-  const whole = await send(connections, closing.target);
-  assert.is(whole.fault, undefined);
-  assert.is(whole.body, 'all of it');
+  const complete = await send(connections, closing.target);
+  assert.is(complete.fault, undefined);
+  assert.is(complete.body, 'all of it');
   await closing.stop();
   const resetting = await startTarget((socket) => socket.write(head));
   const other = createConnections();
@@ -137,7 +137,7 @@
   await resetting.stop();
 });
 
-test('a reset that arrives together with the last bytes is no end of an answer', async () => {
+test('a reset that arrives together with the last bytes is a fault', async () => {
   const head = 'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart of';
   const target = await startTarget((socket) => {
     socket.write(head, () => setImmediate(() => socket.resetAndDestroy()));
@@ -149,7 +149,7 @@
   await target.stop();
 });
 
-test('bytes behind an answer end the connection; they never reach the next request', async () => {
+test('bytes after an answer close the connection and do not reach the next request', async () => {
   const target = await startTarget((socket, request) =>
     socket.write(request === 1 ? ANSWER + ANSWER.replace('ok', 'no') : ANSWER),
   );
@@ -163,7 +163,7 @@
   await target.stop();
 });
 
-test('a cancelled call ends its connection, and no event follows', async () => {
+test('a cancelled call closes its connection and emits no further event', async () => {
   let onRequest = (): void => undefined;
   const arrived = new Promise<void>((resolve) => (onRequest = resolve));
   const target = await startTarget(() => onRequest());
--- a/packages/target-connections/src/target-connections.ts
+++ b/packages/target-connections/src/target-connections.ts
@@ -1,4 +1,4 @@
-/** The connections of this VM to all targets, kept by incarnation. */
+/** A pool of this VM's connections to all targets, by target id. */
 import { PortFault } from '@limelead/errors';
 import type { Clock, Millis, ServiceTarget } from '@limelead/types';
 import TargetConnection, {
@@ -7,36 +7,36 @@
   type TargetCall,
 } from './target-connection.js';
 
-/** How a call may use the connections. */
+/** Options of a call. */
 export interface SendOptions {
   /**
-   * Longest rest of a connection that the call may use. A connection that
-   * rested may have been closed by the target just now, and then nobody knows
-   * whether the request arrived; 0 always opens a new one.
+   * Longest idle time of a connection that the call may reuse; 0 always opens a new one. The
+   * target may close an idle connection while the request is sent, and then it is unknown
+   * whether the target received it.
    */
   maxIdleMs: Millis;
 }
 
-/** What the connections need. */
+/** Options of `TargetConnections`. */
 export interface TargetConnectionsOptions {
   clock: Clock;
-  /** Time for a connection to come up, in milliseconds. */
+  /** Timeout for opening a connection. */
   connectTimeoutMs: number;
-  /** Idle connections kept for each target. */
+  /** Limit on idle connections per target. */
   maxIdlePerTarget: number;
-  /** Called for each connection that is opened. */
+  /** Called for each opened connection. */
   onOpened?: () => void;
 }
 
-/** Keeps and opens connections. */
+/** Opens, reuses and closes connections to targets. */
 export default class TargetConnections {
   private readonly byTarget = new Map<string, Set<TargetConnection>>();
 
   constructor(private readonly options: TargetConnectionsOptions) {}
 
   /**
-   * Sends a call on a connection that rests, or on a new one. Where the resting
-   * one turns out to be closed before a byte was written, a new one is opened.
+   * Sends a call on an idle connection, or on a new one. If the idle connection turns out to be
+   * closed before any byte is written, the call is sent on a new one.
    */
   send(
     target: ServiceTarget,
@@ -63,7 +63,7 @@
     return { cancel: () => open.cancel() };
   }
 
-  /** What can't be sent at all is a fault of this call; thrown, it would end whatever woke the request. */
+  /** Reports an exception as a fault of this call, because it must not reach the caller of `send`. */
   private sendOnNewConnection(
     target: ServiceTarget,
     call: TargetCall,
@@ -79,12 +79,12 @@
     }
   }
 
-  /** Open connections to a target, busy and idle. */
+  /** Number of open connections to a target, busy and idle. */
   countConnections(targetId: string): number {
     return this.byTarget.get(targetId)?.size ?? 0;
   }
 
-  /** Ends the idle connections to a target that takes no more work. */
+  /** Closes the idle connections to a target. */
   closeIdle(targetId: string): void {
     for (const connection of [...(this.byTarget.get(targetId) ?? [])]) {
       if (!connection.isBusy) {
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Ends every connection and whatever runs on it. */
+  /** Closes all connections and fails their calls. */
   closeAll(): void {
     for (const connections of [...this.byTarget.values()]) {
       [...connections].forEach((connection) => connection.close());
