--- a/packages/gateway/src/roll-out-component.ts
+++ b/packages/gateway/src/roll-out-component.ts
@@ -39,10 +39,10 @@
   context: FleetComponentContext,
   duty: Duty | undefined,
 ): RollOutComponent {
-  return new RollOutController(context, duty);
+  return new RollOutDriver(context, duty);
 }
 
-class RollOutController implements RollOutComponent {
+class RollOutDriver implements RollOutComponent {
   readonly observer: TrafficObserver;
   readonly gate: TargetGate;
   private readonly rollOuts: RollOuts;
