--- a/packages/decision-log/src/file-output.test.ts
+++ b/packages/decision-log/src/file-output.test.ts
@@ -1,16 +1,16 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import createFileOutput, { type WriteBytes } from './file-output.js';
+import createFileOutput, { type WriteFunction } from './file-output.js';
 
 // A pipe that does not block took 7 bytes of a text at a time, and then nothing for
 // a while. The rest of the text was gone, and no line said so: the log of a VM lacked
 // refusals that its callers had seen.
 
 /** Takes a few bytes at every second call, and says that it is full at the others. */
-function createNarrowPipe(): { text: () => string; write: WriteBytes } {
+function createNarrowPipe(): { text: () => string; write: WriteFunction } {
   let text = '';
   let calls = 0;
-  const write: WriteBytes = (_, bytes, done) => {
+  const write: WriteFunction = (_, bytes, done) => {
     calls += 1;
     if (calls % 2 === 0) {
       done(Object.assign(new Error('full'), { code: 'EAGAIN' }), 0);
--- a/packages/decision-log/src/file-output.ts
+++ b/packages/decision-log/src/file-output.ts
@@ -3,21 +3,24 @@
 import type { LogOutput } from './log-output.js';
 
 /** Pause until a pipe that is full is tried again: its reader empties 64 KB in about that time. */
-const FULL_PAUSE_MS = 10;
+const PIPE_FULL_RETRY_MS = 10;
 
 /** The call of the file system that is used. */
-export type WriteBytes = (
+export type WriteFunction = (
   file: number,
   bytes: Buffer,
   done: (error: NodeJS.ErrnoException | null, written: number) => void,
 ) => void;
 
 /** Creates the output. A pipe that does not block takes part of a text, or nothing for now. */
-export default function createFileOutput(file: number, writeBytes: WriteBytes = write): LogOutput {
+export default function createFileOutput(
+  file: number,
+  writeBytes: WriteFunction = write,
+): LogOutput {
   function writeAll(bytes: Buffer, done: (isWritten: boolean) => void): void {
     writeBytes(file, bytes, (error, written) => {
       if (error?.code === 'EAGAIN') {
-        setTimeout(() => writeAll(bytes, done), FULL_PAUSE_MS);
+        setTimeout(() => writeAll(bytes, done), PIPE_FULL_RETRY_MS);
       } else if (error !== null) {
         done(false);
       } else if (written < bytes.length) {
--- a/packages/decision-log/src/index.test.ts
+++ b/packages/decision-log/src/index.test.ts
@@ -33,7 +33,7 @@
     written.push(text);
     ready = done;
   };
-  const log = createDecisionLog({ vm: 'vm-1', clock, output, maxQueued: 3 });
+  const log = createDecisionLog({ vm: 'vm-1', clock, output, maxQueuedLines: 3 });
   log.write('first');
   await new Promise((resolve) => setImmediate(resolve));
   for (let index = 0; index < 10; index += 1) {
--- a/packages/decision-log/src/index.ts
+++ b/packages/decision-log/src/index.ts
@@ -7,11 +7,11 @@
 import createFileOutput from './file-output.js';
 import type { LogOutput } from './log-output.js';
 
-export { default as createLineLimit, type LimitedLines } from './line-limit.js';
+export { default as createRateLimitedLog, type RateLimitedLog } from './rate-limited-log.js';
 export type { LogOutput } from './log-output.js';
 
 const STANDARD_OUTPUT = 1;
-const DEFAULT_MAX_QUEUED = 2_000;
+const DEFAULT_MAX_QUEUED_LINES = 2_000;
 /** Bytes written at once. */
 const MAX_BATCH_LINES = 200;
 
@@ -36,7 +36,7 @@
   vm: string;
   clock: Clock;
   output?: LogOutput;
-  maxQueued?: number;
+  maxQueuedLines?: number;
 }
 
 /** Creates a log. */
@@ -45,7 +45,7 @@
     vm,
     clock,
     output = createFileOutput(STANDARD_OUTPUT),
-    maxQueued = DEFAULT_MAX_QUEUED,
+    maxQueuedLines = DEFAULT_MAX_QUEUED_LINES,
   } = options;
   const queued: string[] = [];
   let waiting: (() => void)[] = [];
@@ -81,7 +81,7 @@
 
   return {
     write(event, fields = {}) {
-      if (queued.length >= maxQueued) {
+      if (queued.length >= maxQueuedLines) {
         noteLost(1);
         return;
       }
--- a/packages/decision-log/src/line-limit.test.ts
+++ b/packages/decision-log/src/rate-limited-log.test.ts
@@ -1,12 +1,12 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { createLineLimit, type LogFields } from './index.js';
+import { createRateLimitedLog, type LogFields } from './index.js';
 
 test('a flood of lines is cut, and the next line says how many were left out', () => {
   const time = { now: 0 };
   const written: LogFields[] = [];
   const log = { write: (_: string, fields: LogFields = {}) => void written.push(fields) };
-  const write = createLineLimit(log, { now: () => time.now }, 'flood', 2);
+  const write = createRateLimitedLog(log, { now: () => time.now }, 'flood', 2);
   for (let line = 1; line <= 5; line += 1) {
     write({ line });
   }
--- a/packages/decision-log/src/line-limit.ts
+++ b/packages/decision-log/src/rate-limited-log.ts
@@ -4,18 +4,18 @@
 
 const SECOND_MS: Millis = 1_000;
 /** Enough to see who or what is meant; more of the same would push out other lines. */
-const MOST_LINES_PER_SECOND = 20;
+const MAX_LINES_PER_SECOND = 20;
 
 /** Takes the lines of one event. */
-export type LimitedLines = (fields: LogFields) => void;
+export type RateLimitedLog = (fields: LogFields) => void;
 
 /** Creates it. A line behind some that were not written says in `unwritten` how many. */
-export default function createLineLimit(
+export default function createRateLimitedLog(
   log: Pick<DecisionLog, 'write'>,
   clock: Clock,
   event: string,
-  mostPerSecond = MOST_LINES_PER_SECOND,
-): LimitedLines {
+  mostPerSecond = MAX_LINES_PER_SECOND,
+): RateLimitedLog {
   let begunAtMs: Millis = -Infinity;
   let written = 0;
   let unwritten = 0;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,8 +1,8 @@
 /** The process of the HTTP front door: wires its components and controls start, reload and stop. */
 import createDecisionLog, {
-  createLineLimit,
+  createRateLimitedLog,
   type DecisionLog,
-  type LimitedLines,
+  type RateLimitedLog,
 } from '@limelead/decision-log';
 import { StoreFollower, type StorePort } from '@limelead/follow-store';
 import {
@@ -82,7 +82,7 @@
 /** One entry VM: accepts requests, follows the store and exchanges state with its peers. */
 export default class Gateway {
   readonly log: DecisionLog;
-  private readonly logMisdirected: LimitedLines;
+  private readonly logMisdirected: RateLimitedLog;
   private readonly metrics: Metrics = createMetrics();
   private readonly directory: TargetDirectory;
   private readonly locality: Locality;
@@ -108,7 +108,7 @@
     private readonly platform: GatewayPlatform,
   ) {
     this.log = createDecisionLog({ vm: settings.vm, clock: steadyClock });
-    this.logMisdirected = createLineLimit(this.log, steadyClock, 'request-misdirected');
+    this.logMisdirected = createRateLimitedLog(this.log, steadyClock, 'request-misdirected');
     this.locality = createLocality({ ...settings, prices: settings.localityPrices });
     this.retryBudgets = new RetryBudgets({
       budget: settings.retryBudget,
--- a/packages/gateway/src/store-view.ts
+++ b/packages/gateway/src/store-view.ts
@@ -3,7 +3,11 @@
  * applied only if it is newer than the one in force, and a peer's update only if it is newer
  * than the view.
  */
-import { createLineLimit, type DecisionLog, type LimitedLines } from '@limelead/decision-log';
+import {
+  createRateLimitedLog,
+  type DecisionLog,
+  type RateLimitedLog,
+} from '@limelead/decision-log';
 import type { StoreChange, StoreChanges, StoreItem, StoreList } from '@limelead/follow-store';
 import type { Quarantine } from '@limelead/quarantine-requests';
 import type { StoreUpdate } from '@limelead/share-evidence';
@@ -99,7 +103,7 @@
   private removals = new RemovalHistory();
   /** Revisions of unreadable items by key; their last valid content stays in force. */
   private readonly unreadableRevisions = new Map<string, number>();
-  private readonly logUnreadable: LimitedLines;
+  private readonly logUnreadable: RateLimitedLog;
   private readonly fingerprints = new StoreFingerprints();
   /** Whether the store itself has sent its list; until then all items are from peers. */
   private hasStoreList = false;
@@ -111,7 +115,7 @@
 
   constructor(private readonly options: StoreViewOptions) {
     const { clock, timers, leavingTargetMs, directory, log } = options;
-    this.logUnreadable = createLineLimit(log, clock, 'store-item-unreadable');
+    this.logUnreadable = createRateLimitedLog(log, clock, 'store-item-unreadable');
     this.lapsedTargets = new LapsedTargets({
       clock,
       timers,
--- a/packages/http-front-door/src/http-front-door.ts
+++ b/packages/http-front-door/src/http-front-door.ts
@@ -1,5 +1,5 @@
 /** The HTTP server for callers and the checks that each request passes before it is forwarded. */
-import { createLineLimit, type LimitedLines, type LogFields } from '@limelead/decision-log';
+import { createRateLimitedLog, type RateLimitedLog, type LogFields } from '@limelead/decision-log';
 import { describeThrown, LimeleadError, toLimeleadError } from '@limelead/errors';
 import {
   forwardCall,
@@ -68,11 +68,11 @@
   private onIdle: () => void = () => undefined;
   private readonly bodyBudget: BodyBudget;
   private readonly heldRequests: HeldRequests;
-  private readonly logMalformed: LimitedLines;
+  private readonly logMalformed: RateLimitedLog;
 
   constructor(private readonly options: HttpFrontDoorOptions) {
     const { log, clock } = options.context;
-    this.logMalformed = createLineLimit(log, clock, 'request-malformed');
+    this.logMalformed = createRateLimitedLog(log, clock, 'request-malformed');
     this.heldRequests = new HeldRequests(options.context.timers);
     this.bodyBudget = new BodyBudget(
       options.maxBufferedBodyBytes ?? DEFAULT_MAX_BUFFERED_BODY_BYTES,
--- a/packages/permit-sends/src/send-permits.ts
+++ b/packages/permit-sends/src/send-permits.ts
@@ -5,7 +5,11 @@
  * Keeps the sends of this VM, and with those of the others the sends of all, within what each target
  * names. Nothing is asked, told or looked up while no target names a limit.
  */
-import { createLineLimit, type DecisionLog, type LimitedLines } from '@limelead/decision-log';
+import {
+  createRateLimitedLog,
+  type DecisionLog,
+  type RateLimitedLog,
+} from '@limelead/decision-log';
 import type { Metrics } from '@limelead/metrics';
 import {
   RecentTimes,
@@ -54,13 +58,13 @@
   private readonly atHand = new PermitsAtHand();
   private readonly unused = new RecentTimes(UNUSED_PAUSE_MS);
   private readonly parts: OwnParts;
-  private readonly noteAlone: LimitedLines;
+  private readonly noteAlone: RateLimitedLog;
   private waiting: WaitingRequests = NOBODY;
 
   constructor(private readonly options: SendPermitsOptions) {
     const { clock, random, log, metrics, fleet } = options;
     this.parts = new OwnParts(random);
-    this.noteAlone = createLineLimit(log, clock, 'permits-alone');
+    this.noteAlone = createRateLimitedLog(log, clock, 'permits-alone');
     this.limits = new TargetLimits({
       clock,
       random,
--- a/packages/permit-sends/src/service-permits.ts
+++ b/packages/permit-sends/src/service-permits.ts
@@ -2,7 +2,7 @@
  * The permits of one service as one VM sees them: it asks the VM that grants them for all, is asked
  * where that is this one, and keeps to its own part of the rates where nobody answers.
  */
-import type { LimitedLines } from '@limelead/decision-log';
+import type { RateLimitedLog } from '@limelead/decision-log';
 import type {
   CancelTimer,
   Clock,
@@ -57,7 +57,7 @@
   onSpare(target: string, untilMs: Millis): void;
   onRefused(want: number, refusal: PermitRefusal): void;
   count(outcome: 'granted' | 'returned' | 'stale' | 'refused'): void;
-  noteAlone: LimitedLines;
+  noteAlone: RateLimitedLog;
 }
 
 /** Asks, grants and keeps to the own part. */
--- a/packages/permit-sends/src/target-limits.ts
+++ b/packages/permit-sends/src/target-limits.ts
@@ -2,7 +2,11 @@
  * Rate limits that targets advertise, from their answers and from peers. A change is gossiped to
  * the other VMs, each of which forwards it once; a peer with an outdated update is sent the newest.
  */
-import { createLineLimit, type DecisionLog, type LimitedLines } from '@limelead/decision-log';
+import {
+  createRateLimitedLog,
+  type DecisionLog,
+  type RateLimitedLog,
+} from '@limelead/decision-log';
 import type { Metrics } from '@limelead/metrics';
 import {
   RecentTimes,
@@ -40,14 +44,14 @@
   private readonly seen = new RecentTimes(NEWS_TRAVEL_MS);
   private readonly ownMarks: string;
   private lastMark = 0;
-  private readonly noteUnreadable: LimitedLines;
-  private readonly noteChange: LimitedLines;
+  private readonly noteUnreadable: RateLimitedLog;
+  private readonly noteChange: RateLimitedLog;
 
   constructor(private readonly options: TargetLimitsOptions) {
     const { clock, random, log, metrics } = options;
     this.ownMarks = String(random.next());
-    this.noteUnreadable = createLineLimit(log, clock, 'target-limit-unreadable');
-    this.noteChange = createLineLimit(log, clock, 'target-limit-changed');
+    this.noteUnreadable = createRateLimitedLog(log, clock, 'target-limit-unreadable');
+    this.noteChange = createRateLimitedLog(log, clock, 'target-limit-changed');
     metrics.gauge('limelead_limited_targets', () => this.book.limited.size);
   }
 
--- a/packages/quarantine-requests/src/request-guard.ts
+++ b/packages/quarantine-requests/src/request-guard.ts
@@ -2,7 +2,7 @@
  * Guards the targets of one VM against requests that end them: takes evidence from the runs of
  * this VM and from other VMs, and says before each send whether it may go on.
  */
-import { createLineLimit, type DecisionLog } from '@limelead/decision-log';
+import { createRateLimitedLog, type DecisionLog } from '@limelead/decision-log';
 import { describeThrown } from '@limelead/errors';
 import type { Metrics } from '@limelead/metrics';
 import type { Clock, Millis, Random, Timers } from '@limelead/types';
@@ -43,7 +43,7 @@
 
   constructor(private readonly options: RequestGuardOptions) {
     const { clock, timers, random, log, metrics, countVms } = options;
-    const noteDropped = createLineLimit(log, clock, 'evidence-dropped');
+    const noteDropped = createRateLimitedLog(log, clock, 'evidence-dropped');
     this.book = new CaseBook((identity) => {
       metrics.count('limelead_evidence_dropped_total');
       noteDropped({ identity });
--- a/packages/track-backpressure/src/backpressure.ts
+++ b/packages/track-backpressure/src/backpressure.ts
@@ -1,5 +1,5 @@
 /** Backpressure that targets signal in their answers, and what it means for sends of this VM. */
-import { createLineLimit, type LimitedLines } from '@limelead/decision-log';
+import { createRateLimitedLog, type RateLimitedLog } from '@limelead/decision-log';
 import type { DirectiveResponse, Millis } from '@limelead/types';
 import type { LeavingFact } from './leaving-book.js';
 import LeavingTargets, { type LeavingTargetsOptions } from './leaving-targets.js';
@@ -27,15 +27,15 @@
 export default class Backpressure {
   private readonly cooldowns: TargetCooldowns;
   private readonly leaving: LeavingTargets;
-  private readonly noteUnwanted: LimitedLines;
-  private readonly noteHeld: LimitedLines;
+  private readonly noteUnwanted: RateLimitedLog;
+  private readonly noteHeld: RateLimitedLog;
 
   constructor(private readonly options: BackpressureOptions) {
     const { clock, log } = options;
     this.cooldowns = new TargetCooldowns(options);
     this.leaving = new LeavingTargets(options);
-    this.noteUnwanted = createLineLimit(log, clock, 'unwanted-send');
-    this.noteHeld = createLineLimit(log, clock, 'held-for-cooldown');
+    this.noteUnwanted = createRateLimitedLog(log, clock, 'unwanted-send');
+    this.noteHeld = createRateLimitedLog(log, clock, 'held-for-cooldown');
   }
 
   /** An answer arrived. */
--- a/packages/track-backpressure/src/leaving-targets.ts
+++ b/packages/track-backpressure/src/leaving-targets.ts
@@ -2,7 +2,11 @@
  * Leaving announcements from answers and from peers. They are gossiped, since the registry may
  * list a leaving target as ready until it is gone.
  */
-import { createLineLimit, type DecisionLog, type LimitedLines } from '@limelead/decision-log';
+import {
+  createRateLimitedLog,
+  type DecisionLog,
+  type RateLimitedLog,
+} from '@limelead/decision-log';
 import type { Metrics } from '@limelead/metrics';
 import type { Clock, DirectiveResponse, Millis } from '@limelead/types';
 import LeavingBook, { type LeavingFact } from './leaving-book.js';
@@ -26,11 +30,11 @@
 /** Collects announcements. */
 export default class LeavingTargets {
   private readonly book = new LeavingBook();
-  private readonly noteAnnounced: LimitedLines;
+  private readonly noteAnnounced: RateLimitedLog;
 
   constructor(private readonly options: LeavingTargetsOptions) {
     const { clock, log } = options;
-    this.noteAnnounced = createLineLimit(log, clock, 'target-leaving-announced');
+    this.noteAnnounced = createRateLimitedLog(log, clock, 'target-leaving-announced');
   }
 
   /** Steady time at which this VM learned of the announcement; undefined without one. */
--- a/packages/track-backpressure/src/target-cooldowns.ts
+++ b/packages/track-backpressure/src/target-cooldowns.ts
@@ -1,5 +1,9 @@
 /** Cooldowns that targets request from this VM with `Retry-After`. */
-import { createLineLimit, type DecisionLog, type LimitedLines } from '@limelead/decision-log';
+import {
+  createRateLimitedLog,
+  type DecisionLog,
+  type RateLimitedLog,
+} from '@limelead/decision-log';
 import type { Metrics } from '@limelead/metrics';
 import type { Clock, DirectiveResponse, Millis, Random, Timers } from '@limelead/types';
 import CooldownBook from './cooldown-book.js';
@@ -24,15 +28,15 @@
 /** Applies requested cooldowns and logs their begin and end. */
 export default class TargetCooldowns {
   private readonly cooldowns = new CooldownBook();
-  private readonly noteCooldown: LimitedLines;
-  private readonly noteCooldownOver: LimitedLines;
-  private readonly noteUnreadable: LimitedLines;
+  private readonly noteCooldown: RateLimitedLog;
+  private readonly noteCooldownOver: RateLimitedLog;
+  private readonly noteUnreadable: RateLimitedLog;
 
   constructor(private readonly options: TargetCooldownsOptions) {
     const { clock, log, metrics } = options;
-    this.noteCooldown = createLineLimit(log, clock, 'target-cooldown');
-    this.noteCooldownOver = createLineLimit(log, clock, 'target-cooldown-over');
-    this.noteUnreadable = createLineLimit(log, clock, 'target-cooldown-unreadable');
+    this.noteCooldown = createRateLimitedLog(log, clock, 'target-cooldown');
+    this.noteCooldownOver = createRateLimitedLog(log, clock, 'target-cooldown-over');
+    this.noteUnreadable = createRateLimitedLog(log, clock, 'target-cooldown-unreadable');
     metrics.gauge('limelead_cooling_targets', () => this.cooldowns.countActive(this.now));
   }
 
