--- a/packages/decision-log/src/file-output.test.ts
+++ b/packages/decision-log/src/file-output.test.ts
@@ -2,11 +2,9 @@
 import * as assert from 'uvu/assert';
 import createFileOutput, { type WriteFunction } from './file-output.js';
 
-// A pipe that does not block took 7 bytes of a text at a time, and then nothing for
-// a while. The rest of the text was gone, and no line said so: the log of a VM lacked
-// refusals that its callers had seen.
+// Guards against log lines that are lost without notice after partial writes to a pipe.
 
-/** Takes a few bytes at every second call, and says that it is full at the others. */
+/** Accepts a few bytes on every second call and reports a full pipe on the others. */
 function createNarrowPipe(): { text: () => string; write: WriteFunction } {
   let text = '';
   let calls = 0;
@@ -16,14 +14,14 @@
       done(Object.assign(new Error('full'), { code: 'EAGAIN' }), 0);
       return;
     }
-    const taken = bytes.subarray(0, 7);
-    text += taken.toString('utf8');
-    done(null, taken.length);
+    const accepted = bytes.subarray(0, 7);
+    text += accepted.toString('utf8');
+    done(null, accepted.length);
   };
   return { text: () => text, write };
 }
 
-test('a pipe that takes a text in parts gets all of it', async () => {
+test('a text is written completely to a pipe that accepts it in parts', async () => {
   const pipe = createNarrowPipe();
   const output = createFileOutput(1, pipe.write);
   const line = '{"event":"request-refused","status":404}\n';
@@ -32,7 +30,7 @@
   assert.is(pipe.text(), line);
 });
 
-test('an output that ended is told', async () => {
+test('a failed write is reported', async () => {
   const output = createFileOutput(1, (_, __, done) =>
     done(Object.assign(new Error('ended'), { code: 'EPIPE' }), 0),
   );
--- a/packages/decision-log/src/file-output.ts
+++ b/packages/decision-log/src/file-output.ts
@@ -1,18 +1,18 @@
-/** Writes to a file descriptor in the background; one that takes nothing holds up nobody. */
+/** Writes to a file descriptor in the background. */
 import { write } from 'node:fs';
 import type { LogOutput } from './log-output.js';
 
-/** Pause until a pipe that is full is tried again: its reader empties 64 KB in about that time. */
+/** Delay before a write to a full pipe is retried. */
 const PIPE_FULL_RETRY_MS = 10;
 
-/** The call of the file system that is used. */
+/** The signature of `fs.write` that is used. */
 export type WriteFunction = (
   file: number,
   bytes: Buffer,
   done: (error: NodeJS.ErrnoException | null, written: number) => void,
 ) => void;
 
-/** Creates the output. A pipe that does not block takes part of a text, or nothing for now. */
+/** Creates the output. Continues after partial writes and retries while a non-blocking pipe is full. */
 export default function createFileOutput(
   file: number,
   writeBytes: WriteFunction = write,
--- a/packages/decision-log/src/index.test.ts
+++ b/packages/decision-log/src/index.test.ts
@@ -4,7 +4,7 @@
 
 const clock = { now: () => 1234.4 };
 
-test('a line names time, VM, event and fields', async () => {
+test('a line contains time, VM, event and fields', async () => {
   let written = '';
   const output: LogOutput = (text, done) => {
     written += text;
@@ -26,7 +26,7 @@
   });
 });
 
-test('an output that takes nothing costs bounded memory, and the loss is told afterwards', async () => {
+test('a blocked output drops lines beyond the queue, and their number is logged afterwards', async () => {
   const written: string[] = [];
   let ready = (): void => undefined;
   const output: LogOutput = (text, done) => {
--- a/packages/decision-log/src/index.ts
+++ b/packages/decision-log/src/index.ts
@@ -1,7 +1,6 @@
 /**
- * Structured log of decisions. Each line is one JSON object. Lines wait in a
- * bounded queue while the output is slow; what does not fit is dropped, and the
- * next line that is written says how many were.
+ * Structured log of decisions, one JSON object per line. While the output is slow, lines wait
+ * in a bounded queue; lines that exceed it are dropped, and their number is logged afterwards.
  */
 import type { Clock } from '@limelead/types';
 import createFileOutput from './file-output.js';
@@ -12,34 +11,34 @@
 
 const STANDARD_OUTPUT = 1;
 const DEFAULT_MAX_QUEUED_LINES = 2_000;
-/** Bytes written at once. */
+/** Lines per write to the output. */
 const MAX_BATCH_LINES = 200;
 
-/** Values of one line. */
+/** Fields of a log line. */
 export type LogFields = Readonly<
   Record<string, string | number | boolean | readonly (string | number)[] | undefined>
 >;
 
-/** Takes lines. */
+/** Writes log lines without blocking. */
 export interface DecisionLog {
-  /** Writes one line; `event` names the decision. */
+  /** Queues a line; `event` names the decision. */
   write(event: string, fields?: LogFields): void;
-  /** Resolves when everything that waited was written. */
+  /** Resolves when all queued lines are written. */
   flush(): Promise<void>;
-  /** Lines dropped so far. */
+  /** Total number of dropped lines. */
   readonly dropped: number;
 }
 
-/** What a log needs. */
+/** Options of a decision log. */
 export interface DecisionLogOptions {
-  /** Name of this VM, on every line. */
+  /** Name of this VM, included in every line. */
   vm: string;
   clock: Clock;
   output?: LogOutput;
   maxQueuedLines?: number;
 }
 
-/** Creates a log. */
+/** Creates a log that writes to standard output by default. */
 export default function createDecisionLog(options: DecisionLogOptions): DecisionLog {
   const {
     vm,
@@ -48,32 +47,32 @@
     maxQueuedLines = DEFAULT_MAX_QUEUED_LINES,
   } = options;
   const queued: string[] = [];
-  let waiting: (() => void)[] = [];
+  let flushWaiters: (() => void)[] = [];
   let isWriting = false;
   let dropped = 0;
-  let untold = 0;
+  let unreported = 0;
 
-  function noteLost(lines: number): void {
+  function recordDropped(lines: number): void {
     dropped += lines;
-    untold += lines;
+    unreported += lines;
   }
 
   function writeNext(): void {
     if (queued.length === 0) {
       isWriting = false;
-      waiting.forEach((resolve) => resolve());
-      waiting = [];
+      flushWaiters.forEach((resolve) => resolve());
+      flushWaiters = [];
       return;
     }
     isWriting = true;
     const batch = queued.splice(0, MAX_BATCH_LINES);
-    if (untold > 0) {
-      batch.unshift(toLine(vm, clock, 'lines-dropped', { lines: untold }));
-      untold = 0;
+    if (unreported > 0) {
+      batch.unshift(toLine(vm, clock, 'lines-dropped', { lines: unreported }));
+      unreported = 0;
     }
     output(batch.join(''), (isWritten = true) => {
       if (!isWritten) {
-        noteLost(batch.length);
+        recordDropped(batch.length);
       }
       writeNext();
     });
@@ -82,7 +81,7 @@
   return {
     write(event, fields = {}) {
       if (queued.length >= maxQueuedLines) {
-        noteLost(1);
+        recordDropped(1);
         return;
       }
       queued.push(toLine(vm, clock, event, fields));
@@ -92,7 +91,7 @@
       }
     },
     flush() {
-      return isWriting ? new Promise((resolve) => waiting.push(resolve)) : Promise.resolve();
+      return isWriting ? new Promise((resolve) => flushWaiters.push(resolve)) : Promise.resolve();
     },
     get dropped() {
       return dropped;
--- a/packages/decision-log/src/rate-limited-log.test.ts
+++ b/packages/decision-log/src/rate-limited-log.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import { createRateLimitedLog, type LogFields } from './index.js';
 
-test('a flood of lines is cut, and the next line says how many were left out', () => {
+test('lines above the rate limit are suppressed, and the next line contains their number', () => {
   const time = { now: 0 };
   const written: LogFields[] = [];
   const log = { write: (_: string, fields: LogFields = {}) => void written.push(fields) };
--- a/packages/decision-log/src/rate-limited-log.ts
+++ b/packages/decision-log/src/rate-limited-log.ts
@@ -1,31 +1,31 @@
-/** Writes lines of one event up to so many a second, so that a flood does not push out all others. */
+/** Limits the rate of one event's lines, so that they don't displace all others. */
 import type { Clock, Millis } from '@limelead/types';
 import type { DecisionLog, LogFields } from './index.js';
 
 const SECOND_MS: Millis = 1_000;
-/** Enough to see who or what is meant; more of the same would push out other lines. */
+/** Default limit on the lines of one event. */
 const MAX_LINES_PER_SECOND = 20;
 
-/** Takes the lines of one event. */
+/** Writes the lines of one event within its rate limit. */
 export type RateLimitedLog = (fields: LogFields) => void;
 
-/** Creates it. A line behind some that were not written says in `unwritten` how many. */
+/** Creates a rate-limited log. The first line after suppressed ones contains their number as `unwritten`. */
 export default function createRateLimitedLog(
   log: Pick<DecisionLog, 'write'>,
   clock: Clock,
   event: string,
-  mostPerSecond = MAX_LINES_PER_SECOND,
+  maxPerSecond = MAX_LINES_PER_SECOND,
 ): RateLimitedLog {
-  let begunAtMs: Millis = -Infinity;
+  let windowStartedAtMs: Millis = -Infinity;
   let written = 0;
   let unwritten = 0;
   return (fields) => {
     const now = clock.now();
-    if (now - begunAtMs >= SECOND_MS) {
-      begunAtMs = now;
+    if (now - windowStartedAtMs >= SECOND_MS) {
+      windowStartedAtMs = now;
       written = 0;
     }
-    if (written >= mostPerSecond) {
+    if (written >= maxPerSecond) {
       unwritten += 1;
       return;
     }
