--- a/packages/cli/src/commands/apply/change-file.ts
+++ b/packages/cli/src/commands/apply/change-file.ts
@@ -1,6 +1,10 @@
 /** The file that `limelead apply` takes: JSON with comments. */
 import { operationCodec } from '@limelead/configuration-state';
-import decodeWithLines, { closed, listOfAtMost, textMatching } from '@limelead/decode-with-lines';
+import decodeWithLines, {
+  strictObject,
+  listUpTo,
+  stringMatching,
+} from '@limelead/decode-with-lines';
 import type { DecodeError } from '@limelead/errors';
 import type { Operation } from '@limelead/types';
 import type * as E from 'fp-ts/lib/Either.js';
@@ -14,9 +18,9 @@
   operations: Operation[];
 }
 
-const changeFileCodec = closed('change file', {
-  reason: textMatching(/^.{1,500}$/s, 'a text of 1 to 500 characters'),
-  operations: listOfAtMost(operationCodec, MAX_OPERATIONS),
+const changeFileCodec = strictObject('change file', {
+  reason: stringMatching(/^.{1,500}$/s, 'a text of 1 to 500 characters'),
+  operations: listUpTo(operationCodec, MAX_OPERATIONS),
 }) as t.Type<ChangeFile, unknown>;
 
 /** Reads the text of a change file. */
--- a/packages/decode-with-lines/src/decode-with-lines.test.ts
+++ b/packages/decode-with-lines/src/decode-jsonc.test.ts
@@ -2,11 +2,11 @@
 import * as t from 'io-ts';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import decodeWithLines, { closed, integerBetween, listOfAtMost } from './index.js';
+import decodeWithLines, { strictObject, integerBetween, listUpTo } from './index.js';
 
-const codec = closed(
+const codec = strictObject(
   'settings',
-  { port: integerBetween(0, 65_535), peers: listOfAtMost(closed('peer', { id: t.string }), 2) },
+  { port: integerBetween(0, 65_535), peers: listUpTo(strictObject('peer', { id: t.string }), 2) },
   { note: t.string },
 );
 
--- a/packages/decode-with-lines/src/decode-with-lines.ts
+++ b/packages/decode-with-lines/src/decode-jsonc.ts
@@ -13,7 +13,7 @@
 const MAX_SHOWN_CHARACTERS = 60;
 
 /** Gives the decoded value, or an error that lists every fault. */
-export default function decodeWithLines<Value>(
+export default function decodeJsonc<Value>(
   file: string,
   text: string,
   codec: t.Type<Value, unknown>,
@@ -24,19 +24,19 @@
     return E.left(
       new DecodeError(
         file,
-        parseErrors.map((error) => describeParseError(text, error)),
+        parseErrors.map((error) => parseErrorToFault(text, error)),
       ),
     );
   }
   const decoded = codec.decode(toValue(root));
   if (E.isLeft(decoded)) {
-    const faults = decoded.left.map((error) => describeFault(text, root, error));
-    return E.left(new DecodeError(file, removeRepeats(faults)));
+    const faults = decoded.left.map((error) => toDecodeFault(text, root, error));
+    return E.left(new DecodeError(file, removeDuplicates(faults)));
   }
   return E.right(decoded.right);
 }
 
-function describeParseError(text: string, error: ParseError): DecodeFault {
+function parseErrorToFault(text: string, error: ParseError): DecodeFault {
   return {
     line: lineAt(text, error.offset),
     key: '',
@@ -45,19 +45,19 @@
   };
 }
 
-function describeFault(text: string, root: Node, error: t.ValidationError): DecodeFault {
+function toDecodeFault(text: string, root: Node, error: t.ValidationError): DecodeFault {
   const path = error.context.slice(1).map(({ key }) => key);
   const last = error.context.at(-1);
   return {
-    line: lineAt(text, findNearest(root, path).offset),
+    line: lineAt(text, findNearestNode(root, path).offset),
     key: path.join('.'),
     expected: last?.type.name ?? 'another value',
-    found: showValue(error.value),
+    found: formatValue(error.value),
   };
 }
 
 /** The node at the path, or where there is none, the nearest above it. */
-function findNearest(root: Node, path: string[]): Node {
+function findNearestNode(root: Node, path: string[]): Node {
   for (let length = path.length; length > 0; length -= 1) {
     const segments = path.slice(0, length).map(toSegment);
     const node = findNodeAtLocation(root, segments);
@@ -92,7 +92,7 @@
   return text.slice(0, offset).split('\n').length;
 }
 
-function showValue(value: unknown): string {
+function formatValue(value: unknown): string {
   if (value === undefined) {
     return 'nothing';
   }
@@ -100,7 +100,7 @@
   return shown.length > MAX_SHOWN_CHARACTERS ? `${shown.slice(0, MAX_SHOWN_CHARACTERS)}…` : shown;
 }
 
-function removeRepeats(faults: DecodeFault[]): DecodeFault[] {
+function removeDuplicates(faults: DecodeFault[]): DecodeFault[] {
   const seen = new Set<string>();
   return faults.filter((fault) => {
     const identity = JSON.stringify(fault);
--- a/packages/decode-with-lines/src/refinements.ts
+++ b/packages/decode-with-lines/src/refinements.ts
@@ -34,7 +34,7 @@
 }
 
 /** A text that a pattern matches. */
-export function textMatching(
+export function stringMatching(
   pattern: RegExp,
   description: string,
 ): t.Type<string, string, unknown> {
@@ -54,7 +54,7 @@
 }
 
 /** A list of at most so many items. */
-export function listOfAtMost<A>(
+export function listUpTo<A>(
   item: t.Type<A, unknown, unknown>,
   most: number,
 ): t.Type<A[], unknown, unknown> {
--- a/packages/decode-with-lines/src/closed.ts
+++ b/packages/decode-with-lines/src/strict-object.ts
@@ -7,17 +7,17 @@
 type Optional<P extends Props> = { [K in keyof P]?: t.TypeOf<P[K]> };
 
 /** The shape that a closed codec decodes to. */
-export type Closed<P extends Props, O extends Props> = Required<P> & Optional<O>;
+export type StrictObject<P extends Props, O extends Props> = Required<P> & Optional<O>;
 
 /** Creates the codec; keys of `optional` may be absent. */
-export default function closed<P extends Props, O extends Props = Record<never, t.Mixed>>(
+export default function strictObject<P extends Props, O extends Props = Record<never, t.Mixed>>(
   name: string,
   required: P,
   optional: O = {} as O,
-): t.Type<Closed<P, O>, unknown> {
+): t.Type<StrictObject<P, O>, unknown> {
   const known: Props = { ...required, ...optional };
 
-  function validate(input: unknown, context: t.Context): t.Validation<Closed<P, O>> {
+  function validate(input: unknown, context: t.Context): t.Validation<StrictObject<P, O>> {
     if (typeof input !== 'object' || input === null || Array.isArray(input)) {
       return t.failure(input, context);
     }
@@ -28,12 +28,12 @@
         key in optional && fields[key] === undefined ? [] : check(fields[key], key, codec, context),
       ),
     ];
-    return errors.length === 0 ? t.success(fields as Closed<P, O>) : t.failures(errors);
+    return errors.length === 0 ? t.success(fields as StrictObject<P, O>) : t.failures(errors);
   }
 
   return new t.Type(
     name,
-    (input): input is Closed<P, O> => E.isRight(validate(input, [])),
+    (input): input is StrictObject<P, O> => E.isRight(validate(input, [])),
     validate,
     (a) => a,
   );
--- a/packages/load/src/mix.ts
+++ b/packages/load/src/mix.ts
@@ -1,8 +1,8 @@
 /** The mix file: what kinds of requests arrive, how often, and from whom. */
 import decodeWithLines, {
-  closed,
+  strictObject,
   integerBetween,
-  listOfAtMost,
+  listUpTo,
   positiveUpTo,
 } from '@limelead/decode-with-lines';
 import type { DecodeError } from '@limelead/errors';
@@ -14,20 +14,20 @@
 const MAX_SURGE = 1_000;
 
 /** A length with a long tail: log-normal around the median, cut at the greatest. */
-const lengthCodec = closed('length', {
+const lengthCodec = strictObject('length', {
   median: integerBetween(1, 100_000),
   sigma: t.number,
   max: integerBetween(1, 100_000),
 });
 
-const prefixesCodec = closed('shared prefixes', {
+const prefixesCodec = strictObject('shared prefixes', {
   count: integerBetween(1, 10_000),
   characters: integerBetween(1, 100_000),
 });
 
-const callCodec = closed('call', { operation: t.string, repeatable: t.boolean });
+const callCodec = strictObject('call', { operation: t.string, repeatable: t.boolean });
 
-const kindCodec = closed(
+const kindCodec = strictObject(
   'kind',
   {
     name: t.string,
@@ -49,7 +49,7 @@
 );
 
 /** For some time a kind, or every kind where none is named, arrives so many times as often. */
-const surgeCodec = closed(
+const surgeCodec = strictObject(
   'surge',
   {
     fromMs: integerBetween(0, MAX_DURATION_MS),
@@ -59,23 +59,23 @@
   { kind: t.string },
 );
 
-const placeCodec = closed('place', {
+const placeCodec = strictObject('place', {
   failureDomain: t.string,
   /** Part of all arrivals, relative to the other places. */
   share: positiveUpTo(1_000_000),
 });
 
-const mixCodec = closed(
+const mixCodec = strictObject(
   'mix',
   {
     requestsPerSecond: positiveUpTo(MAX_RATE),
     durationMs: integerBetween(1, MAX_DURATION_MS),
-    kinds: listOfAtMost(kindCodec, 64),
+    kinds: listUpTo(kindCodec, 64),
   },
   {
-    surges: listOfAtMost(surgeCodec, 64),
+    surges: listUpTo(surgeCodec, 64),
     /** Failure domains at which requests arrive. */
-    places: listOfAtMost(placeCodec, 64),
+    places: listUpTo(placeCodec, 64),
   },
 );
 
--- a/packages/read-settings/src/settings.ts
+++ b/packages/read-settings/src/settings.ts
@@ -1,10 +1,10 @@
 /** The shape of the daemon's settings. Durations are in milliseconds. */
 import {
-  closed,
+  strictObject,
   integerBetween,
-  listOfAtMost,
+  listUpTo,
   oneOf,
-  textMatching,
+  stringMatching,
 } from '@limelead/decode-with-lines';
 import * as t from 'io-ts';
 
@@ -12,36 +12,36 @@
 const MAX_OPERATORS = 16;
 const LONGEST_MS = 86_400_000;
 
-const id = textMatching(/^[a-z0-9][a-z0-9-]{0,63}$/, 'a name of 1 to 64 of a-z, 0-9 and -');
-const host = textMatching(/^[0-9a-f.:]+$/i, 'an IP number');
+const id = stringMatching(/^[a-z0-9][a-z0-9-]{0,63}$/, 'a name of 1 to 64 of a-z, 0-9 and -');
+const host = stringMatching(/^[0-9a-f.:]+$/i, 'an IP number');
 const port = integerBetween(0, 65_535);
 const milliseconds = integerBetween(1, LONGEST_MS);
-const secret = textMatching(/^.{16,256}$/, 'a secret of 16 to 256 characters');
-const keyHash = textMatching(/^[0-9a-f]{64}$/, 'a SHA-256 in 64 hex digits');
+const secret = stringMatching(/^.{16,256}$/, 'a secret of 16 to 256 characters');
+const keyHash = stringMatching(/^[0-9a-f]{64}$/, 'a SHA-256 in 64 hex digits');
 
-const address = closed('address', { host, port });
+const address = strictObject('address', { host, port });
 
-const peers = closed('peers', {
+const peers = strictObject('peers', {
   host,
   port,
   /** Known to all VMs; links and resume handles are signed with it. */
   secret,
   /** Peers that are tried before the list of VMs is known. */
-  seeds: listOfAtMost(closed('seed', { id, host, port }), MAX_SEEDS),
+  seeds: listUpTo(strictObject('seed', { id, host, port }), MAX_SEEDS),
 });
 
-const platform = closed('platform', { keyValue: address, vmList: address, weights: address });
+const platform = strictObject('platform', { keyValue: address, vmList: address, weights: address });
 
-const bootstrapOperator = closed('operator', { name: id, keyHashes: listOfAtMost(keyHash, 16) });
+const bootstrapOperator = strictObject('operator', { name: id, keyHashes: listUpTo(keyHash, 16) });
 
-const limits = closed('limits', {
+const limits = strictObject('limits', {
   maxOpenRequests: integerBetween(1, 1_000_000),
   maxPromptCharacters: integerBetween(1, 900_000),
   maxTokens: integerBetween(1, 65_536),
   maxCallBytes: integerBetween(1, 900_000),
 });
 
-const timing = closed('timing', {
+const timing = strictObject('timing', {
   listPollMs: milliseconds,
   loadPollMs: milliseconds,
   /** Age of the list of VMs beyond which a target takes no new work. */
@@ -57,17 +57,17 @@
 });
 
 /** Codec of the settings file. */
-export const settingsCodec = closed('settings', {
+export const settingsCodec = strictObject('settings', {
   id,
   failureDomain: id,
   rpc: address,
   peers,
   platform,
   /** Operators who may change the configuration while it names none. */
-  operators: listOfAtMost(bootstrapOperator, MAX_OPERATORS),
+  operators: listUpTo(bootstrapOperator, MAX_OPERATORS),
   limits,
   timing,
-  log: closed('log', { level: oneOf('silent', 'error', 'warn', 'info') }),
+  log: strictObject('log', { level: oneOf('silent', 'error', 'warn', 'info') }),
 });
 
 /** The daemon's settings. */
