--- a/packages/decode-with-lines/src/address.ts
+++ b/packages/decode-with-lines/src/address.ts
@@ -1,12 +1,12 @@
-/** "HOST:PORT" as text, an address in the program. */
+/** A codec between "HOST:PORT" texts and addresses. */
 import type { Address } from '@limelead/types';
 import * as t from 'io-ts';
 
 const MAX_PORT = 65_535;
-/** A name, an IPv4 address, or an IPv6 address in brackets. */
+/** A host name, an IPv4 address, or an IPv6 address in brackets, with a port. */
 const ADDRESS = /^([\w.-]+|\[[\da-fA-F:.]+\]):(\d{1,5})$/;
 
-/** Reads and writes addresses; a text that can't be called is none. */
+/** Decodes and encodes addresses; rejects invalid hosts and ports. */
 export const addressCodec = new t.Type<Address, string>(
   'HOST:PORT',
   (value): value is Address => typeof value === 'object',
--- a/packages/decode-with-lines/src/decode-jsonc.ts
+++ b/packages/decode-with-lines/src/decode-jsonc.ts
@@ -1,4 +1,4 @@
-/** Decodes a text and finds the line of each fault. */
+/** Decodes JSON with comments and finds the line of each fault. */
 import { DecodeError, type DecodeFault } from '@limelead/errors';
 import * as E from 'fp-ts/lib/Either.js';
 import type * as t from 'io-ts';
@@ -12,7 +12,10 @@
 
 const MAX_SHOWN_CHARACTERS = 60;
 
-/** Gives the decoded value, or an error that lists every fault. */
+/**
+ * Returns the decoded value, or an error that lists every fault.
+ * @param file the file's name in the error's message
+ */
 export default function decodeJsonc<Value>(
   file: string,
   text: string,
@@ -56,7 +59,7 @@
   };
 }
 
-/** The node at the path, or where there is none, the nearest above it. */
+/** Finds the node at a path, or its nearest existing ancestor. */
 function findNearestNode(root: Node, path: string[]): Node {
   for (let length = path.length; length > 0; length -= 1) {
     const segments = path.slice(0, length).map(toSegment);
--- a/packages/decode-with-lines/src/refinements.ts
+++ b/packages/decode-with-lines/src/refinements.ts
@@ -1,12 +1,12 @@
-/** Codecs for bounded values; their names say what was expected. */
+/** Codecs of bounded values; their names are the expectations in error messages. */
 import * as t from 'io-ts';
 
 function refine<A>(
   base: t.Type<A, A, unknown>,
   name: string,
-  holds: (value: A) => boolean,
+  isValid: (value: A) => boolean,
 ): t.Type<A, A, unknown> {
-  const is = (input: unknown): input is A => base.is(input) && holds(input);
+  const is = (input: unknown): input is A => base.is(input) && isValid(input);
   return new t.Type(
     name,
     is,
@@ -15,7 +15,7 @@
   );
 }
 
-/** A whole number within limits, both included. */
+/** A whole number between two limits, inclusive. */
 export function integerBetween(low: number, high: number): t.Type<number, number, unknown> {
   return refine(
     t.number,
@@ -24,7 +24,7 @@
   );
 }
 
-/** A number above zero and at most `high`. */
+/** A number greater than 0 and at most `high`. */
 export function positiveUpTo(high: number): t.Type<number, number, unknown> {
   return refine(
     t.number,
@@ -33,7 +33,7 @@
   );
 }
 
-/** A text that a pattern matches. */
+/** A text that matches a pattern. */
 export function stringMatching(
   pattern: RegExp,
   description: string,
@@ -41,7 +41,7 @@
   return refine(t.string, description, (value) => pattern.test(value));
 }
 
-/** One of a few texts. */
+/** One of the given texts. */
 export function oneOf<Text extends string>(...texts: Text[]): t.Type<Text, Text, unknown> {
   const known: readonly string[] = texts;
   const is = (input: unknown): input is Text => typeof input === 'string' && known.includes(input);
@@ -53,17 +53,17 @@
   );
 }
 
-/** A list of at most so many items. */
+/** A list with at most `maxItems` items. */
 export function listUpTo<A>(
   item: t.Type<A, unknown, unknown>,
-  most: number,
+  maxItems: number,
 ): t.Type<A[], unknown, unknown> {
   const list = t.array(item);
   return new t.Type(
-    `a list of at most ${most}`,
-    (input): input is A[] => list.is(input) && input.length <= most,
+    `a list of at most ${maxItems}`,
+    (input): input is A[] => list.is(input) && input.length <= maxItems,
     (input, context) =>
-      Array.isArray(input) && input.length > most
+      Array.isArray(input) && input.length > maxItems
         ? t.failure(input, context)
         : list.validate(input, context),
     t.identity,
--- a/packages/decode-with-lines/src/strict-object.ts
+++ b/packages/decode-with-lines/src/strict-object.ts
@@ -1,4 +1,4 @@
-/** A codec for objects in which an unknown key is an error. */
+/** Codecs of objects that reject unknown keys. */
 import * as E from 'fp-ts/lib/Either.js';
 import * as t from 'io-ts';
 
@@ -6,10 +6,10 @@
 type Required<P extends Props> = { [K in keyof P]: t.TypeOf<P[K]> };
 type Optional<P extends Props> = { [K in keyof P]?: t.TypeOf<P[K]> };
 
-/** The shape that a closed codec decodes to. */
+/** The type that a strict codec decodes to. */
 export type StrictObject<P extends Props, O extends Props> = Required<P> & Optional<O>;
 
-/** Creates the codec; keys of `optional` may be absent. */
+/** Creates a codec that rejects unknown keys; keys of `optional` may be absent. */
 export default function strictObject<P extends Props, O extends Props = Record<never, t.Mixed>>(
   name: string,
   required: P,
