--- a/packages/metrics/src/index.test.ts
+++ b/packages/metrics/src/index.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import createMetrics from './index.js';
 
-test('the page is in the Prometheus text format', () => {
+test('all series are rendered in the Prometheus text format', () => {
   const metrics = createMetrics();
   metrics.count('limelead_errors_total', 2, { kind: 'not "found"\n' });
   metrics.gauge('limelead_open', () => 3);
@@ -23,7 +23,7 @@
   ]);
 });
 
-test('a counter that was never counted is zero', () => {
+test('a counter that was never increased is zero', () => {
   assert.is(createMetrics().counterValue('limelead_errors_total'), 0);
 });
 
--- a/packages/metrics/src/index.ts
+++ b/packages/metrics/src/index.ts
@@ -1,24 +1,24 @@
-/** Counters, gauges and latency histograms with a Prometheus text page. */
+/** Counters, gauges and latency summaries, rendered in the Prometheus text format. */
 import { build, type Histogram } from 'hdr-histogram-js';
 
-const HIGHEST_TRACKABLE_MS = 3_600_000;
+const MAX_RECORDED_MS = 3_600_000;
 const SIGNIFICANT_DIGITS = 2;
 const QUANTILES = [0.5, 0.95, 0.99] as const;
 
-/** Label names and values of one series. */
+/** Labels of a series: values by name. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** Holds the series of one process. */
+/** The metrics of a process. */
 export interface Metrics {
-  /** Adds to a counter. */
+  /** Increases a counter by `by`, 1 by default. */
   count(name: string, by?: number, labels?: Labels): void;
-  /** Records a duration in milliseconds. */
+  /** Adds a duration to a summary. */
   recordMs(name: string, milliseconds: number, labels?: Labels): void;
-  /** Registers a gauge that is read when the page is rendered. */
+  /** Registers a gauge whose value is read at each rendering. */
   gauge(name: string, read: () => number, labels?: Labels): void;
-  /** Present value of a counter, 0 where it was never counted. */
+  /** The value of a counter; 0 if it was never increased. */
   counterValue(name: string, labels?: Labels): number;
-  /** The page in the Prometheus text format. */
+  /** Renders all series in the Prometheus text format. */
   render(): string;
 }
 
@@ -34,17 +34,17 @@
   read: () => number;
 }
 
-interface HistogramSeries {
+interface SummarySeries {
   name: string;
   labels: Labels;
   histogram: Histogram;
   sumMs: number;
 }
 
-/** Creates an empty set of series. */
+/** Creates metrics without any series. */
 export default function createMetrics(): Metrics {
   const counters = new Map<string, CounterSeries>();
-  const histograms = new Map<string, HistogramSeries>();
+  const summaries = new Map<string, SummarySeries>();
   const gauges = new Map<string, GaugeSeries>();
 
   function count(name: string, by = 1, labels: Labels = {}): void {
@@ -56,33 +56,33 @@
 
   function recordMs(name: string, milliseconds: number, labels: Labels = {}): void {
     const key = seriesKey(name, labels);
-    const series = histograms.get(key) ?? createHistogramSeries(name, labels);
-    const bounded = Math.min(Math.max(0, milliseconds), HIGHEST_TRACKABLE_MS);
+    const series = summaries.get(key) ?? createSummarySeries(name, labels);
+    const bounded = Math.min(Math.max(0, milliseconds), MAX_RECORDED_MS);
     series.histogram.recordValue(bounded);
     series.sumMs += bounded;
-    histograms.set(key, series);
+    summaries.set(key, series);
   }
 
   function render(): string {
     const lines: string[] = [];
-    const announced = new Set<string>();
-    const announce = (name: string, type: string): void => {
-      if (!announced.has(name)) {
-        announced.add(name);
+    const typedNames = new Set<string>();
+    const addType = (name: string, type: string): void => {
+      if (!typedNames.has(name)) {
+        typedNames.add(name);
         lines.push(`# TYPE ${name} ${type}`);
       }
     };
     for (const series of sortByName(counters.values())) {
-      announce(series.name, 'counter');
+      addType(series.name, 'counter');
       lines.push(`${seriesKey(series.name, series.labels)} ${series.value}`);
     }
     for (const { name, labels, read } of sortByName(gauges.values())) {
-      announce(name, 'gauge');
+      addType(name, 'gauge');
       lines.push(`${seriesKey(name, labels)} ${read()}`);
     }
-    for (const series of sortByName(histograms.values())) {
-      announce(series.name, 'summary');
-      lines.push(...renderHistogram(series));
+    for (const series of sortByName(summaries.values())) {
+      addType(series.name, 'summary');
+      lines.push(...renderSummary(series));
     }
     return `${lines.join('\n')}\n`;
   }
@@ -97,15 +97,15 @@
   };
 }
 
-function createHistogramSeries(name: string, labels: Labels): HistogramSeries {
+function createSummarySeries(name: string, labels: Labels): SummarySeries {
   const histogram = build({
-    highestTrackableValue: HIGHEST_TRACKABLE_MS,
+    highestTrackableValue: MAX_RECORDED_MS,
     numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
   });
   return { name, labels, histogram, sumMs: 0 };
 }
 
-function renderHistogram(series: HistogramSeries): string[] {
+function renderSummary(series: SummarySeries): string[] {
   const { name, labels, histogram, sumMs } = series;
   const quantiles = QUANTILES.map((quantile) => {
     const key = seriesKey(name, { ...labels, quantile: String(quantile) });
