--- a/packages/errors/src/classes.ts
+++ b/packages/errors/src/classes.ts
@@ -1,9 +1,9 @@
 /** Error classes. */
-import { ANSWERS, type Answer, type ErrorKind } from './kinds.js';
+import { ERROR_ANSWERS, type ErrorAnswer, type ErrorKind } from './kinds.js';
 
 /** Facts that override the table's answer for one error. */
-export interface AnswerOverrides {
-  execution?: Answer['execution'];
+export interface ErrorAnswerOverrides {
+  execution?: ErrorAnswer['execution'];
   retryAfterMs?: number;
 }
 
@@ -14,14 +14,14 @@
   constructor(
     readonly kind: ErrorKind,
     message: string,
-    private readonly overrides: AnswerOverrides = {},
+    private readonly overrides: ErrorAnswerOverrides = {},
   ) {
     super(message);
   }
 
   /** What the caller is told. */
-  get answer(): Answer {
-    const answer = ANSWERS[this.kind];
+  get answer(): ErrorAnswer {
+    const answer = ERROR_ANSWERS[this.kind];
     return {
       ...answer,
       execution: this.overrides.execution ?? answer.execution,
@@ -71,19 +71,19 @@
 }
 
 /** Whether an outside system may have received a request that failed. */
-export type Sent = 'no' | 'maybe';
+export type RequestSent = 'no' | 'maybe';
 
 /** Why a call to an outside system failed. */
-export type PortFaultCause = 'unreachable' | 'timeout' | 'refused' | 'broken' | 'invalid' | 'gone';
+export type PortFaultReason = 'unreachable' | 'timeout' | 'refused' | 'broken' | 'invalid' | 'gone';
 
 /** A failed call to an outside system. */
 export class PortFault extends Error {
   override readonly name = 'PortFault';
 
   constructor(
-    readonly reason: PortFaultCause,
+    readonly reason: PortFaultReason,
     /** 'no' only where it is certain that no byte of the request left. */
-    readonly sent: Sent,
+    readonly sent: RequestSent,
     message: string,
   ) {
     super(message);
@@ -91,12 +91,12 @@
 }
 
 /** Message and the first frames. */
-const DESCRIBED_LINES = 4;
+const MAX_DESCRIBED_LINES = 4;
 
 /** What was thrown and where, for a line; the first frames say which part of the program it was. */
 export function describeThrown(thrown: unknown): string {
   const text = thrown instanceof Error ? (thrown.stack ?? thrown.message) : String(thrown);
-  return text.split('\n').slice(0, DESCRIBED_LINES).join(' | ');
+  return text.split('\n').slice(0, MAX_DESCRIBED_LINES).join(' | ');
 }
 
 /** Turns anything thrown into an error of the closed list. */
--- a/packages/errors/src/kinds.test.ts
+++ b/packages/errors/src/kinds.test.ts
@@ -1,7 +1,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
-  ANSWERS,
+  ERROR_ANSWERS,
   ConflictError,
   DecodeError,
   ERROR_KINDS,
@@ -11,12 +11,12 @@
 } from './index.js';
 
 test('every kind has one answer, and the table has no other', () => {
-  assert.equal(Object.keys(ANSWERS).sort(), [...ERROR_KINDS].sort());
+  assert.equal(Object.keys(ERROR_ANSWERS).sort(), [...ERROR_KINDS].sort());
 });
 
 test('a retry is allowed exactly where there is something to wait for', () => {
   for (const kind of ERROR_KINDS) {
-    const { mayRetry, retryAfterMs } = ANSWERS[kind];
+    const { mayRetry, retryAfterMs } = ERROR_ANSWERS[kind];
     assert.is(mayRetry, retryAfterMs > 0, kind);
   }
 });
@@ -32,7 +32,7 @@
 
 test('nothing whose outcome is unknown invites a blind retry', () => {
   for (const kind of ERROR_KINDS) {
-    const { execution, mayRetry } = ANSWERS[kind];
+    const { execution, mayRetry } = ERROR_ANSWERS[kind];
     assert.not(execution === 'unknown' && mayRetry, kind);
   }
 });
--- a/packages/errors/src/kinds.ts
+++ b/packages/errors/src/kinds.ts
@@ -50,7 +50,7 @@
   | 'internal';
 
 /** What a caller is told for a kind. */
-export interface Answer {
+export interface ErrorAnswer {
   rpcCode: RpcCode;
   execution: Execution;
   /** True where sending the same request again may succeed and is safe. */
@@ -60,33 +60,33 @@
 }
 
 /** The one table from kind to answer. */
-export const ANSWERS: Readonly<Record<ErrorKind, Answer>> = {
-  'invalid-request': answer('invalid_argument', 'not-run'),
-  'too-large': answer('invalid_argument', 'not-run'),
-  'headers-too-large': answer('invalid_argument', 'not-run'),
-  'too-slow': answer('deadline_exceeded', 'not-run'),
-  unauthenticated: answer('unauthenticated', 'not-run'),
-  'permission-denied': answer('permission_denied', 'not-run'),
-  'not-found': answer('not_found', 'not-run'),
-  conflict: answer('aborted', 'not-run'),
-  'rate-limited': answer('resource_exhausted', 'not-run', 1000),
-  overloaded: answer('resource_exhausted', 'not-run', 2000),
-  'deadline-unreachable': answer('deadline_exceeded', 'not-run'),
-  'deadline-passed': answer('deadline_exceeded', 'run'),
-  'no-target': answer('unavailable', 'not-run', 1000),
-  'version-not-live': answer('failed_precondition', 'not-run', 5000),
-  'recovery-exhausted': answer('data_loss', 'run', 1000),
-  'outcome-unknown': answer('unknown', 'unknown'),
-  quarantined: answer('unavailable', 'not-run', 600_000),
-  'call-expired': answer('failed_precondition', 'not-run'),
-  'store-unavailable': answer('unavailable', 'not-run', 2000),
-  'handle-invalid': answer('invalid_argument', 'not-run'),
-  cancelled: answer('canceled', 'unknown'),
-  'shutting-down': answer('unavailable', 'not-run', 100),
-  internal: answer('internal', 'unknown'),
+export const ERROR_ANSWERS: Readonly<Record<ErrorKind, ErrorAnswer>> = {
+  'invalid-request': createAnswer('invalid_argument', 'not-run'),
+  'too-large': createAnswer('invalid_argument', 'not-run'),
+  'headers-too-large': createAnswer('invalid_argument', 'not-run'),
+  'too-slow': createAnswer('deadline_exceeded', 'not-run'),
+  unauthenticated: createAnswer('unauthenticated', 'not-run'),
+  'permission-denied': createAnswer('permission_denied', 'not-run'),
+  'not-found': createAnswer('not_found', 'not-run'),
+  conflict: createAnswer('aborted', 'not-run'),
+  'rate-limited': createAnswer('resource_exhausted', 'not-run', 1000),
+  overloaded: createAnswer('resource_exhausted', 'not-run', 2000),
+  'deadline-unreachable': createAnswer('deadline_exceeded', 'not-run'),
+  'deadline-passed': createAnswer('deadline_exceeded', 'run'),
+  'no-target': createAnswer('unavailable', 'not-run', 1000),
+  'version-not-live': createAnswer('failed_precondition', 'not-run', 5000),
+  'recovery-exhausted': createAnswer('data_loss', 'run', 1000),
+  'outcome-unknown': createAnswer('unknown', 'unknown'),
+  quarantined: createAnswer('unavailable', 'not-run', 600_000),
+  'call-expired': createAnswer('failed_precondition', 'not-run'),
+  'store-unavailable': createAnswer('unavailable', 'not-run', 2000),
+  'handle-invalid': createAnswer('invalid_argument', 'not-run'),
+  cancelled: createAnswer('canceled', 'unknown'),
+  'shutting-down': createAnswer('unavailable', 'not-run', 100),
+  internal: createAnswer('internal', 'unknown'),
 };
 
-function answer(rpcCode: RpcCode, execution: Execution, retryAfterMs?: number): Answer {
+function createAnswer(rpcCode: RpcCode, execution: Execution, retryAfterMs?: number): ErrorAnswer {
   return {
     rpcCode,
     execution,
@@ -123,7 +123,7 @@
 };
 
 /** Statuses that callers take as a promise that the request has not run and never will. */
-const PROMISES_NOT_RUN: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 const BAD_GATEWAY = 502;
 
 /**
@@ -132,7 +132,7 @@
  */
 export function toHttpStatus(kind: ErrorKind, execution: Execution): number {
   const status = HTTP_STATUS[kind];
-  return execution !== 'not-run' && PROMISES_NOT_RUN.has(status) ? BAD_GATEWAY : status;
+  return execution !== 'not-run' && NOT_RUN_STATUSES.has(status) ? BAD_GATEWAY : status;
 }
 
 /** Says whether a text names a kind of the closed list. */
--- a/packages/forward-request/src/report-refusal.ts
+++ b/packages/forward-request/src/report-refusal.ts
@@ -1,5 +1,5 @@
 /** Says why no target could serve a request in time. */
-import type { AnswerOverrides } from '@limelead/errors';
+import type { ErrorAnswerOverrides } from '@limelead/errors';
 import type { AdmittedRequest } from './admitted-request.js';
 import type { ForwardContext } from './context.js';
 import type { SlotRefusal } from './slot-refusal.js';
@@ -12,7 +12,7 @@
   { clock, log, metrics }: Pick<ForwardContext, 'clock' | 'log' | 'metrics'>,
   { request, service, dueAtMs }: AdmittedRequest,
   refusal: SlotRefusal,
-): AnswerOverrides {
+): ErrorAnswerOverrides {
   const { retryAfterMs } = refusal;
   const facts = {
     requestId: request.requestId,
--- a/packages/forward-request/src/stream-sends.ts
+++ b/packages/forward-request/src/stream-sends.ts
@@ -1,5 +1,5 @@
 /** The sends of one streamed request: where it may have run, and whether it may be sent once more. */
-import { LimeleadError, type AnswerOverrides } from '@limelead/errors';
+import { LimeleadError, type ErrorAnswerOverrides } from '@limelead/errors';
 import type { LossCause } from '@limelead/track-service-targets';
 import type { AdmittedRequest } from './admitted-request.js';
 import type { ForwardContext } from './context.js';
@@ -86,7 +86,7 @@
   createError(
     kind: LimeleadError['kind'],
     message: string,
-    overrides: AnswerOverrides = {},
+    overrides: ErrorAnswerOverrides = {},
   ): LimeleadError {
     const execution = this.mayHaveRun ? ('unknown' as const) : undefined;
     return new LimeleadError(kind, message, { ...overrides, execution });
--- a/packages/http-adapters/src/http-transport.ts
+++ b/packages/http-adapters/src/http-transport.ts
@@ -1,5 +1,5 @@
 /** Single HTTP requests over undici, with every failure as a PortFault. Nothing is ever sent twice. */
-import { PortFault, type Sent } from '@limelead/errors';
+import { PortFault, type RequestSent } from '@limelead/errors';
 import type { PortCall } from '@limelead/ports';
 import * as E from 'fp-ts/lib/Either.js';
 import type * as t from 'io-ts';
@@ -131,7 +131,7 @@
   if (status === NOT_FOUND) {
     return new PortFault('gone', 'maybe', 'not found');
   }
-  const sent: Sent = NOT_ACTED_STATUS.has(status) ? 'no' : 'maybe';
+  const sent: RequestSent = NOT_ACTED_STATUS.has(status) ? 'no' : 'maybe';
   const reason = sent === 'no' || status === CONFLICT ? 'refused' : 'invalid';
   return new PortFault(reason, sent, `status ${status}`);
 }
--- a/packages/target-connections/src/target-connection.ts
+++ b/packages/target-connections/src/target-connection.ts
@@ -1,5 +1,5 @@
 /** A connection to a target that carries one request at a time. */
-import { PortFault, type Sent } from '@limelead/errors';
+import { PortFault, type RequestSent } from '@limelead/errors';
 import type { Clock, Millis } from '@limelead/types';
 import { Client, type Dispatcher } from 'undici';
 import createConnector from './create-connector.js';
@@ -117,7 +117,7 @@
 
 /** Converts the events of the HTTP library to `CallEvents` and records whether the request was sent. */
 class CallHandler implements Dispatcher.DispatchHandler {
-  private sent: Sent = 'no';
+  private sent: RequestSent = 'no';
   private isOver = false;
   private controller: Dispatcher.DispatchController | undefined;
 
@@ -194,7 +194,7 @@
   return { status, rawHeaders, headers };
 }
 
-function toFault(error: Error, sent: Sent): PortFault {
+function toFault(error: Error, sent: RequestSent): PortFault {
   const reason = sent === 'no' ? 'unreachable' : 'broken';
   return new PortFault(reason, sent, error.message);
 }
