--- a/packages/errors/src/classes.ts
+++ b/packages/errors/src/classes.ts
@@ -1,13 +1,13 @@
-/** Error classes. */
+/** Error classes and conversions of thrown values. */
 import { ERROR_ANSWERS, type ErrorAnswer, type ErrorKind } from './kinds.js';
 
-/** Facts that override the table's answer for one error. */
+/** Values that override the default answer of an error's kind. */
 export interface ErrorAnswerOverrides {
   execution?: ErrorAnswer['execution'];
   retryAfterMs?: number;
 }
 
-/** An error of the closed list, on its way to a caller or operator. */
+/** An error that is reported to a caller or operator. */
 export class LimeleadError extends Error {
   override readonly name: string = 'LimeleadError';
 
@@ -19,7 +19,7 @@
     super(message);
   }
 
-  /** What the caller is told. */
+  /** The answer to the caller. */
   get answer(): ErrorAnswer {
     const answer = ERROR_ANSWERS[this.kind];
     return {
@@ -30,7 +30,7 @@
   }
 }
 
-/** A change that lost a race; carries what is there now. */
+/** A conflict with a concurrent change; contains the current state. */
 export class ConflictError<Current> extends LimeleadError {
   override readonly name = 'ConflictError';
 
@@ -43,7 +43,7 @@
   }
 }
 
-/** A settings or configuration text that does not hold; each fault names line and key. */
+/** An invalid settings or configuration text; the message lists line and key of each fault. */
 export class DecodeError extends Error {
   override readonly name = 'DecodeError';
 
@@ -55,7 +55,7 @@
   }
 }
 
-/** One fault in a text. */
+/** A fault in a text. */
 export interface DecodeFault {
   /** Counted from 1. */
   line: number;
@@ -70,19 +70,19 @@
   return `${file}:${fault.line}: ${key}: expected ${fault.expected}, found ${fault.found}`;
 }
 
-/** Whether an outside system may have received a request that failed. */
+/** Whether the external system may have received the failed request. */
 export type RequestSent = 'no' | 'maybe';
 
-/** Why a call to an outside system failed. */
+/** Why a call to an external system failed. */
 export type PortFaultReason = 'unreachable' | 'timeout' | 'refused' | 'broken' | 'invalid' | 'gone';
 
-/** A failed call to an outside system. */
+/** A failed call to an external system. */
 export class PortFault extends Error {
   override readonly name = 'PortFault';
 
   constructor(
     readonly reason: PortFaultReason,
-    /** 'no' only where it is certain that no byte of the request left. */
+    /** 'no' only if certainly no byte of the request was sent. */
     readonly sent: RequestSent,
     message: string,
   ) {
@@ -90,16 +90,16 @@
   }
 }
 
-/** Message and the first frames. */
+/** The message and the first stack frames. */
 const MAX_DESCRIBED_LINES = 4;
 
-/** What was thrown and where, for a line; the first frames say which part of the program it was. */
+/** Describes a thrown value in a single log line, with the first stack frames of an error. */
 export function describeThrown(thrown: unknown): string {
   const text = thrown instanceof Error ? (thrown.stack ?? thrown.message) : String(thrown);
   return text.split('\n').slice(0, MAX_DESCRIBED_LINES).join(' | ');
 }
 
-/** Turns anything thrown into an error of the closed list. */
+/** Converts a thrown value; anything but a `LimeleadError` becomes one of kind "internal". */
 export function toLimeleadError(thrown: unknown): LimeleadError {
   if (thrown instanceof LimeleadError) {
     return thrown;
--- a/packages/errors/src/index.ts
+++ b/packages/errors/src/index.ts
@@ -1,3 +1,3 @@
-/** The closed list of error kinds, the table from kind to answer, and the error classes. */
+/** The complete list of error kinds, the answer to callers for each kind, and the error classes. */
 export * from './kinds.js';
 export * from './classes.js';
--- a/packages/errors/src/kinds.test.ts
+++ b/packages/errors/src/kinds.test.ts
@@ -10,18 +10,18 @@
   toLimeleadError,
 } from './index.js';
 
-test('every kind has one answer, and the table has no other', () => {
+test('the answers cover exactly the error kinds', () => {
   assert.equal(Object.keys(ERROR_ANSWERS).sort(), [...ERROR_KINDS].sort());
 });
 
-test('a retry is allowed exactly where there is something to wait for', () => {
+test('a retry is allowed exactly if there is a retry delay', () => {
   for (const kind of ERROR_KINDS) {
     const { mayRetry, retryAfterMs } = ERROR_ANSWERS[kind];
     assert.is(mayRetry, retryAfterMs > 0, kind);
   }
 });
 
-test('a status that promises "not run" is given only where that is certain', () => {
+test('a status that guarantees "not run" is returned only if that is certain', () => {
   for (const kind of ERROR_KINDS) {
     for (const execution of ['unknown', 'run'] as const) {
       assert.not([408, 421, 429, 503].includes(toHttpStatus(kind, execution)), kind);
@@ -30,26 +30,26 @@
   assert.is(toHttpStatus('no-target', 'not-run'), 503);
 });
 
-test('nothing whose outcome is unknown invites a blind retry', () => {
+test('no retry is allowed if the outcome is unknown', () => {
   for (const kind of ERROR_KINDS) {
     const { execution, mayRetry } = ERROR_ANSWERS[kind];
     assert.not(execution === 'unknown' && mayRetry, kind);
   }
 });
 
-test('the thrower may know better than the table', () => {
+test('an error can override the answer of its kind', () => {
   const error = new LimeleadError('rate-limited', 'wait', { retryAfterMs: 7 });
   assert.is(error.answer.retryAfterMs, 7);
   assert.is(error.answer.execution, 'not-run');
 });
 
-test('anything thrown becomes an error of the list', () => {
+test('a thrown value is converted to a LimeleadError, and a LimeleadError is kept', () => {
   assert.is(toLimeleadError(new TypeError('x')).kind, 'internal');
   const conflict = new ConflictError('changed', 3, ['a']);
   assert.is(toLimeleadError(conflict), conflict);
 });
 
-test('a decode error names file, line, key, what was expected and what was found', () => {
+test('the message of a decode error contains file, line, key, expected and found value', () => {
   const fault = { line: 4, key: 'a.b', expected: 'a number', found: '"x"' };
   assert.is(
     new DecodeError('f.jsonc', [fault]).message,
--- a/packages/errors/src/kinds.ts
+++ b/packages/errors/src/kinds.ts
@@ -1,6 +1,6 @@
-/** The closed list of error kinds and the table from kind to answer. */
+/** The error kinds and the answer for each. */
 
-/** Every kind of error that a caller or operator can meet. */
+/** All kinds of errors that callers and operators may receive. */
 export const ERROR_KINDS = [
   'invalid-request',
   'too-large',
@@ -27,13 +27,13 @@
   'internal',
 ] as const;
 
-/** One of the closed list of error kinds. */
+/** A kind of error. */
 export type ErrorKind = (typeof ERROR_KINDS)[number];
 
-/** Whether a target executed the request behind an error. */
+/** Whether a target executed the failed request. */
 export type Execution = 'not-run' | 'unknown' | 'run';
 
-/** Names of the RPC codes that the table uses; they equal Connect's. */
+/** The Connect RPC codes used in answers. */
 export type RpcCode =
   | 'invalid_argument'
   | 'unauthenticated'
@@ -49,17 +49,17 @@
   | 'unknown'
   | 'internal';
 
-/** What a caller is told for a kind. */
+/** The answer to a caller for an error kind. */
 export interface ErrorAnswer {
   rpcCode: RpcCode;
   execution: Execution;
-  /** True where sending the same request again may succeed and is safe. */
+  /** Whether a retry of the same request is safe and may succeed. */
   mayRetry: boolean;
-  /** Milliseconds to wait before a retry, unless the thrower knows better. */
+  /** Default delay before a retry; 0 if a retry is not allowed. */
   retryAfterMs: number;
 }
 
-/** The one table from kind to answer. */
+/** The default answer for each kind. */
 export const ERROR_ANSWERS: Readonly<Record<ErrorKind, ErrorAnswer>> = {
   'invalid-request': createAnswer('invalid_argument', 'not-run'),
   'too-large': createAnswer('invalid_argument', 'not-run'),
@@ -95,7 +95,7 @@
   };
 }
 
-/** HTTP status of each kind at the HTTP front door. */
+/** The HTTP status of each kind at the HTTP front door. */
 const HTTP_STATUS: Readonly<Record<ErrorKind, number>> = {
   'invalid-request': 400,
   'too-large': 413,
@@ -122,20 +122,20 @@
   internal: 502,
 };
 
-/** Statuses that callers take as a promise that the request has not run and never will. */
+/** Statuses that guarantee to callers that the request was not executed. */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 const BAD_GATEWAY = 502;
 
 /**
- * HTTP status for a kind. A request that may have run never gets a status that
- * promises that it did not.
+ * Returns the HTTP status for a kind. A request that may have been executed never gets a
+ * status that guarantees the opposite.
  */
 export function toHttpStatus(kind: ErrorKind, execution: Execution): number {
   const status = HTTP_STATUS[kind];
   return execution !== 'not-run' && NOT_RUN_STATUSES.has(status) ? BAD_GATEWAY : status;
 }
 
-/** Says whether a text names a kind of the closed list. */
+/** Whether a text is an error kind. */
 export function isErrorKind(text: string): text is ErrorKind {
   return (ERROR_KINDS as readonly string[]).includes(text);
 }
