--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -260,7 +260,7 @@
     this.logMisdirected({ door: listener, requestId, method, path: url });
   }
 
-  /** Whether this VM accepts new requests. */
+  /** Whether this VM reports ready to the load balancer. */
   get isReady(): boolean {
     return !this.isStopping && this.storeView.isComplete;
   }
--- a/packages/http-front-door/src/http-front-door.test.ts
+++ b/packages/http-front-door/src/http-front-door.test.ts
@@ -126,32 +126,32 @@
   static async start(
     known: ServingConfiguration | typeof NO_CONFIGURATION = configuration,
   ): Promise<TestBed> {
-    const testBed = new TestBed();
-    testBed.table = known === NO_CONFIGURATION ? undefined : compileRoutes(known);
-    testBed.target = createServer((request, response) => {
+    const bed = new TestBed();
+    bed.table = known === NO_CONFIGURATION ? undefined : compileRoutes(known);
+    bed.target = createServer((request, response) => {
       let body = '';
       request.on('data', (chunk) => (body += String(chunk)));
       request.on('end', () => {
         const organisation = String(request.headers['organisation']);
-        testBed.arrived.push({ path: request.url ?? '', body, organisation });
+        bed.arrived.push({ path: request.url ?? '', body, organisation });
         response.writeHead(200, { id: String(request.headers['id']) }).end(`got ${body}`);
       });
     });
-    await new Promise<void>((resolve) => testBed.target.listen(0, '127.0.0.1', resolve));
-    const { port } = testBed.target.address() as AddressInfo;
+    await new Promise<void>((resolve) => bed.target.listen(0, '127.0.0.1', resolve));
+    const { port } = bed.target.address() as AddressInfo;
     const directory = new TargetDirectory(clock);
     const where = { host: '127.0.0.1', port, failureDomain: 'north' };
     directory.replaceAll([{ id: 't1', service: 'calls', ...where, slots: 4, leaving: false }]);
-    testBed.door = new HttpFrontDoor({
+    bed.door = new HttpFrontDoor({
       host: '127.0.0.1',
       port: 0,
-      context: testBed.createContext(directory),
+      context: bed.createContext(directory),
       dialect: ingress,
       maxBufferedBodyBytes: MAX_BUFFERED_BODY_BYTES,
     });
-    testBed.door.applyLimits(configuration.limits);
-    await testBed.door.listen();
-    return testBed;
+    bed.door.applyLimits(configuration.limits);
+    await bed.door.listen();
+    return bed;
   }
 
   /** The parsed log lines so far. */
@@ -242,23 +242,23 @@
 const GOOD = head(['Content-Length: 2']) + '\r\nhi';
 const ANSWERED = /got hi/;
 
-async function statusOf(testBed: TestBed, bytes: string): Promise<string> {
-  return (await testBed.exchange(bytes, /\r\n\r\n/)).slice(9, 12);
+async function statusOf(bed: TestBed, bytes: string): Promise<string> {
+  return (await bed.exchange(bytes, /\r\n\r\n/)).slice(9, 12);
 }
 
 test('a valid request reaches its target unchanged, with its organisation instead of the key', async () => {
-  const testBed = await TestBed.start();
-  const text = await testBed.exchange(GOOD, ANSWERED);
+  const bed = await TestBed.start();
+  const text = await bed.exchange(GOOD, ANSWERED);
   assert.match(text, /^HTTP\/1.1 200/);
-  assert.equal(testBed.arrived, [{ path: '/call/1', body: 'hi', organisation: 'north' }]);
+  assert.equal(bed.arrived, [{ path: '/call/1', body: 'hi', organisation: 'north' }]);
   const chunked = head(['Transfer-Encoding: chunked']) + '\r\n1\r\nh\r\n1\r\ni\r\n0\r\n\r\n';
-  await testBed.exchange(chunked, ANSWERED);
-  assert.is(testBed.arrived[1]?.body, 'hi');
-  await testBed.stop();
+  await bed.exchange(chunked, ANSWERED);
+  assert.is(bed.arrived[1]?.body, 'hi');
+  await bed.stop();
 });
 
 test('an invalid request gets its status and reaches no target', async () => {
-  const testBed = await TestBed.start();
+  const bed = await TestBed.start();
   const cases: [string, string][] = [
     ['400', 'no request at all\r\n\r\n'],
     ['400', head(['Content-Length: 2', 'Transfer-Encoding: chunked']) + '\r\n0\r\n\r\n'],
@@ -275,19 +275,19 @@
     ['431', head([`Long: ${'x'.repeat(70_000)}`]) + '\r\n'],
   ];
   for (const [status, bytes] of cases) {
-    assert.is(await statusOf(testBed, bytes), status, bytes.slice(0, 200));
+    assert.is(await statusOf(bed, bytes), status, bytes.slice(0, 200));
   }
-  assert.equal(testBed.arrived, []);
-  assert.is((await testBed.exchange(GOOD, ANSWERED)).slice(9, 12), '200');
-  await testBed.stop();
+  assert.equal(bed.arrived, []);
+  assert.is((await bed.exchange(GOOD, ANSWERED)).slice(9, 12), '200');
+  await bed.stop();
 });
 
 test("every answer of the VM itself is logged with the request's id, if it can be read", async () => {
-  const testBed = await TestBed.start();
+  const bed = await TestBed.start();
   const both = head(['Content-Length: 2', 'Transfer-Encoding: chunked']) + '\r\n0\r\n\r\n';
-  await statusOf(testBed, both);
-  await statusOf(testBed, head([], '/elsewhere/1') + '\r\n');
-  const logged = testBed.readLines().filter(({ status }) => status !== undefined);
+  await statusOf(bed, both);
+  await statusOf(bed, head([], '/elsewhere/1') + '\r\n');
+  const logged = bed.readLines().filter(({ status }) => status !== undefined);
   assert.equal(
     logged.map(({ event, requestId, status }) => [event, requestId, status]),
     [
@@ -300,144 +300,138 @@
     ['store', 'store'],
   );
   assert.is(logged[0]?.['firstLine'], 'POST /call/1 HTTP/1.1');
-  await testBed.stop();
+  await bed.stop();
 });
 
 test('a request in absolute form is routed by its URL and reaches the target as a path', async () => {
-  const testBed = await TestBed.start();
+  const bed = await TestBed.start();
   const sent = head(['Content-Length: 2'], 'http://vans.example:80/call/1?x=2');
-  const text = await testBed.exchange(
-    sent.replace('Host: vans', 'Host: other') + '\r\nhi',
-    ANSWERED,
-  );
+  const text = await bed.exchange(sent.replace('Host: vans', 'Host: other') + '\r\nhi', ANSWERED);
   assert.match(text, /^HTTP\/1.1 200/);
-  assert.is(testBed.arrived[0]?.path, '/call/1?x=2');
+  assert.is(bed.arrived[0]?.path, '/call/1?x=2');
   const elsewhere = head([], 'http://other.example/call/1') + '\r\n';
-  assert.is(await statusOf(testBed, elsewhere), '404');
-  await testBed.stop();
+  assert.is(await statusOf(bed, elsewhere), '404');
+  await bed.stop();
 });
 
 test('a refusal keeps the connection of a request without a body, not that of an unread body', async () => {
-  const testBed = await TestBed.start();
+  const bed = await TestBed.start();
   const empty = head([], '/elsewhere/1') + '\r\n';
-  const text = await testBed.exchange(empty + GOOD, ANSWERED);
+  const text = await bed.exchange(empty + GOOD, ANSWERED);
   assert.match(text, /^HTTP\/1.1 404[^]*HTTP\/1.1 200/);
-  const unread = await testBed.exchange(head(['Content-Length: 1001']) + '\r\n', /\r\n\r\n/);
+  const unread = await bed.exchange(head(['Content-Length: 1001']) + '\r\n', /\r\n\r\n/);
   assert.match(unread, /^HTTP\/1.1 413[^]*Connection: close/);
-  await testBed.stop();
+  await bed.stop();
 });
 
 test('an unknown Expect header is ignored', async () => {
-  const testBed = await TestBed.start();
-  const text = await testBed.exchange(
-    head(['Expect: luck', 'Content-Length: 2']) + '\r\nhi',
-    ANSWERED,
-  );
+  const bed = await TestBed.start();
+  const text = await bed.exchange(head(['Expect: luck', 'Content-Length: 2']) + '\r\nhi', ANSWERED);
   assert.match(text, /^HTTP\/1.1 200/);
-  await testBed.stop();
+  await bed.stop();
 });
 
 test('a slow head or body gets 408 without effect on other requests', async () => {
-  const testBed = await TestBed.start();
-  const slowHead = testBed.exchange('POST /call/1 HTTP/1.1\r\nHost: va');
-  const slowBody = testBed.exchange(head(['Content-Length: 5']) + '\r\nh', /\r\n\r\n/);
-  assert.match(await testBed.exchange(GOOD, ANSWERED), /200/);
+  const bed = await TestBed.start();
+  const slowHead = bed.exchange('POST /call/1 HTTP/1.1\r\nHost: va');
+  const slowBody = bed.exchange(head(['Content-Length: 5']) + '\r\nh', /\r\n\r\n/);
+  assert.match(await bed.exchange(GOOD, ANSWERED), /200/);
   assert.match(await slowHead, /^HTTP\/1.1 408/);
   assert.match(await slowBody, /^HTTP\/1.1 408/);
-  assert.is(testBed.arrived.length, 1);
-  await testBed.stop();
+  assert.is(bed.arrived.length, 1);
+  await bed.stop();
 });
 
 test('the bodies of all callers share one limit, and released bytes can be used again', async () => {
-  const testBed = await TestBed.start();
+  const bed = await TestBed.start();
   const partial = head(['Content-Length: 1000']) + `\r\n${'x'.repeat(990)}`;
-  const held = [testBed.exchange(partial), testBed.exchange(partial)];
-  while (testBed.door.bufferedBodyBytes < 1_980) {
+  const held = [bed.exchange(partial), bed.exchange(partial)];
+  while (bed.door.bufferedBodyBytes < 1_980) {
     await new Promise((resolve) => setImmediate(resolve));
   }
   const whole = head(['Content-Length: 900']) + `\r\n${'x'.repeat(900)}`;
-  assert.is(await statusOf(testBed, whole), '503');
+  assert.is(await statusOf(bed, whole), '503');
   await Promise.all(held);
-  assert.is(await statusOf(testBed, whole), '200');
-  await testBed.stop();
+  assert.is(await statusOf(bed, whole), '200');
+  await bed.stop();
 });
 
 test('a request inside the body of another is not parsed as a request', async () => {
-  const testBed = await TestBed.start();
+  const bed = await TestBed.start();
   const inner = head(['Content-Length: 0'], '/call/inner') + '\r\n';
   const outer = head([`Content-Length: ${inner.length}`]) + `\r\n${inner}`;
-  await testBed.exchange(outer, /got/);
+  await bed.exchange(outer, /got/);
   assert.equal(
-    testBed.arrived.map(({ path }) => path),
+    bed.arrived.map(({ path }) => path),
     ['/call/1'],
   );
-  await testBed.stop();
+  await bed.stop();
 });
 
 test('without a configuration a VM answers 503 with Retry-After, not 404', async () => {
-  const testBed = await TestBed.start(NO_CONFIGURATION);
-  const text = await testBed.exchange(GOOD, /\r\n\r\n/);
+  const bed = await TestBed.start(NO_CONFIGURATION);
+  const text = await bed.exchange(GOOD, /\r\n\r\n/);
   assert.match(text, /^HTTP\/1.1 503/);
   assert.match(text, /Retry-After: 0\.\d/);
-  await testBed.stop();
+  await bed.stop();
 });
 
 test('a request that arrives before the configuration is held and then served', async () => {
-  const testBed = await TestBed.start(NO_CONFIGURATION);
-  const held = testBed.exchange(GOOD, ANSWERED);
-  while (testBed.door.openRequests === 0) {
+  const bed = await TestBed.start(NO_CONFIGURATION);
+  const held = bed.exchange(GOOD, ANSWERED);
+  while (bed.door.openRequests === 0) {
     await new Promise((resolve) => setImmediate(resolve));
   }
-  testBed.door.onStoreViewChange();
-  assert.equal(testBed.arrived, []);
-  testBed.table = compileRoutes(configuration);
-  testBed.door.onStoreViewChange();
+  bed.door.onStoreViewChange();
+  assert.equal(bed.arrived, []);
+  bed.table = compileRoutes(configuration);
+  bed.door.onStoreViewChange();
   assert.match(await held, /^HTTP\/1.1 200/);
-  assert.is(testBed.arrived.length, 1);
-  await testBed.stop();
+  assert.is(bed.arrived.length, 1);
+  await bed.stop();
 });
 
 test('a VM that stops before it has a configuration refuses held requests at once', async () => {
-  const testBed = await TestBed.start(NO_CONFIGURATION);
-  const held = testBed.exchange(GOOD, /\r\n\r\n/);
-  while (testBed.door.openRequests === 0) {
+  const bed = await TestBed.start(NO_CONFIGURATION);
+  const held = bed.exchange(GOOD, /\r\n\r\n/);
+  while (bed.door.openRequests === 0) {
     await new Promise((resolve) => setImmediate(resolve));
   }
-  testBed.door.startDraining(clock.now() + 5_000);
+  bed.door.startDraining(clock.now() + 5_000);
   assert.match(await held, /^HTTP\/1.1 503/);
-  await testBed.stop();
+  await bed.stop();
 });
 
 test('a stopping VM finishes requests and closes each connection after the answer', async () => {
-  const testBed = await TestBed.start();
-  testBed.door.startDraining(clock.now() + 5_000);
-  const text = await testBed.exchange(GOOD);
+  const bed = await TestBed.start();
+  bed.door.startDraining(clock.now() + 5_000);
+  const text = await bed.exchange(GOOD);
   assert.match(text, /^HTTP\/1.1 200/);
   assert.match(text, /connection: close/i);
-  await testBed.stop();
+  await bed.stop();
 });
 
 test('a closed front door has no open requests', async () => {
-  const testBed = await TestBed.start();
+  const bed = await TestBed.start();
   const partial = head(['Content-Length: 1000']) + '\r\nx';
-  void testBed.exchange(partial);
-  while (testBed.door.openRequests === 0) {
+  void bed.exchange(partial);
+  while (bed.door.openRequests === 0) {
     await new Promise((resolve) => setImmediate(resolve));
   }
-  await testBed.door.close();
-  assert.is(testBed.door.openRequests, 0);
-  await testBed.stop();
+  await bed.door.close();
+  assert.is(bed.door.openRequests, 0);
+  await bed.stop();
 });
 
 test('a call that may outlast a stopping VM is refused as not run and reaches no target', async () => {
-  const testBed = await TestBed.start();
-  testBed.door.startDraining(clock.now() + 150);
-  const text = await testBed.exchange(GOOD);
+  const bed = await TestBed.start();
+  bed.door.startDraining(clock.now() + 150);
+  const text = await bed.exchange(GOOD);
   assert.match(text, /^HTTP\/1.1 503/);
   assert.match(text, /Retry-After: /i);
   assert.match(text, /connection: close/i);
-  assert.equal(testBed.arrived, []);
-  await testBed.stop();
+  assert.equal(bed.arrived, []);
+  await bed.stop();
 });
 
 test.run();
--- a/packages/http-front-door/src/http-front-door.ts
+++ b/packages/http-front-door/src/http-front-door.ts
@@ -30,7 +30,7 @@
 const BACKLOG = 511;
 /** Default limit on request bodies in memory. */
 const DEFAULT_MAX_BUFFERED_BODY_BYTES = 64 * 1024 * 1024;
-/** Expected duration of a stream. A draining VM refuses streams that would outlast it. */
+/** Expected duration of a stream. While draining, requests expected to exceed the deadline are refused. */
 const EXPECTED_STREAM_MS = 5_500;
 
 /** Options of `HttpFrontDoor`. */
