--- a/packages/decision-log/src/index.test.ts
+++ b/packages/decision-log/src/index.test.ts
@@ -4,7 +4,7 @@
 
 const clock = { now: () => 1234.4 };
 
-test('a line names time, VM, event and fields', async () => {
+test('a line contains time, VM, event and fields', async () => {
   let written = '';
   const output: LogOutput = (text, done) => {
     written += text;
@@ -26,14 +26,14 @@
   });
 });
 
-test('an output that takes nothing costs bounded memory, and the loss is told afterwards', async () => {
+test('a blocked output drops lines beyond the queue, and their number is logged afterwards', async () => {
   const written: string[] = [];
   let ready = (): void => undefined;
   const output: LogOutput = (text, done) => {
     written.push(text);
     ready = done;
   };
-  const log = createDecisionLog({ vm: 'vm-1', clock, output, maxQueued: 3 });
+  const log = createDecisionLog({ vm: 'vm-1', clock, output, maxQueuedLines: 3 });
   log.write('first');
   await new Promise((resolve) => setImmediate(resolve));
   for (let index = 0; index < 10; index += 1) {
--- a/packages/errors/src/kinds.ts
+++ b/packages/errors/src/kinds.ts
@@ -1,6 +1,6 @@
-/** The closed list of error kinds and the table from kind to answer. */
+/** The error kinds and the answer for each. */
 
-/** Every kind of error that a caller or operator can meet. */
+/** All kinds of errors that callers and operators may receive. */
 export const ERROR_KINDS = [
   'invalid-request',
   'too-large',
@@ -27,13 +27,13 @@
   'internal',
 ] as const;
 
-/** One of the closed list of error kinds. */
+/** A kind of error. */
 export type ErrorKind = (typeof ERROR_KINDS)[number];
 
-/** Whether a target executed the request behind an error. */
+/** Whether a target executed the failed request. */
 export type Execution = 'not-run' | 'unknown' | 'run';
 
-/** Names of the RPC codes that the table uses; they equal Connect's. */
+/** The Connect RPC codes used in answers. */
 export type RpcCode =
   | 'invalid_argument'
   | 'unauthenticated'
@@ -49,44 +49,44 @@
   | 'unknown'
   | 'internal';
 
-/** What a caller is told for a kind. */
-export interface Answer {
+/** The answer to a caller for an error kind. */
+export interface ErrorAnswer {
   rpcCode: RpcCode;
   execution: Execution;
-  /** True where sending the same request again may succeed and is safe. */
+  /** Whether a retry of the same request is safe and may succeed. */
   mayRetry: boolean;
-  /** Milliseconds to wait before a retry, unless the thrower knows better. */
+  /** Default delay before a retry; 0 if a retry is not allowed. */
   retryAfterMs: number;
 }
 
-/** The one table from kind to answer. */
-export const ANSWERS: Readonly<Record<ErrorKind, Answer>> = {
-  'invalid-request': answer('invalid_argument', 'not-run'),
-  'too-large': answer('invalid_argument', 'not-run'),
-  'headers-too-large': answer('invalid_argument', 'not-run'),
-  'too-slow': answer('deadline_exceeded', 'not-run'),
-  unauthenticated: answer('unauthenticated', 'not-run'),
-  'permission-denied': answer('permission_denied', 'not-run'),
-  'not-found': answer('not_found', 'not-run'),
-  conflict: answer('aborted', 'not-run'),
-  'rate-limited': answer('resource_exhausted', 'not-run', 1000),
-  overloaded: answer('resource_exhausted', 'not-run', 2000),
-  'deadline-unreachable': answer('deadline_exceeded', 'not-run'),
-  'deadline-passed': answer('deadline_exceeded', 'run'),
-  'no-target': answer('unavailable', 'not-run', 1000),
-  'version-not-live': answer('failed_precondition', 'not-run', 5000),
-  'recovery-exhausted': answer('data_loss', 'run', 1000),
-  'outcome-unknown': answer('unknown', 'unknown'),
-  quarantined: answer('unavailable', 'not-run', 600_000),
-  'call-expired': answer('failed_precondition', 'not-run'),
-  'store-unavailable': answer('unavailable', 'not-run', 2000),
-  'handle-invalid': answer('invalid_argument', 'not-run'),
-  cancelled: answer('canceled', 'unknown'),
-  'shutting-down': answer('unavailable', 'not-run', 100),
-  internal: answer('internal', 'unknown'),
+/** The default answer for each kind. */
+export const ERROR_ANSWERS: Readonly<Record<ErrorKind, ErrorAnswer>> = {
+  'invalid-request': createAnswer('invalid_argument', 'not-run'),
+  'too-large': createAnswer('invalid_argument', 'not-run'),
+  'headers-too-large': createAnswer('invalid_argument', 'not-run'),
+  'too-slow': createAnswer('deadline_exceeded', 'not-run'),
+  unauthenticated: createAnswer('unauthenticated', 'not-run'),
+  'permission-denied': createAnswer('permission_denied', 'not-run'),
+  'not-found': createAnswer('not_found', 'not-run'),
+  conflict: createAnswer('aborted', 'not-run'),
+  'rate-limited': createAnswer('resource_exhausted', 'not-run', 1000),
+  overloaded: createAnswer('resource_exhausted', 'not-run', 2000),
+  'deadline-unreachable': createAnswer('deadline_exceeded', 'not-run'),
+  'deadline-passed': createAnswer('deadline_exceeded', 'run'),
+  'no-target': createAnswer('unavailable', 'not-run', 1000),
+  'version-not-live': createAnswer('failed_precondition', 'not-run', 5000),
+  'recovery-exhausted': createAnswer('data_loss', 'run', 1000),
+  'outcome-unknown': createAnswer('unknown', 'unknown'),
+  quarantined: createAnswer('unavailable', 'not-run', 600_000),
+  'call-expired': createAnswer('failed_precondition', 'not-run'),
+  'store-unavailable': createAnswer('unavailable', 'not-run', 2000),
+  'handle-invalid': createAnswer('invalid_argument', 'not-run'),
+  cancelled: createAnswer('canceled', 'unknown'),
+  'shutting-down': createAnswer('unavailable', 'not-run', 100),
+  internal: createAnswer('internal', 'unknown'),
 };
 
-function answer(rpcCode: RpcCode, execution: Execution, retryAfterMs?: number): Answer {
+function createAnswer(rpcCode: RpcCode, execution: Execution, retryAfterMs?: number): ErrorAnswer {
   return {
     rpcCode,
     execution,
@@ -95,7 +95,7 @@
   };
 }
 
-/** HTTP status of each kind at the HTTP front door. */
+/** The HTTP status of each kind at the HTTP front door. */
 const HTTP_STATUS: Readonly<Record<ErrorKind, number>> = {
   'invalid-request': 400,
   'too-large': 413,
@@ -122,20 +122,20 @@
   internal: 502,
 };
 
-/** Statuses that callers take as a promise that the request has not run and never will. */
-const PROMISES_NOT_RUN: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Statuses that guarantee to callers that the request was not executed. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 const BAD_GATEWAY = 502;
 
 /**
- * HTTP status for a kind. A request that may have run never gets a status that
- * promises that it did not.
+ * Returns the HTTP status for a kind. A request that may have been executed never gets a
+ * status that guarantees the opposite.
  */
 export function toHttpStatus(kind: ErrorKind, execution: Execution): number {
   const status = HTTP_STATUS[kind];
-  return execution !== 'not-run' && PROMISES_NOT_RUN.has(status) ? BAD_GATEWAY : status;
+  return execution !== 'not-run' && NOT_RUN_STATUSES.has(status) ? BAD_GATEWAY : status;
 }
 
-/** Says whether a text names a kind of the closed list. */
+/** Whether a text is an error kind. */
 export function isErrorKind(text: string): text is ErrorKind {
   return (ERROR_KINDS as readonly string[]).includes(text);
 }
--- a/packages/forward-request/src/stream-attempt-tracker.ts
+++ b/packages/forward-request/src/stream-attempt-tracker.ts
@@ -1,5 +1,5 @@
 /** Tracks the attempts of one streamed request and decides whether another one is allowed. */
-import { LimeleadError, type AnswerOverrides } from '@limelead/errors';
+import { LimeleadError, type ErrorAnswerOverrides } from '@limelead/errors';
 import type { LossCause } from '@limelead/track-service-targets';
 import type { AdmittedRequest } from './admitted-request.js';
 import type { ForwardContext } from './context.js';
@@ -88,7 +88,7 @@
   createError(
     kind: LimeleadError['kind'],
     message: string,
-    overrides: AnswerOverrides = {},
+    overrides: ErrorAnswerOverrides = {},
   ): LimeleadError {
     const execution = this.mayHaveRun ? ('unknown' as const) : undefined;
     return new LimeleadError(kind, message, { ...overrides, execution });
--- a/packages/gateway/src/capacity.test.ts
+++ b/packages/gateway/src/capacity-component.test.ts
@@ -6,8 +6,8 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import createCapacity from './capacity.js';
-import type { FleetPartContext } from './fleet-part.js';
+import createCapacityComponent from './capacity-component.js';
+import type { FleetComponentContext } from './fleet-component.js';
 
 const SCALING = { min: 1, max: 9, bootMs: 4_000, domainPrices: {} };
 const TARGET = { id: 't', service: 's' } as ServiceTarget;
@@ -23,12 +23,12 @@
     log: { write: () => undefined },
     metrics: createMetrics(),
     directory: { all: () => [] },
-    knowledge: {
+    storeView: {
       routes: { listServices: () => services, findService: () => services[0] },
     },
     readExchange: () => ({ reportToCandidates: (report: unknown) => void reports.push(report) }),
-  } as unknown as FleetPartContext;
-  const part = createCapacity(context, {
+  } as unknown as FleetComponentContext;
+  const part = createCapacityComponent(context, {
     duties: { callsPerSecond: 9 } as never,
     duty: { holder: 'vm1', permit: () => undefined, markTokenOutdated: () => undefined },
     dutyPlatform: {
@@ -45,7 +45,7 @@
   request: { promptTokens: 800, lastPiece: 0 },
 } as AdmittedRequest;
 
-test('a VM tells what its callers ask of a service whose targets are ordered', async () => {
+test('a VM reports the demand for a service with scaling', async () => {
   const { part, time, reports } = createPart({ scaling: SCALING });
   part.observer?.onAdmitted?.(ADMITTED);
   await time.advance(1_000);
@@ -64,7 +64,7 @@
   ]);
 });
 
-test('where nobody orders targets nothing is counted or told', async () => {
+test('without scaling nothing is counted or reported', async () => {
   const { part, time, reports } = createPart({});
   part.observer?.onAdmitted?.(ADMITTED);
   part.observer?.onFinished?.(ADMITTED);
--- a/packages/gateway/src/duty-part.ts
+++ b/packages/gateway/src/duty-component.ts
@@ -1,38 +1,33 @@
-/** The part that stands for the duties of one VM at a time, and holds them where it can. */
+/** Makes this VM a candidate for duties that one VM at a time holds, and holds them when it can. */
 import { ConditionalStoreLease, DutyElector, LeasedDuty, type Duty } from '@limelead/hold-duty';
 import { systemClock } from '@limelead/types';
 import { randomUUID } from 'node:crypto';
-import type { FleetPart, FleetPartContext } from './fleet-part.js';
+import type { FleetComponent, FleetComponentContext } from './fleet-component.js';
 import formatAddress from './format-address.js';
-import { DUTY_KEY } from './own-keys.js';
+import { DUTY_KEY } from './store-keys.js';
 import type { DutySettings } from './settings.js';
 
 /**
- * Time from the start until a VM stands, in milliseconds. By then it was named all
- * others; before, each VM of a fleet that starts would think itself the only candidate.
- */
-const STAND_AFTER_MS = 2_500;
-/**
- * Part of a lease that is left unused, in milliseconds. Clocks run alike to a thousandth, 3 ms
- * of a lease; the rest is for a busy process, whose call leaves some time behind the check.
+ * Time after the start before a VM becomes a candidate. Until it has learned of its
+ * peers, every VM of a starting fleet would see itself as the only candidate.
  */
+const CANDIDACY_DELAY_MS = 2_500;
+/** Unused end of a lease; covers clock drift and the delay between the lease check and the call. */
 const LEASE_MARGIN_MS = 200;
 
-/** A part, and the duty that it holds or does not. */
-export interface DutyPart extends FleetPart {
+/** A component with a duty that this VM may hold. */
+export interface DutyComponent extends FleetComponent {
   duty: Duty;
-  /** This VM can't carry the duty out; it gives it up where others stand. */
-  stepAside(): void;
+  /** Releases the duty if this VM can't perform it and a linked peer is a candidate. */
+  yieldDuty(): void;
 }
 
-/**
- * Creates the part. One lease covers all duties of a key, so that one VM does all of them.
- */
-export default function createDutyPart(
-  context: FleetPartContext,
+/** Creates the component. One lease covers all duties of a key, so one VM holds them all. */
+export default function createDutyComponent(
+  context: FleetComponentContext,
   { leaseMs, key = DUTY_KEY }: Pick<DutySettings, 'leaseMs'> & { key?: string },
-): DutyPart {
-  const { settings, platform, clock, timers, random, log, metrics, knowledge } = context;
+): DutyComponent {
+  const { settings, platform, clock, timers, random, log, metrics, storeView } = context;
   const startedAtMs = clock.now();
   const duty = new LeasedDuty({
     holder: settings.vm,
@@ -53,16 +48,16 @@
       log.write('time-lost', { lostMs: Math.round(lostMs) });
     },
   });
-  const readPlace = (): number | undefined => {
+  const readCandidateIndex = (): number | undefined => {
     const candidates = context.readExchange()?.dutyCandidates;
-    if (clock.now() - startedAtMs < STAND_AFTER_MS) {
+    if (clock.now() - startedAtMs < CANDIDACY_DELAY_MS) {
       return undefined;
     }
     if (candidates === undefined || settings.peers === undefined) {
       return 0;
     }
-    const place = candidates.indexOf(formatAddress(settings.peers));
-    return place < 0 ? undefined : place;
+    const index = candidates.indexOf(formatAddress(settings.peers));
+    return index < 0 ? undefined : index;
   };
   const seat = new ConditionalStoreLease({
     store: platform.storeItems,
@@ -79,16 +74,16 @@
     timers,
     random,
     ttlMs: leaseMs,
-    readCandidateRank: readPlace,
+    readCandidateRank: readCandidateIndex,
     readIsolatedSinceMs: () => context.readExchange()?.cutOffSinceMs,
-    isHeldInStore: () => (knowledge.revision > 0 ? knowledge.has(key) : undefined),
+    isHeldInStore: () => (storeView.revision > 0 ? storeView.has(key) : undefined),
     onFault: (step, { reason, sent, message }) =>
       log.write('duty-call-failed', { step, reason, sent, message }),
   });
   metrics.gauge('limelead_duty_held', () => (duty.sentAtMs === undefined ? 0 : 1));
   return {
     duty,
-    stepAside() {
+    yieldDuty() {
       const others = context.readExchange()?.linkedCandidates ?? [];
       if (others.length > 0) {
         log.write('duty-left-to-others', { candidates: others.map(({ peer }) => peer) });
--- /dev/null
+++ b/packages/gateway/src/store-keys.ts
@@ -0,0 +1,15 @@
+/** Keys in the platform's store that limelead itself writes. */
+
+/** Lease of the duties that one VM at a time may hold. */
+export const DUTY_KEY = 'limelead/duties';
+/** Lease of the roll-out duty, used if the platform configures no duties. */
+export const ROLL_OUT_DUTY_KEY = 'limelead/roll-out-duty';
+/** The last settled usage. */
+export const USAGE_KEY = 'limelead/usage';
+/** Prefix of the keys of quarantined requests; the request's identity follows. */
+export const QUARANTINE_KEY_PREFIX = 'limelead/quarantine/';
+
+/** Returns the key of a quarantined request. */
+export function quarantineKeyOf(identity: string): string {
+  return `${QUARANTINE_KEY_PREFIX}${identity}`;
+}
--- a/packages/gateway/src/usage-part.ts
+++ b/packages/gateway/src/usage-component.ts
@@ -1,4 +1,4 @@
-/** The part that counts usage, tells it to those that stand for the duties, and reports it. */
+/** Counts usage, sends it to the duty candidates, and reports it to the platform as duty holder. */
 import { TimeEstimator } from '@limelead/estimate-time';
 import {
   UsageTable,
@@ -14,41 +14,38 @@
 import type { DutyPlatform } from '@limelead/ports';
 import type { EvidenceExchange, PeerId } from '@limelead/share-evidence';
 import { randomUUID } from 'node:crypto';
-import type { DutyPart } from './duty-part.js';
-import type { FleetPart, FleetPartContext } from './fleet-part.js';
-import { DUTY_KEY, USAGE_KEY } from './own-keys.js';
+import type { DutyComponent } from './duty-component.js';
+import type { FleetComponent, FleetComponentContext } from './fleet-component.js';
+import { DUTY_KEY, USAGE_KEY } from './store-keys.js';
 import type { DutySettings } from './settings.js';
 
+/** Interval at which counts are sent and reported; a crashed VM loses at most the counts of one. */
+const REPORT_INTERVAL_MS = 300;
 /**
- * Time between two looks at what is to be told or reported, in milliseconds. A VM that loses
- * power takes so much of its counts with it at most.
+ * Interval at which the time of day is sent to peers. A VM with a wrong clock counts into wrong
+ * windows until it receives theirs.
  */
-const LOOK_EVERY_MS = 300;
+const TIME_OF_DAY_INTERVAL_MS = 2_000;
 /**
- * Time between two words on the time of day, in milliseconds. A VM that starts with a wrong
- * clock counts into wrong windows until it heard others.
+ * Longest delay between the end of a window and its settlement. Within it all counts arrive,
+ * also those of VMs that were isolated for a short time.
  */
-const TIME_EVERY_MS = 2_000;
-/**
- * Time from the end of a window until its counts are settled, in milliseconds: what VMs tell
- * has come, and those that were cut off for a moment are back.
- */
-const SETTLE_AFTER_MS = 2_500;
-/** Part of the time until usage is due that may go into waiting; the rest is for what fails. */
-const SETTLE_SHARE = 0.3;
+const MAX_SETTLE_DELAY_MS = 2_500;
+/** Fraction of the reporting deadline that may pass before settlement; the rest is for retries. */
+const SETTLE_DELAY_FRACTION = 0.3;
 
-/** What the part needs beside the context. */
-export interface UsagePartOptions {
+/** What the component needs besides its context. */
+export interface UsageComponentOptions {
   duties: DutySettings;
-  dutyPart: DutyPart;
+  dutyComponent: DutyComponent;
   dutyPlatform: DutyPlatform;
 }
 
-/** Creates the part. */
-export default function createUsagePart(
-  context: FleetPartContext,
-  { duties, dutyPart, dutyPlatform }: UsagePartOptions,
-): FleetPart {
+/** Creates the component that counts and reports usage. */
+export default function createUsageComponent(
+  context: FleetComponentContext,
+  { duties, dutyComponent, dutyPlatform }: UsageComponentOptions,
+): FleetComponent {
   const { clock, timers, platform, readExchange } = context;
   const { usageWindowMs: windowMs, usageDueMs } = duties;
   const incarnation = randomUUID();
@@ -60,51 +57,51 @@
     onCounted: (window, organisation) => teller.recordChange(window, organisation),
   });
   const teller = new UsagePublisher(counter);
-  const book = new UsageTable({ trueTime, windowMs });
+  const usageTable = new UsageTable({ trueTime, windowMs });
   const reporter = new UsageReporter({
-    duty: dutyPart.duty,
+    duty: dutyComponent.duty,
     platform: dutyPlatform,
     record: new UsageRecord(platform.storeItems, USAGE_KEY, DUTY_KEY),
     clock,
     trueTime,
     windowMs,
-    settleAfterMs: Math.min(SETTLE_AFTER_MS, usageDueMs * SETTLE_SHARE),
+    settleAfterMs: Math.min(MAX_SETTLE_DELAY_MS, usageDueMs * SETTLE_DELAY_FRACTION),
     sum(window) {
-      book.recordCounts(incarnation, counter.listWindows(), readOwnFirst());
-      return book.sum(window);
+      usageTable.recordCounts(incarnation, counter.listWindows(), firstOwnWindow());
+      return usageTable.sum(window);
     },
     isIsolated: (heldSinceMs) => heldSinceMs < (readExchange()?.cutOffSinceMs ?? -Infinity),
     readCountedFrom() {
-      return Math.min(readOwnFirst(), book.countedFrom ?? Infinity);
+      return Math.min(firstOwnWindow(), usageTable.countedFrom ?? Infinity);
     },
-    onPlatformUnreachable: () => dutyPart.stepAside(),
-    events: createEvents(context, (window) => book.countReportingVms(window)),
+    onPlatformUnreachable: () => dutyComponent.yieldDuty(),
+    events: createEvents(context, (window) => usageTable.countReportingVms(window)),
   });
 
-  function readOwnFirst(): number {
+  function firstOwnWindow(): number {
     const ageMs = clock.now() - startedAtMs;
     return Math.floor((trueTime.now() - ageMs) / windowMs) + 1;
   }
 
-  function tell(): void {
+  function sendUsage(): void {
     const exchange = readExchange();
-    const countedFrom = readOwnFirst();
+    const countedFrom = firstOwnWindow();
     teller.publish(
-      listListeners(exchange, (peer, windows) =>
+      listReceivers(exchange, (peer, windows) =>
         exchange?.reportTo(peer, { kind: 'usage', incarnation, countedFrom, windows }),
       ),
     );
   }
 
-  function look(): void {
-    tell();
+  function runRound(): void {
+    sendUsage();
     void reporter.reportDue();
-    timers.after(LOOK_EVERY_MS, look);
+    timers.after(REPORT_INTERVAL_MS, runRound);
   }
 
-  function tellTime(): void {
+  function sendTimeOfDay(): void {
     readExchange()?.reportToPeers({ kind: 'time-of-day', incarnation, timeMs: trueTime.ownTimeMs });
-    timers.after(TIME_EVERY_MS, tellTime);
+    timers.after(TIME_OF_DAY_INTERVAL_MS, sendTimeOfDay);
   }
 
   return {
@@ -117,37 +114,37 @@
     },
     onReport(peer, report) {
       if (report.kind === 'usage') {
-        book.recordCounts(report.incarnation, report.windows, report.countedFrom);
+        usageTable.recordCounts(report.incarnation, report.windows, report.countedFrom);
       } else if (report.kind === 'time-of-day') {
         trueTime.recordPeerTime(peer, report.incarnation, report.timeMs);
       }
     },
     start() {
-      look();
-      timers.after(LOOK_EVERY_MS, tellTime);
+      runRound();
+      timers.after(REPORT_INTERVAL_MS, sendTimeOfDay);
     },
     handOver() {
-      tell();
+      sendUsage();
       return Promise.resolve();
     },
-    // What was counted since the last look would go with the process.
-    leave: tell,
+    // Counts since the last round would be lost with the process.
+    onDrained: sendUsage,
   };
 }
 
-/** Those that stand for the duties, each with the link to it. */
-function listListeners(
+/** The linked duty candidates as receivers of usage. */
+function listReceivers(
   exchange: EvidenceExchange | undefined,
-  tell: (peer: PeerId, windows: WindowCounts[]) => void,
+  send: (peer: PeerId, windows: WindowCounts[]) => void,
 ): UsageSubscriber[] {
   return (exchange?.linkedCandidates ?? []).map(({ peer, linkedAtMs }) => ({
     link: `${peer} ${linkedAtMs}`,
-    tell: (windows) => tell(peer, windows),
+    tell: (windows) => send(peer, windows),
   }));
 }
 
 function createEvents(
-  { log, metrics }: FleetPartContext,
+  { log, metrics }: FleetComponentContext,
   countTellers: (window: number) => number,
 ): UsageEvents {
   const countWindows = (outcome: string, windows = 1): void =>
--- a/packages/http-front-door/src/http-front-door.ts
+++ b/packages/http-front-door/src/http-front-door.ts
@@ -1,5 +1,5 @@
-/** The HTTP server that callers meet, and the filters that each request passes. */
-import { createLineLimit, type LimitedLines, type LogFields } from '@limelead/decision-log';
+/** The HTTP server for callers and the checks that each request passes before it is forwarded. */
+import { createRateLimitedLog, type RateLimitedLog, type LogFields } from '@limelead/decision-log';
 import { describeThrown, LimeleadError, toLimeleadError } from '@limelead/errors';
 import {
   forwardCall,
@@ -13,68 +13,70 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import checkHead from './check-head.js';
-import describeMalformed, { readBrokenHead, type ParserError } from './describe-malformed.js';
-import HeldArrivals, { shareOf } from './held-arrivals.js';
-import { readRequestId, type IngressDialect, type IngressFacts } from './ingress-dialect.js';
-import readTarget, { type RequestTarget } from './request-target.js';
+import createMalformedAnswer, {
+  parseMalformedHead,
+  type ParserError,
+} from './malformed-request.js';
+import HeldRequests, { computeHoldMs } from './held-requests.js';
+import { readRequestId, type IngressDialect, type IngressHeaders } from './ingress-dialect.js';
+import parseRequestTarget, { type RequestTarget } from './request-target.js';
 import readBody, { BodyBudget } from './read-body.js';
 import ResponseSink from './response-sink.js';
 
-/** Largest head that the parser takes; the configured limit is checked behind it. */
+/** Largest head that the parser accepts; the configured limit is checked afterwards. */
 const PARSER_MAX_HEADER_BYTES = 64 * 1024;
 const CHECK_INTERVAL_MS = 500;
-/** Waiting connections that the system keeps for this process. */
+/** Length of the listen queue. */
 const BACKLOG = 511;
-/** Bytes of bodies that one VM holds at once, unless its owner says otherwise. */
-const DEFAULT_MAX_HELD_BYTES = 64 * 1024 * 1024;
-/**
- * Time that a stream likely takes; with less left before a stop it is refused. A
- * call that may be held for less is refused later.
- */
-const STREAM_TIME_MS = 5_500;
+/** Default limit on request bodies in memory. */
+const DEFAULT_MAX_BUFFERED_BODY_BYTES = 64 * 1024 * 1024;
+/** Expected duration of a stream. While draining, requests expected to exceed the deadline are refused. */
+const EXPECTED_STREAM_MS = 5_500;
 
-/** What the front door needs. */
+/** Options of `HttpFrontDoor`. */
 export interface HttpFrontDoorOptions {
   host: string;
   port: number;
   context: ForwardContext;
   dialect: IngressDialect;
-  /** Bytes of bodies that this VM holds at once. */
-  maxHeldBytes?: number;
+  /** Limit on request bodies in memory. */
+  maxBufferedBodyBytes?: number;
 }
 
-/** A request before the filters. */
-interface Arrival {
+/** A request that is not checked yet. */
+interface PendingRequest {
   message: IncomingMessage;
   response: ServerResponse;
   sink: ResponseSink;
   receivedAtMs: Millis;
 }
 
-/** A request in the middle of the filters, with the configuration that it passes them by. */
-interface RoutedArrival extends Arrival {
+/** A request with its parsed target and the configuration that it is checked against. */
+interface ParsedRequest extends PendingRequest {
   table: RouteTable;
   target: RequestTarget;
 }
 
-/** Serves callers. */
+/** Accepts callers' requests, checks them and forwards them to targets. */
 export default class HttpFrontDoor {
   private readonly server: Server;
   private isStopping = false;
-  /** Steady time by which everything has to be finished once this VM is stopping. */
-  private finishByMs: Millis = Infinity;
-  private open = 0;
-  /** Called when no request is under way any more. */
+  /** Time by which all requests must finish once this VM drains. */
+  private drainDeadlineMs: Millis = Infinity;
+  private openRequestCount = 0;
+  /** Called when the last open request ends. */
   private onIdle: () => void = () => undefined;
-  private readonly bodies: BodyBudget;
-  private readonly held: HeldArrivals;
-  private readonly noteMalformed: LimitedLines;
+  private readonly bodyBudget: BodyBudget;
+  private readonly heldRequests: HeldRequests;
+  private readonly logMalformed: RateLimitedLog;
 
   constructor(private readonly options: HttpFrontDoorOptions) {
     const { log, clock } = options.context;
-    this.noteMalformed = createLineLimit(log, clock, 'request-malformed');
-    this.held = new HeldArrivals(options.context.timers);
-    this.bodies = new BodyBudget(options.maxHeldBytes ?? DEFAULT_MAX_HELD_BYTES);
+    this.logMalformed = createRateLimitedLog(log, clock, 'request-malformed');
+    this.heldRequests = new HeldRequests(options.context.timers);
+    this.bodyBudget = new BodyBudget(
+      options.maxBufferedBodyBytes ?? DEFAULT_MAX_BUFFERED_BODY_BYTES,
+    );
     this.server = createServer(
       {
         maxHeaderSize: PARSER_MAX_HEADER_BYTES,
@@ -84,7 +86,7 @@
       },
       (message, response) => this.onRequest(message, response),
     );
-    // The runtime would answer 417 by itself, without a line; what is expected is the body's matter.
+    // Without a listener Node answers an unknown `Expect` header with 417 and logs nothing.
     this.server.on('checkExpectation', (message: IncomingMessage, response: ServerResponse) =>
       this.onRequest(message, response),
     );
@@ -93,22 +95,22 @@
     );
   }
 
-  /** The port that it listens on. */
+  /** The port that the server listens on. */
   get port(): number {
     return (this.server.address() as AddressInfo).port;
   }
 
-  /** Requests under way. */
-  get underWay(): number {
-    return this.open;
+  /** Number of requests in progress. */
+  get openRequests(): number {
+    return this.openRequestCount;
   }
 
-  /** Bytes of bodies held now. */
-  get heldBodyBytes(): number {
-    return this.bodies.heldBytes;
+  /** Bytes of request bodies in memory. */
+  get bufferedBodyBytes(): number {
+    return this.bodyBudget.reservedBytes;
   }
 
-  /** Begins to take connections. */
+  /** Starts to accept connections. */
   listen(): Promise<void> {
     const { host, port } = this.options;
     return new Promise((resolve, reject) => {
@@ -117,57 +119,57 @@
     });
   }
 
-  /** Takes over the limits of a new configuration. */
+  /** Applies the limits of a new configuration. */
   applyLimits(limits: CallerLimits): void {
     this.server.headersTimeout = limits.headerTimeoutMs;
     this.server.keepAliveTimeout = limits.idleTimeoutMs;
   }
 
-  /** A configuration may be known now: requests that waited for one go on. */
-  noteKnowledge(): void {
-    if (this.held.size > 0 && this.options.context.readRouteTable() !== undefined) {
-      this.held.releaseAll();
+  /** Continues held requests once a configuration is known. */
+  onStoreViewChange(): void {
+    if (this.heldRequests.size > 0 && this.options.context.readRouteTable() !== undefined) {
+      this.heldRequests.releaseAll();
     }
   }
 
   /**
-   * From now on each answer ends its connection, and streams that would likely
-   * not be whole by the given time are refused.
+   * Starts to drain: each answer closes its connection, and requests that are expected to
+   * outlast the deadline are refused.
    */
-  beginStop(finishByMs: Millis): void {
+  startDraining(drainDeadlineMs: Millis): void {
     this.isStopping = true;
-    this.finishByMs = finishByMs;
-    this.held.releaseAll();
+    this.drainDeadlineMs = drainDeadlineMs;
+    this.heldRequests.releaseAll();
   }
 
-  /** Ends everything; resolves when every request knows that its caller is gone. */
+  /** Closes all connections; resolves when all requests have ended. */
   close(): Promise<void> {
     const ended = new Promise<void>((resolve) => (this.onIdle = resolve));
     this.server.close();
     this.server.closeAllConnections();
-    return this.open === 0 ? Promise.resolve() : ended;
+    return this.openRequestCount === 0 ? Promise.resolve() : ended;
   }
 
   private onRequest(message: IncomingMessage, response: ServerResponse): void {
     const { context } = this.options;
-    this.open += 1;
-    response.once('close', () => this.onEnded());
+    this.openRequestCount += 1;
+    response.once('close', () => this.onResponseClosed());
     const sink = new ResponseSink(message, response, {
       isStopping: () => this.isStopping,
-      onRefused: (error, status) => this.noteRefusal(message, error, status),
+      onRefused: (error, status) => this.recordRefusal(message, error, status),
     });
-    const arrival: Arrival = { message, response, sink, receivedAtMs: context.clock.now() };
-    this.guard(arrival, () => {
+    const pending: PendingRequest = { message, response, sink, receivedAtMs: context.clock.now() };
+    this.runGuarded(pending, () => {
       if (context.readRouteTable() === undefined && !this.isStopping) {
-        this.hold(arrival);
+        this.hold(pending);
       } else {
-        this.route(arrival);
+        this.route(pending);
       }
     });
   }
 
-  /** A fault of this program ends the request that met it, not the others. */
-  private guard({ sink }: Arrival, run: () => void): void {
+  /** Runs a step of a request; an unexpected exception fails this request only. */
+  private runGuarded({ sink }: PendingRequest, run: () => void): void {
     const { log, metrics } = this.options.context;
     try {
       run();
@@ -178,81 +180,81 @@
     }
   }
 
-  private onEnded(): void {
-    this.open -= 1;
-    if (this.open === 0) {
+  private onResponseClosed(): void {
+    this.openRequestCount -= 1;
+    if (this.openRequestCount === 0) {
       this.onIdle();
     }
   }
 
-  private hold(arrival: Arrival): void {
-    const forget = this.held.hold(this.readWaitMs(arrival), () => {
-      this.noteHeld(arrival);
-      this.guard(arrival, () => this.route(arrival));
+  private hold(pending: PendingRequest): void {
+    const cancelHold = this.heldRequests.hold(this.readTimeoutMs(pending), () => {
+      this.logHeld(pending);
+      this.runGuarded(pending, () => this.route(pending));
     });
-    arrival.response.once('close', forget);
+    pending.response.once('close', cancelHold);
   }
 
-  private route(arrival: Arrival): void {
+  private route(pending: PendingRequest): void {
     const { clock, readRouteTable } = this.options.context;
     const table = readRouteTable();
     if (table !== undefined) {
-      this.filter({ ...arrival, table, target: readTarget(arrival.message) });
+      this.checkRequest({ ...pending, table, target: parseRequestTarget(pending.message) });
       return;
     }
-    const heldMs = clock.now() - arrival.receivedAtMs;
-    const waitMs = this.readWaitMs(arrival);
-    arrival.sink.refuse(
-      new LimeleadError('store-unavailable', 'no configuration is known yet', {
-        retryAfterMs: Math.ceil(shareOf(waitMs && Math.max(0, waitMs - heldMs))),
+    const heldMs = clock.now() - pending.receivedAtMs;
+    const timeoutMs = this.readTimeoutMs(pending);
+    pending.sink.refuse(
+      new LimeleadError('store-unavailable', 'no configuration has been loaded yet', {
+        retryAfterMs: Math.ceil(computeHoldMs(timeoutMs && Math.max(0, timeoutMs - heldMs))),
       }),
     );
   }
 
-  /** Milliseconds that the caller waits, where its head can be read and says so. */
-  private readWaitMs({ message }: Arrival): Millis | undefined {
-    const facts = this.options.dialect.readFacts(message.rawHeaders);
-    return E.isRight(facts) ? facts.right.waitMs : undefined;
+  /** The caller's timeout, if its headers are valid and contain one. */
+  private readTimeoutMs({ message }: PendingRequest): Millis | undefined {
+    const headers = this.options.dialect.parseHeaders(message.rawHeaders);
+    return E.isRight(headers) ? headers.right.timeoutMs : undefined;
   }
 
-  private filter(arrival: RoutedArrival): void {
-    const { target, sink, table } = arrival;
+  private checkRequest(pending: ParsedRequest): void {
+    const { target, sink, table } = pending;
     const fault = checkHead(target, table.limits);
     if (fault !== undefined) {
       sink.refuse(fault);
       return;
     }
-    const facts = this.options.dialect.readFacts(target.rawHeaders);
-    if (E.isLeft(facts)) {
-      sink.refuse(facts.left);
+    const headers = this.options.dialect.parseHeaders(target.rawHeaders);
+    if (E.isLeft(headers)) {
+      sink.refuse(headers.left);
       return;
     }
     const route = table.findRoute(target.host, target.path);
     if (route === undefined) {
-      sink.refuse(new LimeleadError('not-found', 'no route takes this host and path'));
+      sink.refuse(new LimeleadError('not-found', 'no route matches this host and path'));
       return;
     }
-    this.authenticate(arrival, facts.right, route);
+    this.authenticate(pending, headers.right, route);
   }
 
-  private authenticate(arrival: RoutedArrival, facts: IngressFacts, route: ServingRoute): void {
-    const authentication = arrival.table.authenticate(route, facts.key);
+  private authenticate(pending: ParsedRequest, headers: IngressHeaders, route: ServingRoute): void {
+    const authentication = pending.table.authenticate(route, headers.key);
     if (authentication.kind === 'unknown-key') {
-      arrival.sink.refuse(new LimeleadError('unauthenticated', 'the key is not known'));
+      pending.sink.refuse(new LimeleadError('unauthenticated', 'unknown API key'));
       return;
     }
     const caller = authentication.kind === 'known' ? authentication.caller : undefined;
-    const { limits } = arrival.table;
-    const giveBack = readBody(
-      arrival.message,
-      { maxBytes: limits.maxBodyBytes, pauseMs: limits.idleTimeoutMs },
-      this.bodies,
+    const { limits } = pending.table;
+    const releaseBody = readBody(
+      pending.message,
+      { maxBytes: limits.maxBodyBytes, idleTimeoutMs: limits.idleTimeoutMs },
+      this.bodyBudget,
       this.options.context.timers,
       {
-        onRefused: (error) => arrival.sink.refuse(error),
+        onRefused: (error) => pending.sink.refuse(error),
         onBody: (body) =>
-          this.guard(arrival, () =>
-            this.admit(arrival, facts, route, {
+          this.runGuarded(pending, () =>
+            this.admit(pending, headers, route, {
               body,
               organisation: caller?.organisation,
               rank: caller?.rank ?? route.rank,
@@ -260,36 +262,38 @@
           ),
       },
     );
-    arrival.response.once('close', giveBack);
+    pending.response.once('close', releaseBody);
   }
 
   private admit(
-    { message, target, sink, receivedAtMs }: RoutedArrival,
-    facts: IngressFacts,
+    { message, target, sink, receivedAtMs }: ParsedRequest,
+    headers: IngressHeaders,
     route: ServingRoute,
     admission: { body: Buffer; organisation?: string; rank: number },
   ): void {
-    if (this.finishByMs - receivedAtMs < timeToAnswer(route)) {
-      sink.refuse(new LimeleadError('shutting-down', 'this VM stops before the answer is whole'));
+    if (this.drainDeadlineMs - receivedAtMs < estimateAnswerMs(route)) {
+      sink.refuse(
+        new LimeleadError('shutting-down', 'this VM stops before the answer can be completed'),
+      );
       return;
     }
-    const service = chooseShare(route, facts.requestId);
+    const service = chooseShare(route, headers.requestId);
     if (service === undefined) {
       sink.refuse(new LimeleadError('no-target', 'the route has no service'));
       return;
     }
-    const deadlineAtMs = receivedAtMs + (facts.waitMs ?? route.timeoutMs);
+    const deadlineAtMs = receivedAtMs + (headers.timeoutMs ?? route.timeoutMs);
     const admitted: AdmittedRequest = {
       request: {
-        requestId: facts.requestId,
+        requestId: headers.requestId,
         method: message.method ?? 'GET',
         path: target.path,
         rawHeaders: target.rawHeaders,
         body: admission.body,
         deadlineAtMs,
-        lastPiece: facts.lastPiece,
-        affinityKey: facts.affinityKey === '' ? facts.requestId : facts.affinityKey,
-        promptTokens: facts.promptTokens,
+        lastPiece: headers.lastPiece,
+        affinityKey: headers.affinityKey === '' ? headers.requestId : headers.affinityKey,
+        promptTokens: headers.promptTokens,
       },
       route,
       service,
@@ -302,7 +306,7 @@
     forward(this.options.context, admitted, sink);
   }
 
-  private noteHeld({ message, receivedAtMs }: Arrival): void {
+  private logHeld({ message, receivedAtMs }: PendingRequest): void {
     const { clock, log, metrics, readRouteTable } = this.options.context;
     const heldMs = Math.round(clock.now() - receivedAtMs);
     metrics.recordMs('limelead_held_for_configuration_ms', heldMs);
@@ -313,7 +317,7 @@
     });
   }
 
-  private noteRefusal(message: IncomingMessage, error: LimeleadError, status: number): void {
+  private recordRefusal(message: IncomingMessage, error: LimeleadError, status: number): void {
     const { log, metrics } = this.options.context;
     metrics.count('limelead_refused_total', 1, { kind: error.kind });
     log.write('request-refused', {
@@ -321,12 +325,12 @@
       kind: error.kind,
       status,
       reason: error.message,
-      ...this.describeKnowledge(),
+      ...this.describeConfiguration(),
     });
   }
 
-  /** What decides now: which configuration, who told it, and how old knowledge is. */
-  private describeKnowledge(): LogFields {
+  /** Log fields of the configuration in force: version, source and age of the store view. */
+  private describeConfiguration(): LogFields {
     const { readRouteTable, readConfigurationSource, readKnowledgeAgeMs } = this.options.context;
     return {
       configuration: readRouteTable()?.version,
@@ -335,17 +339,17 @@
     };
   }
 
-  /** Bytes that are no request, too much of a head, or one that comes too slowly. */
+  /** Answers bytes that are not a valid request, a head that is too large, or one that arrives too slowly. */
   private onMalformed(error: ParserError, socket: Socket): void {
-    const { status, text } = describeMalformed(error.code);
+    const { status, text } = createMalformedAnswer(error.code);
     this.options.context.metrics.count('limelead_malformed_total', 1, { status: String(status) });
-    const { firstLine, rawHeaders } = readBrokenHead(error.rawPacket);
-    this.noteMalformed({
+    const { firstLine, rawHeaders } = parseMalformedHead(error.rawPacket);
+    this.logMalformed({
       requestId: readRequestId(this.options.dialect, rawHeaders),
       status,
       reason: error.code,
       firstLine,
-      ...this.describeKnowledge(),
+      ...this.describeConfiguration(),
     });
     if (socket.writable && error.code !== 'ECONNRESET') {
       socket.end(`HTTP/1.1 ${status} ${text}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
@@ -355,7 +359,7 @@
   }
 }
 
-/** Time in which an answer on that route is whole, or its final answer is given, in milliseconds. */
-function timeToAnswer({ streaming, timeoutMs }: ServingRoute): Millis {
-  return streaming ? STREAM_TIME_MS : Math.min(timeoutMs, STREAM_TIME_MS);
+/** Expected time until an answer on that route is complete. */
+function estimateAnswerMs({ streaming, timeoutMs }: ServingRoute): Millis {
+  return streaming ? EXPECTED_STREAM_MS : Math.min(timeoutMs, EXPECTED_STREAM_MS);
 }
--- a/packages/measure/src/capacity/measure-slopes.ts
+++ b/packages/measure/src/capacity/measure-slopes.ts
@@ -1,10 +1,14 @@
 /** Measures the slopes of docs/CAPACITY.md, one after another in this process. */
 import chooseTarget from '@limelead/choose-target';
-import { applyChanges, fromResources, type Configuration } from '@limelead/configuration-state';
+import {
+  applyChanges,
+  buildConfiguration,
+  type Configuration,
+} from '@limelead/configuration-state';
 import { hashKey } from '@limelead/demo';
 import { decodeMessage, encodeMessage, type PeerMessage } from '@limelead/peer-links';
 import createHandleSigner from '@limelead/resume-handle';
-import { splitIntoChunks } from '@limelead/store-configuration';
+import { splitIntoParts } from '@limelead/store-configuration';
 import { createMemberTable } from '@limelead/track-members';
 import { createTargetTable } from '@limelead/track-targets';
 import type { Change, ListedVm, LoadReport, VersionedResource } from '@limelead/types';
@@ -43,11 +47,11 @@
     const before = usedKb();
     const configuration = createConfiguration(count);
     held.push([count, usedKb() - before]);
-    const parts = splitIntoChunks(configuration);
+    const parts = splitIntoParts(configuration);
     encoded.push([count, sum(parts.map((part) => JSON.stringify(part).length)) / KB]);
     snapshotMs.push([
       count,
-      timeMs(() => splitIntoChunks(configuration).map((p) => JSON.stringify(p))),
+      timeMs(() => splitIntoParts(configuration).map((p) => JSON.stringify(p))),
     ]);
     changeMs.push([count, timeMs(() => applyChanges(configuration, [createChange(count + 1)]))]);
   }
@@ -157,7 +161,7 @@
     revision: 1,
     resource: { kind: 'organisation', spec: createOrganisation(index) },
   }));
-  return fromResources(organisations, resources, []);
+  return buildConfiguration(organisations, resources, []);
 }
 
 function createOrganisation(index: number) {
--- a/packages/measure/src/experiments/front-door.ts
+++ b/packages/measure/src/experiments/front-door.ts
@@ -148,7 +148,11 @@
     random: systemRandom,
     backpressure: NO_BACKPRESSURE,
   };
-  const connections = new TargetConnections({ clock, connectTimeoutMs: 1_000, maxIdle: 64 });
+  const connections = new TargetConnections({
+    clock,
+    connectTimeoutMs: 1_000,
+    maxIdlePerTarget: 64,
+  });
   const table = compileRoutes({
     version: 1,
     routes: [createRoute('/call/', false), createRoute('/stream/', true)],
@@ -212,7 +216,7 @@
 }
 
 const ingress: IngressDialect = {
-  readFacts(rawHeaders) {
+  parseHeaders(rawHeaders) {
     const read = (name: string): string => rawHeaders[rawHeaders.indexOf(name) + 1] ?? '';
     return E.right({
       requestId: read('id'),
--- a/packages/permit-sends/src/send-limiter.ts
+++ b/packages/permit-sends/src/send-limiter.ts
@@ -3,7 +3,11 @@
  * out permits, so that the sends of all VMs together stay within the limit. No messages are sent
  * while no target has a limit.
  */
-import { createLineLimit, type DecisionLog, type LimitedLines } from '@limelead/decision-log';
+import {
+  createRateLimitedLog,
+  type DecisionLog,
+  type RateLimitedLog,
+} from '@limelead/decision-log';
 import type { Metrics } from '@limelead/metrics';
 import {
   RecentTimes,
@@ -52,13 +56,13 @@
   private readonly heldPermits = new HeldPermits();
   private readonly unusedPermits = new RecentTimes(UNUSED_PERMIT_PAUSE_MS);
   private readonly allowance: LocalAllowance;
-  private readonly logIsolation: LimitedLines;
+  private readonly logIsolation: RateLimitedLog;
   private queue: WaitingRequestQueue = EMPTY_QUEUE;
 
   constructor(private readonly options: SendLimiterOptions) {
     const { clock, random, log, metrics, fleet } = options;
     this.allowance = new LocalAllowance(random);
-    this.logIsolation = createLineLimit(log, clock, 'permits-alone');
+    this.logIsolation = createRateLimitedLog(log, clock, 'permits-alone');
     this.limits = new TargetLimits({
       clock,
       random,
--- a/packages/permit-sends/src/service-permits.ts
+++ b/packages/permit-sends/src/service-permits.ts
@@ -2,7 +2,7 @@
  * Permits of one service at one VM. The VM requests permits from the grantor, or grants them for
  * all VMs where it is the grantor itself. Without an answer it keeps to its share of the rates.
  */
-import type { LimitedLines } from '@limelead/decision-log';
+import type { RateLimitedLog } from '@limelead/decision-log';
 import type {
   CancelTimer,
   Clock,
@@ -57,7 +57,7 @@
   onSparePermit(target: string, untilMs: Millis): void;
   onRefused(want: number, refusal: PermitRefusal): void;
   count(outcome: 'granted' | 'returned' | 'stale' | 'refused'): void;
-  logIsolation: LimitedLines;
+  logIsolation: RateLimitedLog;
 }
 
 /** Requests, grants and uses the permits of one service. */
--- a/packages/permit-sends/src/target-limits.ts
+++ b/packages/permit-sends/src/target-limits.ts
@@ -2,7 +2,11 @@
  * Rate limits that targets advertise, from their responses and from peers. A change is gossiped to
  * the other VMs, each of which forwards it once; a peer with an outdated update is sent the newest.
  */
-import { createLineLimit, type DecisionLog, type LimitedLines } from '@limelead/decision-log';
+import {
+  createRateLimitedLog,
+  type DecisionLog,
+  type RateLimitedLog,
+} from '@limelead/decision-log';
 import type { Metrics } from '@limelead/metrics';
 import {
   RecentTimes,
@@ -40,14 +44,14 @@
   private readonly handledUpdates = new RecentTimes(MAX_PROPAGATION_MS);
   private readonly markPrefix: string;
   private lastMark = 0;
-  private readonly logUnreadable: LimitedLines;
-  private readonly logChange: LimitedLines;
+  private readonly logUnreadable: RateLimitedLog;
+  private readonly logChange: RateLimitedLog;
 
   constructor(private readonly options: TargetLimitsOptions) {
     const { clock, random, log, metrics } = options;
     this.markPrefix = String(random.next());
-    this.logUnreadable = createLineLimit(log, clock, 'target-limit-unreadable');
-    this.logChange = createLineLimit(log, clock, 'target-limit-changed');
+    this.logUnreadable = createRateLimitedLog(log, clock, 'target-limit-unreadable');
+    this.logChange = createRateLimitedLog(log, clock, 'target-limit-changed');
     metrics.gauge('limelead_limited_targets', () => this.table.limitedTargets.size);
   }
 
--- a/packages/quarantine-requests/src/request-guard.ts
+++ b/packages/quarantine-requests/src/request-guard.ts
@@ -2,7 +2,7 @@
  * Protects the targets of one VM from requests that crash them: collects crashes from the runs of
  * this VM and from peers, and decides before each attempt whether a request may be sent.
  */
-import { createLineLimit, type DecisionLog } from '@limelead/decision-log';
+import { createRateLimitedLog, type DecisionLog } from '@limelead/decision-log';
 import { describeThrown } from '@limelead/errors';
 import type { Metrics } from '@limelead/metrics';
 import type { Clock, Millis, Random, Timers } from '@limelead/types';
@@ -54,7 +54,7 @@
 
   constructor(private readonly options: RequestGuardOptions) {
     const { clock, timers, random, log, metrics, countVms } = options;
-    const logDropped = createLineLimit(log, clock, 'evidence-dropped');
+    const logDropped = createRateLimitedLog(log, clock, 'evidence-dropped');
     this.crashTable = new CrashTable((identity) => {
       metrics.count('limelead_evidence_dropped_total');
       logDropped({ identity });
--- a/packages/track-backpressure/src/backpressure.ts
+++ b/packages/track-backpressure/src/backpressure.ts
@@ -1,7 +1,7 @@
 /**
  * Back pressure that targets signal in their responses, and its effect on the requests of this VM.
  */
-import { createLineLimit, type LimitedLines } from '@limelead/decision-log';
+import { createRateLimitedLog, type RateLimitedLog } from '@limelead/decision-log';
 import type { DirectiveResponse, Millis } from '@limelead/types';
 import type { LeavingUpdate } from './leaving-table.js';
 import LeavingTargets, { type LeavingTargetsOptions } from './leaving-targets.js';
@@ -32,15 +32,15 @@
 export default class Backpressure {
   private readonly cooldowns: TargetCooldowns;
   private readonly leaving: LeavingTargets;
-  private readonly logUnwanted: LimitedLines;
-  private readonly logHeld: LimitedLines;
+  private readonly logUnwanted: RateLimitedLog;
+  private readonly logHeld: RateLimitedLog;
 
   constructor(private readonly options: BackpressureOptions) {
     const { clock, log } = options;
     this.cooldowns = new TargetCooldowns(options);
     this.leaving = new LeavingTargets(options);
-    this.logUnwanted = createLineLimit(log, clock, 'unwanted-send');
-    this.logHeld = createLineLimit(log, clock, 'held-for-cooldown');
+    this.logUnwanted = createRateLimitedLog(log, clock, 'unwanted-send');
+    this.logHeld = createRateLimitedLog(log, clock, 'held-for-cooldown');
   }
 
   /** Applies the directives of a response, and reports it if its request violated one. */
--- a/packages/track-backpressure/src/leaving-targets.ts
+++ b/packages/track-backpressure/src/leaving-targets.ts
@@ -2,7 +2,11 @@
  * Leaving announcements from responses and peers. They are gossiped, since the registry may list a
  * leaving target as ready until it has ended.
  */
-import { createLineLimit, type DecisionLog, type LimitedLines } from '@limelead/decision-log';
+import {
+  createRateLimitedLog,
+  type DecisionLog,
+  type RateLimitedLog,
+} from '@limelead/decision-log';
 import type { Metrics } from '@limelead/metrics';
 import type { Clock, DirectiveResponse, Millis } from '@limelead/types';
 import LeavingTable, { type LeavingUpdate } from './leaving-table.js';
@@ -29,11 +33,11 @@
 /** Collects and gossips announcements. */
 export default class LeavingTargets {
   private readonly table = new LeavingTable();
-  private readonly logAnnounced: LimitedLines;
+  private readonly logAnnounced: RateLimitedLog;
 
   constructor(private readonly options: LeavingTargetsOptions) {
     const { clock, log } = options;
-    this.logAnnounced = createLineLimit(log, clock, 'target-leaving-announced');
+    this.logAnnounced = createRateLimitedLog(log, clock, 'target-leaving-announced');
   }
 
   /** Steady time at which this VM learned of the announcement; undefined without one. */
--- a/packages/track-backpressure/src/target-cooldowns.ts
+++ b/packages/track-backpressure/src/target-cooldowns.ts
@@ -1,5 +1,9 @@
 /** Cooldowns that targets request from this VM with `Retry-After`. */
-import { createLineLimit, type DecisionLog, type LimitedLines } from '@limelead/decision-log';
+import {
+  createRateLimitedLog,
+  type DecisionLog,
+  type RateLimitedLog,
+} from '@limelead/decision-log';
 import type { Metrics } from '@limelead/metrics';
 import type { Clock, DirectiveResponse, Millis, Random, Timers } from '@limelead/types';
 import CooldownTable from './cooldown-table.js';
@@ -26,15 +30,15 @@
 /** Applies requested cooldowns, and logs their start and end. */
 export default class TargetCooldowns {
   private readonly cooldowns = new CooldownTable();
-  private readonly logCooldown: LimitedLines;
-  private readonly logCooldownOver: LimitedLines;
-  private readonly logUnreadable: LimitedLines;
+  private readonly logCooldown: RateLimitedLog;
+  private readonly logCooldownOver: RateLimitedLog;
+  private readonly logUnreadable: RateLimitedLog;
 
   constructor(private readonly options: TargetCooldownsOptions) {
     const { clock, log, metrics } = options;
-    this.logCooldown = createLineLimit(log, clock, 'target-cooldown');
-    this.logCooldownOver = createLineLimit(log, clock, 'target-cooldown-over');
-    this.logUnreadable = createLineLimit(log, clock, 'target-cooldown-unreadable');
+    this.logCooldown = createRateLimitedLog(log, clock, 'target-cooldown');
+    this.logCooldownOver = createRateLimitedLog(log, clock, 'target-cooldown-over');
+    this.logUnreadable = createRateLimitedLog(log, clock, 'target-cooldown-unreadable');
     metrics.gauge('limelead_cooling_targets', () => this.cooldowns.countActive(this.now));
   }
 
