--- a/packages/gateway/src/create-exchange.ts
+++ b/packages/gateway/src/create-exchange.ts
@@ -5,7 +5,7 @@
 import type { TargetGate } from '@limelead/forward-request';
 import type { SendPermits } from '@limelead/permit-sends';
 import type { RequestGuard } from '@limelead/quarantine-requests';
-import { EvidenceExchange, type PeerId, type PeerReport } from '@limelead/share-evidence';
+import { PeerExchange, type PeerId, type PeerReport } from '@limelead/share-evidence';
 import type { RetryBudgets } from '@limelead/spend-retries';
 import type { Backpressure } from '@limelead/track-backpressure';
 import type { TargetDirectory } from '@limelead/track-service-targets';
@@ -42,7 +42,7 @@
 }
 
 /** Creates the conversation; undefined where this VM has no address for peers. */
-export default function createExchange(parts: ExchangeParts): EvidenceExchange | undefined {
+export default function createExchange(parts: ExchangeParts): PeerExchange | undefined {
   const { settings, clock, log, directory, locality, knowledge } = parts;
   const { follower, engineLoad, retries } = parts;
   const { failureDomain, peers, seeds } = settings;
@@ -52,7 +52,7 @@
   const id = formatAddress(peers);
   const { gate, permits } = parts;
   const scheduler = new TargetScheduler({ self: id, clock, directory, locality, gate, permits });
-  return new EvidenceExchange({
+  return new PeerExchange({
     ...peers,
     id,
     incarnation: randomUUID(),
@@ -65,33 +65,33 @@
     timers: systemTimers,
     random: systemRandom,
     log,
-    readKnowledge: () => ({
+    readSyncState: () => ({
       revision: knowledge.revision,
       configuration: knowledge.routes?.version ?? 0,
       configurationBytes: knowledge.configurationBytes,
-      isInTouch: follower.isInTouch,
-      isStoreAway: follower.isStoreAway,
+      isStoreAnswering: follower.isInTouch,
+      hasStoreCallFailed: follower.isStoreAway,
     }),
-    readMarks: () => knowledge.readMarks(),
-    onStranger: parts.onStranger,
+    readStoreMarks: () => knowledge.readMarks(),
+    onForeignPeer: parts.onStranger,
     onFault: parts.onFault,
     onMisdirected: parts.onMisdirected,
-    readUpdate: (since) => knowledge.readUpdate(since),
+    readStoreUpdate: (since) => knowledge.readUpdate(since),
     readLoad: () => engineLoad.read(),
-    onLoad: (peer, load) => directory.takePeerLoad(peer, load),
+    onPeerLoad: (peer, load) => directory.takePeerLoad(peer, load),
     adviseTarget: (peer, question) => scheduler.advise(peer, question),
-    onLost: (target, loss) => directory.takePeerLoss(target, loss),
-    readGuardNews: () => parts.guard.listNews(),
-    onGuardNews: (news, peer) => parts.guard.hear(news, peer),
+    onTargetLost: (target, loss) => directory.takePeerLoss(target, loss),
+    readQuarantineState: () => parts.guard.listNews(),
+    onQuarantineUpdate: (news, peer) => parts.guard.hear(news, peer),
     readLimits: () => parts.permits.listLimits(),
     onLimits: (facts, peer) => parts.permits.onPeerUpdate(peer, facts),
     readLeaving: () => parts.backpressure.listLeaving(),
     onLeaving: (facts, peer) => parts.backpressure.onPeerUpdate(peer, facts),
-    onPermits: (message, peer) => parts.permits.hear(peer, message),
+    onPermitMessage: (message, peer) => parts.permits.hear(peer, message),
     onPermitPeerLost: (peer) => parts.permits.onPeerLost(peer),
-    lendRepeats: (service, wanted) => retries.lend(service, wanted),
-    onRepeats: parts.onRepeats,
+    lendRetries: (service, wanted) => retries.lend(service, wanted),
+    onRetriesBorrowed: parts.onRepeats,
     onReport: parts.onReport,
-    onUpdate: (update, peer) => knowledge.takePeerUpdate(update, peer),
+    onStoreUpdate: (update, peer) => knowledge.takePeerUpdate(update, peer),
   });
 }
--- a/packages/gateway/src/create-permits.ts
+++ b/packages/gateway/src/create-permits.ts
@@ -22,8 +22,8 @@
       get self() {
         return readFleet()?.self ?? ALONE;
       },
-      countVms: () => readFleet()?.vmCount ?? 1,
-      countReached: () => readFleet()?.reachedCount ?? 1,
+      countVms: () => readFleet()?.totalVmCount ?? 1,
+      countReached: () => readFleet()?.reachableCount ?? 1,
       chooseGrantor: (service) => {
         const fleet = readFleet();
         return fleet === undefined ? ALONE : fleet.chooseGrantor(service);
--- a/packages/gateway/src/duty-part.ts
+++ b/packages/gateway/src/duty-part.ts
@@ -80,7 +80,7 @@
     random,
     ttlMs: leaseMs,
     readPlace,
-    readCutOffSinceMs: () => context.readExchange()?.cutOffSinceMs,
+    readCutOffSinceMs: () => context.readExchange()?.isolatedSinceMs,
     isTaken: () => (knowledge.revision > 0 ? knowledge.has(key) : undefined),
     onFault: (step, { reason, sent, message }) =>
       log.write('duty-call-failed', { step, reason, sent, message }),
--- a/packages/gateway/src/fleet-part.ts
+++ b/packages/gateway/src/fleet-part.ts
@@ -2,7 +2,7 @@
 import type { DecisionLog } from '@limelead/decision-log';
 import type { TargetGate, TrafficObserver } from '@limelead/forward-request';
 import type { Metrics } from '@limelead/metrics';
-import type { EvidenceExchange, PeerId, PeerReport } from '@limelead/share-evidence';
+import type { PeerExchange, PeerId, PeerReport } from '@limelead/share-evidence';
 import type { TargetDirectory } from '@limelead/track-service-targets';
 import type { Clock, Millis, Random, Timers } from '@limelead/types';
 import type { GatewayPlatform } from './gateway.js';
@@ -24,7 +24,7 @@
   /** Time since the store confirmed what this VM knows, in milliseconds. */
   readKnowledgeAgeMs(): Millis;
   /** The conversation with peers; undefined before the gateway is made, and without peers. */
-  readExchange(): EvidenceExchange | undefined;
+  readExchange(): PeerExchange | undefined;
 }
 
 /** One part. */
--- a/packages/gateway/src/follower-events.ts
+++ b/packages/gateway/src/follower-events.ts
@@ -3,7 +3,7 @@
 import { describeThrown } from '@limelead/errors';
 import type { StoreFollowerEvents } from '@limelead/follow-store';
 import type { Metrics } from '@limelead/metrics';
-import type { EvidenceExchange } from '@limelead/share-evidence';
+import type { PeerExchange } from '@limelead/share-evidence';
 import type { Millis } from '@limelead/types';
 import type Knowledge from './knowledge.js';
 
@@ -13,7 +13,7 @@
   metrics: Metrics;
   knowledge: Knowledge;
   /** Undefined where this VM has no address for peers. */
-  readExchange(): EvidenceExchange | undefined;
+  readExchange(): PeerExchange | undefined;
   /** Time since the store last confirmed what this VM knows, in milliseconds. */
   readKnowledgeAgeMs(): Millis;
 }
@@ -31,12 +31,12 @@
       noteSkipped(list.skipped);
       log.write('store-listed', { items: list.items.length, revision: list.revision });
       knowledge.takeList(list);
-      readExchange()?.noteStoreAnswered();
+      readExchange()?.onStoreAnswered();
     },
     onChanges(changes) {
       noteSkipped(changes.skipped);
       knowledge.takeChanges(changes);
-      readExchange()?.noteStoreAnswered();
+      readExchange()?.onStoreAnswered();
     },
     onBehind({ known, revision }) {
       log.write('store-behind', { known, revision });
@@ -63,7 +63,7 @@
       knowledge.noteStoreRegained();
     },
     onFollowing(isFollowing) {
-      log.write('store-following', { isFollowing, vms: readExchange()?.vmCount });
+      log.write('store-following', { isFollowing, vms: readExchange()?.totalVmCount });
     },
   };
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -22,7 +22,7 @@
 import type { ConditionalStore, DutyPlatform } from '@limelead/ports';
 import createMetrics, { type Metrics } from '@limelead/metrics';
 import type { SendPermits } from '@limelead/permit-sends';
-import type { EvidenceExchange } from '@limelead/share-evidence';
+import type { PeerExchange } from '@limelead/share-evidence';
 import { RetryBudgets } from '@limelead/spend-retries';
 import { TargetConnections } from '@limelead/target-connections';
 import {
@@ -99,7 +99,7 @@
   private readonly knowledge: Knowledge;
   private readonly follower: StoreFollower;
   /** Undefined where this VM has no address for peers. */
-  private readonly exchange: EvidenceExchange | undefined;
+  private readonly exchange: PeerExchange | undefined;
   private readonly frontDoor: HttpFrontDoor;
   private readonly pace: TargetPace;
   private readonly engineLoad: EngineLoad;
@@ -123,23 +123,23 @@
       budget: settings.retryBudget,
       clock: steadyClock,
       countVms: () => this.countVms(),
-      onShort: (service) => this.exchange?.wantRepeats(service),
+      onShort: (service) => this.exchange?.borrowRetries(service),
     });
     this.directory = new TargetDirectory(steadyClock, {
       onNotice: (notice) => this.onNotice(notice),
-      onLost: (id, loss) => this.exchange?.noteLost(id, loss),
+      onLost: (id, loss) => this.exchange?.publishLoss(id, loss),
       onLoad: (tracked) => this.engineLoad.note(tracked),
       hasAnnouncedLeaving: (id) => this.backpressure.isLeaving(id),
     });
     this.pace = new TargetPace((id, slowness) => {
       this.directory.notePace(id, slowness);
-      this.exchange?.noteLoad();
+      this.exchange?.onLoadChanged();
     });
     this.engineLoad = new EngineLoad({
       directory: this.directory,
       pace: this.pace,
       isEngine: (service) => this.knowledge.routes?.findService(service)?.engine !== undefined,
-      onChange: () => this.exchange?.noteLoad(),
+      onChange: () => this.exchange?.onLoadChanged(),
     });
     this.connections = new TargetConnections({
       clock: steadyClock,
@@ -156,7 +156,7 @@
       dialect: platform.storeDialect,
       readAgeMs: () => this.knowledgeAgeMs,
       onConfiguration: (table) => this.frontDoor.applyLimits(table.limits),
-      onForgotten: () => this.exchange?.forgetStore(),
+      onForgotten: () => this.exchange?.onStoreReplaced(),
       onChange: () => this.onKnowledge(),
     });
     const partContext: FleetPartContext = {
@@ -336,7 +336,7 @@
       dialect,
       slots: new SlotQueue({ ...shared, failureDomain, locality, limit: limitOf, permits }),
       askTarget: (request, receive) =>
-        this.exchange?.askTarget(request, receive) ?? askNobody(request, receive),
+        this.exchange?.requestTargetAdvice(request, receive) ?? askNobody(request, receive),
       silence: new SilenceWatch({ ...shared, connections, dialect, log }),
       reading: new ReadingTime(),
       pace: this.pace,
@@ -360,12 +360,12 @@
       clock: steadyClock,
       timers: systemTimers,
       random: systemRandom,
-      countFollowers: () => Math.max(1, this.exchange?.followerCount ?? 0),
-      mustFollow: () => this.exchange?.mustFollow ?? true,
-      followsForOthers: () => this.exchange?.followsForOthers ?? false,
+      countFollowers: () => Math.max(1, this.exchange?.storeFollowerCount ?? 0),
+      mustFollow: () => this.exchange?.mustFollowStore ?? true,
+      followsForOthers: () => this.exchange?.isStoreFollower ?? false,
       readRevision: () => this.knowledge.revision,
-      othersTry: () => this.exchange?.othersTry ?? false,
-      startWaitMs: () => this.exchange?.startWaitMs ?? 0,
+      othersTry: () => this.exchange?.delegatesStoreRetries ?? false,
+      startWaitMs: () => this.exchange?.firstWatchDelayMs ?? 0,
       events: createFollowerEvents({
         log: this.log,
         metrics: this.metrics,
@@ -387,12 +387,12 @@
 
   private onKnowledge(): void {
     this.parts.forEach((part) => part.onKnowledge?.());
-    this.exchange?.noteKnowledge();
+    this.exchange?.onSyncStateChanged();
     this.frontDoor.noteKnowledge();
   }
 
   private countVms(): number {
-    return Math.max(LEAST_VMS, this.exchange?.vmCount ?? 0);
+    return Math.max(LEAST_VMS, this.exchange?.totalVmCount ?? 0);
   }
 
   private onRepeats(service: string, repeats: number): void {
--- a/packages/gateway/src/quarantine-part.ts
+++ b/packages/gateway/src/quarantine-part.ts
@@ -56,7 +56,7 @@
       ...{ clock, timers, random, log, metrics, countVms },
       hasEnded: (target, brokeAtMs) => ends.hasEnded(target, brokeAtMs),
       wasHeardSince: (target, sinceMs) => ends.wasHeardSince(target, sinceMs),
-      tell: (news, from) => context.readExchange()?.tellGuardNews(news, from),
+      tell: (news, from) => context.readExchange()?.publishQuarantineUpdate(news, from),
       onProved: (request, quarantine) =>
         this.keep(request, quarantine, clock.now() + QUARANTINE_MS),
       onRefuted: (request) => void this.forget(request),
--- a/packages/gateway/src/roll-outs.ts
+++ b/packages/gateway/src/roll-outs.ts
@@ -174,7 +174,7 @@
 
   /** The most VMs that were seen: those that are cut off share in the slack, too. */
   private get vmCount(): number {
-    this.mostVms = Math.max(this.mostVms, this.context.readExchange()?.vmCount ?? 1);
+    this.mostVms = Math.max(this.mostVms, this.context.readExchange()?.totalVmCount ?? 1);
     return this.mostVms;
   }
 
--- a/packages/gateway/src/target-scheduler.test.ts
+++ b/packages/gateway/src/target-scheduler.test.ts
@@ -2,7 +2,7 @@
 import { NO_LIMITS, OPEN_GATE } from '@limelead/forward-request';
 import { TargetDirectory } from '@limelead/track-service-targets';
 import type { ServiceTarget } from '@limelead/types';
-import type { TargetAnswer, TargetQuestion } from '@limelead/share-evidence';
+import type { SchedulerAnswer, SchedulerRequest } from '@limelead/share-evidence';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import TargetScheduler from './target-scheduler.js';
@@ -21,7 +21,7 @@
   };
 }
 
-const QUESTION: TargetQuestion = {
+const QUESTION: SchedulerRequest = {
   service: 'briefs',
   affinityKey: 'session',
   failureDomain: 'north',
@@ -41,9 +41,9 @@
     permits: NO_LIMITS,
   });
   let asked = 0;
-  const advise = (peer: string, question: TargetQuestion): TargetAnswer | undefined =>
+  const advise = (peer: string, question: SchedulerRequest): SchedulerAnswer | undefined =>
     scheduler.advise(peer, question);
-  const ask = (peer: string, question: Partial<TargetQuestion> = {}): string | undefined => {
+  const ask = (peer: string, question: Partial<SchedulerRequest> = {}): string | undefined => {
     asked += 1;
     return advise(peer, {
       ...QUESTION,
--- a/packages/gateway/src/target-scheduler.ts
+++ b/packages/gateway/src/target-scheduler.ts
@@ -10,10 +10,10 @@
 import type { Locality } from '@limelead/locality';
 import type { SendPermits, TargetGate } from '@limelead/forward-request';
 import {
-  choosePart,
+  choosePartition,
   type PeerId,
-  type TargetAnswer,
-  type TargetQuestion,
+  type SchedulerAnswer,
+  type SchedulerRequest,
 } from '@limelead/share-evidence';
 import type { TargetDirectory, TrackedServiceTarget } from '@limelead/track-service-targets';
 import type { Clock } from '@limelead/types';
@@ -34,12 +34,12 @@
   constructor(private readonly options: TargetSchedulerOptions) {}
 
   /** The target with the least work; undefined where all are full or none is there. */
-  advise(peer: PeerId, question: TargetQuestion): TargetAnswer | undefined {
+  advise(peer: PeerId, question: SchedulerRequest): SchedulerAnswer | undefined {
     const { self, clock, directory, locality } = this.options;
     const { service, number, part, parts } = question;
     const now = clock.now();
     const targets = this.listOpen(service).filter(
-      ({ target }) => parts <= 1 || choosePart(target.id, parts) === part,
+      ({ target }) => parts <= 1 || choosePartition(target.id, parts) === part,
     );
     const chosen = chooseServiceTarget(targets, {
       ...question,
@@ -77,7 +77,7 @@
   /** Any part of the targets may keep the copy: what is known of their load is soft anyway. */
   private chooseCopyTo(
     running: TrackedServiceTarget,
-    { service, affinityKey }: TargetQuestion,
+    { service, affinityKey }: SchedulerRequest,
   ): string | undefined {
     const { clock, directory } = this.options;
     return chooseCopyKeeper(this.listAdvisable(service), {
--- a/packages/gateway/src/usage-part.ts
+++ b/packages/gateway/src/usage-part.ts
@@ -12,7 +12,7 @@
   type WindowCounts,
 } from '@limelead/meter-usage';
 import type { DutyPlatform } from '@limelead/ports';
-import type { EvidenceExchange, PeerId } from '@limelead/share-evidence';
+import type { PeerExchange, PeerId } from '@limelead/share-evidence';
 import { randomUUID } from 'node:crypto';
 import type { DutyPart } from './duty-part.js';
 import type { FleetPart, FleetPartContext } from './fleet-part.js';
@@ -73,7 +73,7 @@
       book.hear(incarnation, counter.list(), readOwnFirst());
       return book.sum(window);
     },
-    isCutOff: (heldSinceMs) => heldSinceMs < (readExchange()?.cutOffSinceMs ?? -Infinity),
+    isCutOff: (heldSinceMs) => heldSinceMs < (readExchange()?.isolatedSinceMs ?? -Infinity),
     readCountedFrom() {
       return Math.min(readOwnFirst(), book.countedFrom ?? Infinity);
     },
@@ -137,7 +137,7 @@
 
 /** Those that stand for the duties, each with the link to it. */
 function listListeners(
-  exchange: EvidenceExchange | undefined,
+  exchange: PeerExchange | undefined,
   tell: (peer: PeerId, windows: WindowCounts[]) => void,
 ): UsageListener[] {
   return (exchange?.linkedCandidates ?? []).map(({ peer, linkedAtMs }) => ({
--- a/packages/share-evidence/src/choose-bridges.ts
+++ b/packages/share-evidence/src/choose-bridges.ts
@@ -1,18 +1,23 @@
 /**
- * Pure decision: which VMs carry news between regions. Within a region VMs gossip as in
- * a fleet of its own; between two regions a few pairs of VMs do, so that the bytes there
- * do not grow with the fleet.
+ * Selects the VMs that exchange gossip with other regions. A few pairs of VMs link each two
+ * regions, so that the traffic between regions does not grow with the fleet.
  */
 import type { PeerId } from './types.js';
 
-/** Links between two regions: one is enough; all carry news, so that losing two changes nothing. */
-const BRIDGES = 3;
-/** The first of a region's ranking follows the store; its loss should take no bridge as well. */
-const FIRST_BRIDGE = 1;
+/**
+ * VMs of a region that link to each other region. One link carries all gossip; the others are
+ * spares.
+ */
+const MAX_BRIDGE_VMS = 3;
+/**
+ * Rank of the first bridge. The VM before it follows the store, so that losing one VM takes only
+ * one of the two roles.
+ */
+const FIRST_BRIDGE_RANK = 1;
 
 /**
- * Gives the peers in other regions with which a VM shares gossip.
- * @param own the ranking of its region that all VMs share
+ * Returns the peers in other regions with which a VM shares gossip.
+ * @param own the ranking of its own region, which all VMs share
  * @param others the rankings of the other regions
  */
 export default function chooseBridges(
@@ -20,18 +25,21 @@
   own: readonly PeerId[],
   others: readonly (readonly PeerId[])[],
 ): PeerId[] {
-  const place = listBridgeheads(own).indexOf(self);
-  if (place < 0) {
+  const position = listBridgeVms(own).indexOf(self);
+  if (position < 0) {
     return [];
   }
   return others.flatMap((ranking) => {
-    const bridgeheads = listBridgeheads(ranking);
-    return bridgeheads[place % bridgeheads.length] ?? [];
+    const bridgeVms = listBridgeVms(ranking);
+    return bridgeVms[position % bridgeVms.length] ?? [];
   });
 }
 
-/** A region of few VMs uses those that it has. */
-function listBridgeheads(ranking: readonly PeerId[]): readonly PeerId[] {
-  const count = Math.min(BRIDGES, ranking.length);
-  return [...ranking.slice(FIRST_BRIDGE), ...ranking.slice(0, FIRST_BRIDGE)].slice(0, count);
+/** Uses all VMs of a region that has fewer than the usual number of bridges. */
+function listBridgeVms(ranking: readonly PeerId[]): readonly PeerId[] {
+  const count = Math.min(MAX_BRIDGE_VMS, ranking.length);
+  return [...ranking.slice(FIRST_BRIDGE_RANK), ...ranking.slice(0, FIRST_BRIDGE_RANK)].slice(
+    0,
+    count,
+  );
 }
--- a/packages/share-evidence/src/choose-grantor.test.ts
+++ b/packages/share-evidence/src/choose-grantor.test.ts
@@ -1,24 +1,24 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import chooseGrantor from './choose-grantor.js';
-import { Fleet } from './fleet.fixture.js';
+import { SimulatedFleet } from './fleet.fixture.js';
 
 const SERVICES = ['api', 'llm', 'portal'];
-/** Time in which a fleet that starts knows itself. */
+/** Time in which all members of a new fleet learn of each other. */
 const SETTLED_MS = 10_000;
-/** Time in which a fleet that lost a VM agrees on another. */
+/** Time in which a fleet that lost a VM agrees on another grantor. */
 const AGREED_AGAIN_MS = 5_000;
 
-/** The grantors of a service that the VMs of a fleet choose, each once. */
-function listChosen(fleet: Fleet, service: string): (string | undefined)[] {
+/** Returns the distinct grantors that the VMs of a fleet choose for a service. */
+function listChosen(fleet: SimulatedFleet, service: string): (string | undefined)[] {
   const chosen = [...fleet.vms.values()].map(({ membership }) =>
-    chooseGrantor(service, membership.listDeciders()),
+    chooseGrantor(service, membership.listGrantorCandidates()),
   );
   return [...new Set(chosen)];
 }
 
-/** The one grantor of a service. */
-function findAgreed(fleet: Fleet, service: string): string {
+/** Returns the grantor of a service on which all VMs agree. */
+function findAgreed(fleet: SimulatedFleet, service: string): string {
   const [grantor = '', ...others] = listChosen(fleet, service);
   assert.equal(others, []);
   assert.ok(fleet.vms.has(grantor));
@@ -26,18 +26,18 @@
 }
 
 for (const size of [3, 6, 88, 195]) {
-  test(`${size} VMs choose one grantor for a service, and another when it is gone`, () => {
-    const fleet = new Fleet(size);
-    fleet.playUntil(SETTLED_MS);
+  test(`${size} VMs agree on one grantor for a service, and on another when it is lost`, () => {
+    const fleet = new SimulatedFleet(size);
+    fleet.advanceTo(SETTLED_MS);
     const [grantor = ''] = SERVICES.map((service) => findAgreed(fleet, service));
     fleet.vms.get(grantor)?.stop();
     fleet.vms.delete(grantor);
-    fleet.playUntil(SETTLED_MS + AGREED_AGAIN_MS);
+    fleet.advanceTo(SETTLED_MS + AGREED_AGAIN_MS);
     SERVICES.forEach((service) => assert.is.not(findAgreed(fleet, service), grantor));
   });
 }
 
-test('services are spread over the VMs', () => {
+test('services are distributed over the VMs', () => {
   const vms = Array.from({ length: 6 }, (_, index) => `10.0.0.${index}:7200`);
   const services = Array.from({ length: 60 }, (_, index) => `service ${index}`);
   const grantors = new Set(services.map((service) => chooseGrantor(service, vms)));
--- a/packages/share-evidence/src/choose-grantor.ts
+++ b/packages/share-evidence/src/choose-grantor.ts
@@ -1,8 +1,10 @@
-/** Pure decision: which VM grants the permits of a service for all (rendezvous hashing). */
 import { hashText, mixHashes } from '@limelead/types';
 import type { PeerId } from './types.js';
 
-/** Takes the VM that all VMs with the same candidates take; undefined without any. */
+/**
+ * Chooses the VM that grants the permits of a service, by rendezvous hashing. All VMs with the same
+ * candidates choose the same VM; undefined without candidates.
+ */
 export default function chooseGrantor(
   service: string,
   candidates: readonly PeerId[],
--- a/packages/share-evidence/src/choose-schedulers.test.ts
+++ b/packages/share-evidence/src/choose-schedulers.test.ts
@@ -1,12 +1,12 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import chooseSchedulers, { choosePart } from './choose-schedulers.js';
+import chooseSchedulers, { choosePartition } from './choose-schedulers.js';
 
 function nameVms(count: number): string[] {
   return Array.from({ length: count }, (_, index) => `10.0.${index}.1:70`);
 }
 
-test('90 VMs have one part of the targets with two schedulers, 410 have four', () => {
+test('90 VMs have one partition of the targets with two schedulers, 410 VMs have four', () => {
   assert.equal(
     chooseSchedulers(nameVms(90)).map((vms) => vms.length),
     [2],
@@ -19,22 +19,22 @@
   assert.is(new Set(large.flat()).size, 8);
 });
 
-test('the loss of a VM that follows the store moves no scheduler', () => {
+test('the loss of a VM that follows the store does not change the schedulers', () => {
   const vms = nameVms(410);
   assert.equal(chooseSchedulers(vms.slice(1)), chooseSchedulers(vms));
 });
 
-test('the stand-in of a scheduler that is lost becomes the first', () => {
+test('the standby of a lost scheduler becomes the first', () => {
   const vms = nameVms(90);
   const [[first = '', standIn = ''] = []] = chooseSchedulers(vms);
   const [[next] = []] = chooseSchedulers(vms.filter((vm) => vm !== first));
   assert.is(next, standIn);
 });
 
-test('targets spread evenly over the parts', () => {
+test('targets are distributed evenly over the partitions', () => {
   const counts = [0, 0, 0, 0];
   for (let index = 0; index < 400; index += 1) {
-    const part = choosePart(`i-${index}`, counts.length);
+    const part = choosePartition(`i-${index}`, counts.length);
     counts[part] = (counts[part] ?? 0) + 1;
   }
   assert.ok(Math.min(...counts) > 75, counts.join(' '));
--- a/packages/share-evidence/src/fleet.fixture.ts
+++ b/packages/share-evidence/src/fleet.fixture.ts
@@ -1,29 +1,29 @@
-/** Memberships of a whole fleet on a clock of its own, for the tests of this package. */
+/** Simulates the memberships of a whole fleet on a manual clock. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import type { MemberAge } from './member-book.js';
+import type { GossipedMember } from './member-registry.js';
 import Membership from './membership.js';
-import { nameMembers, readNamedMembers } from './named-members.js';
+import { toHeartbeatMembers, fromHeartbeatMembers } from './heartbeat-members.js';
 
 const ROUND_MS = 1_000;
 const SECOND_ROUND_MS = 400;
-/** VMs of one fleet start within this time of each other. */
-const STARTS_WITHIN_MS = 300;
+/** Maximum delay between the starts of two VMs of a fleet. */
+const MAX_START_DELAY_MS = 300;
 const SEEDS = 3;
 
-/** A fleet whose links come up at once, on a clock of its own. */
-export class Fleet {
-  readonly vms = new Map<string, FleetVm>();
+/** A fleet on a manual clock; its links are up as soon as they are opened. */
+export class SimulatedFleet {
+  readonly vms = new Map<string, SimulatedVm>();
   readonly ids: string[];
   readonly seeds: string[];
   now = 0;
-  /** Whether nothing passes between two VMs. */
+  /** Whether the connection between two VMs is cut. */
   isCut: (a: string, b: string) => boolean = () => false;
   private readonly due = new Map<number, (() => void)[]>();
   private readonly generator = xoroshiro128plus(11);
   readonly random = { next: () => uniformFloat64(this.generator) };
 
-  /** @param regionOf region of the VM of that number; undefined where all are in one */
+  /** @param regionOf region of the VM with that index; undefined if the fleet has one region */
   constructor(
     size: number,
     readonly regionOf: (index: number) => string | undefined = () => undefined,
@@ -31,27 +31,30 @@
     this.ids = Array.from({ length: size }, (_, index) => `10.${index % 5}.0.${index}:7200`);
     this.seeds = this.ids.slice(0, SEEDS);
     this.ids.forEach((id, index) => {
-      const startMs = Math.floor(this.random.next() * STARTS_WITHIN_MS);
-      this.at(startMs, () => this.vms.set(id, new FleetVm(this, id, regionOf(index))));
+      const startMs = Math.floor(this.random.next() * MAX_START_DELAY_MS);
+      this.schedule(startMs, () => this.vms.set(id, new SimulatedVm(this, id, regionOf(index))));
     });
   }
 
-  /** Another process takes the VM's place, and knows nothing. */
-  restart(vm: FleetVm): FleetVm {
+  /** Replaces a VM by a new process without any state. */
+  restart(vm: SimulatedVm): SimulatedVm {
     vm.stop();
-    const next = new FleetVm(this, vm.id, vm.region);
+    const next = new SimulatedVm(this, vm.id, vm.region);
     this.vms.set(vm.id, next);
     return next;
   }
 
-  at(atMs: number, run: () => void): void {
+  schedule(atMs: number, run: () => void): void {
     const due = this.due.get(atMs) ?? [];
     due.push(run);
     this.due.set(atMs, due);
   }
 
-  /** Plays in steps of a millisecond, in which things happen in the order they were due. */
-  playUntil(untilMs: number): void {
+  /**
+   * Advances the clock in steps of one millisecond and runs callbacks in the order in which they
+   * were scheduled.
+   */
+  advanceTo(untilMs: number): void {
     for (; this.now <= untilMs; this.now += 1) {
       for (let run = this.due.get(this.now)?.shift(); run; run = this.due.get(this.now)?.shift()) {
         run();
@@ -61,19 +64,19 @@
   }
 }
 
-export class FleetVm {
+export class SimulatedVm {
   readonly membership: Membership;
   readonly linked = new Set<string>();
   readonly openedNow = new Set<string>();
-  /** What it noticed of other regions. */
-  readonly regions: string[] = [];
+  /** Changes of other regions that this VM reported. */
+  readonly regionChanges: string[] = [];
   private isStopped = false;
-  /** Links opened, and members named to peers, since the start. */
+  /** Links opened, and members sent to peers, since the start. */
   opened = 0;
-  named = 0;
+  sentMembers = 0;
 
   constructor(
-    private readonly fleet: Fleet,
+    private readonly fleet: SimulatedFleet,
     readonly id: string,
     readonly region: string | undefined,
   ) {
@@ -83,7 +86,8 @@
       seeds: fleet.seeds,
       clock: { now: () => fleet.now },
       random: fleet.random,
-      onRegion: ({ region: other, isInSight }) => this.regions.push(`${other} ${isInSight}`),
+      onRegionChange: ({ region: other, isReachable }) =>
+        this.regionChanges.push(`${other} ${isReachable}`),
       links: {
         open: (peers) => peers.forEach((peer) => this.open(peer.id)),
         opened: () => [...this.openedNow],
@@ -91,7 +95,7 @@
         drop: (peer) => this.drop(peer),
       },
     });
-    this.beat(SECOND_ROUND_MS);
+    this.runRound(SECOND_ROUND_MS);
   }
 
   stop(): void {
@@ -100,22 +104,23 @@
     this.fleet.vms.forEach((other) => other.drop(this.id));
   }
 
-  private beat(nextMs = ROUND_MS): void {
+  private runRound(nextMs = ROUND_MS): void {
     if (this.isStopped) {
       return;
     }
     [...this.linked].filter((peer) => this.fleet.isCut(this.id, peer)).forEach((p) => this.drop(p));
-    const members = this.membership.tend();
+    const members = this.membership.runRound();
     this.linked.forEach(
-      (peer) => this.gossips(peer) && this.name(peer, this.namesFor(peer, members)),
+      (peer) =>
+        this.sharesGossipWith(peer) && this.sendMembers(peer, this.selectMembers(peer, members)),
     );
-    this.fleet.at(this.fleet.now + nextMs, () => this.beat());
+    this.fleet.schedule(this.fleet.now + nextMs, () => this.runRound());
   }
 
-  /** A peer in another region is named the whole region, as `Gossip` does. */
-  private namesFor(peer: string, members: MemberAge[]): MemberAge[] {
-    return this.membership.isDistant(peer)
-      ? [...members, ...this.membership.nameRegion()]
+  /** Adds all members of the own region for a peer in another region, as `Gossip` does. */
+  private selectMembers(peer: string, members: GossipedMember[]): GossipedMember[] {
+    return this.membership.isInOtherRegion(peer)
+      ? [...members, ...this.membership.listRegionMembers()]
       : members;
   }
 
@@ -129,21 +134,21 @@
     }
     this.opened += 1;
     this.openedNow.add(peer);
-    this.greet(peer);
-    other.greet(this.id);
+    this.connect(peer);
+    other.connect(this.id);
   }
 
-  private greet(peer: string): void {
+  private connect(peer: string): void {
     this.linked.add(peer);
-    this.membership.hearFrom(peer);
-    this.fleet.at(
+    this.membership.recordContact(peer);
+    this.fleet.schedule(
       this.fleet.now,
-      () => this.gossips(peer) && this.name(peer, this.membership.nameAll()),
+      () => this.sharesGossipWith(peer) && this.sendMembers(peer, this.membership.listAllMembers()),
     );
   }
 
-  /** Members are named over links that one of both ends chose for gossip. */
-  gossips(peer: string): boolean {
+  /** Members are sent over links that at least one end chose for gossip. */
+  sharesGossipWith(peer: string): boolean {
     const other = this.fleet.vms.get(peer);
     return this.membership.isChosenPeer(peer) || other?.membership.isChosenPeer(this.id) === true;
   }
@@ -154,14 +159,14 @@
     this.fleet.vms.get(peer)?.linked.delete(this.id);
   }
 
-  private name(peer: string, members: MemberAge[]): void {
+  private sendMembers(peer: string, members: GossipedMember[]): void {
     const other = this.fleet.vms.get(peer);
     if (other !== undefined && this.linked.has(peer)) {
-      this.named += members.length;
-      other.membership.hearFrom(this.id);
-      const named = readNamedMembers(nameMembers(members, this.region));
-      other.membership.locate(this.id, this.region);
-      other.membership.hear(named, this.membership.listHidden());
+      this.sentMembers += members.length;
+      other.membership.recordContact(this.id);
+      const received = fromHeartbeatMembers(toHeartbeatMembers(members, this.region));
+      other.membership.setRegion(this.id, this.region);
+      other.membership.onMembersReceived(received, this.membership.listUnreachableRegions());
     }
   }
 }
--- a/packages/share-evidence/src/gossip.test.ts
+++ b/packages/share-evidence/src/gossip.test.ts
@@ -1,30 +1,30 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import Gossip from './gossip.js';
-import type { EvidenceMessage } from './messages.js';
+import type { ExchangeMessage } from './messages.js';
 import PeerTable from './peer-table.js';
 
 function create(chosen: string[]) {
   const peers = new PeerTable({ now: () => 0 });
   ['ring', 'scheduler', 'asker'].forEach((peer) => peers.add(peer));
   const sent: string[] = [];
-  const describe = (message: EvidenceMessage): string =>
+  const describe = (message: ExchangeMessage): string =>
     message.kind === 'heartbeat' ? `heartbeat of ${message.members.length}` : message.kind;
   const gossip = new Gossip({
     peers,
-    readKnowledge: () => ({
+    readSyncState: () => ({
       revision: 1,
       configuration: 1,
       configurationBytes: 1,
-      isInTouch: true,
-      isStoreAway: false,
+      isStoreAnswering: true,
+      hasStoreCallFailed: false,
     }),
-    isDistant: (peer) => peer === 'far',
-    nameRegion: () => [{ id: 'c', ageMs: 0, region: 'here' }],
-    listHidden: () => [],
+    isInOtherRegion: (peer) => peer === 'far',
+    listRegionMembers: () => [{ id: 'c', ageMs: 0, region: 'here' }],
+    listUnreachableRegions: () => [],
     composeMarks: () => undefined,
-    isChosen: (peer) => chosen.includes(peer),
-    nameAll: () => [
+    isChosenPeer: (peer) => chosen.includes(peer),
+    listAllMembers: () => [
       { id: 'a', ageMs: 0 },
       { id: 'b', ageMs: 0 },
     ],
@@ -33,10 +33,10 @@
   return { gossip, sent, peers };
 }
 
-test('links that neither end chose get a pulse, the others a heartbeat that names all once', () => {
+test('a link that neither end chose carries pulses, others carry a heartbeat that lists all members once', () => {
   const { gossip, sent, peers } = create(['ring']);
-  gossip.beat(peers.list(), []);
-  gossip.beat(['ring'], []);
+  gossip.sendHeartbeats(peers.list(), []);
+  gossip.sendHeartbeats(['ring'], []);
   assert.equal(sent, [
     'scheduler: pulse',
     'asker: pulse',
@@ -46,20 +46,20 @@
   assert.equal(gossip.listPeers(), ['ring']);
 });
 
-test('a peer that chose this VM is greeted at once, and left out when it chooses others', () => {
+test('a peer that chose this VM gets all members at once, and leaves gossip when it chooses others', () => {
   const { gossip, sent } = create(['ring']);
-  gossip.hear('asker', true);
+  gossip.onPeerChoice('asker', true);
   assert.equal(sent, ['asker: heartbeat of 2']);
   assert.equal(gossip.listPeers(), ['ring', 'asker']);
-  gossip.hear('asker', false);
+  gossip.onPeerChoice('asker', false);
   assert.equal(gossip.listPeers(), ['ring']);
 });
 
-test('a peer in another region is told the whole own region each time', () => {
+test('a peer in another region gets all members of the own region each time', () => {
   const { gossip, sent, peers } = create(['far']);
   peers.add('far');
-  gossip.beat(['far'], []);
-  gossip.beat(['far'], []);
+  gossip.sendHeartbeats(['far'], []);
+  gossip.sendHeartbeats(['far'], []);
   assert.equal(sent, ['far: heartbeat of 2', 'far: heartbeat of 1']);
 });
 
--- a/packages/share-evidence/src/gossip.ts
+++ b/packages/share-evidence/src/gossip.ts
@@ -1,113 +1,123 @@
 /**
- * Heartbeats to the peers with which losses, members, repeats and news of the store are
- * shared, and pulses on the other links, which lead to schedulers.
+ * Sends heartbeats to the peers that share gossip (losses, members, borrowed retries, progress of
+ * the store) and pulses to the other peers, such as schedulers.
  */
-import type { MemberAge } from './member-book.js';
-import { nameMembers } from './named-members.js';
-import type { EvidenceMessage, EvidenceMessageOf } from './messages.js';
-import type { HiddenRegion } from './region-sizes.js';
+import type { GossipedMember } from './member-registry.js';
+import { toHeartbeatMembers } from './heartbeat-members.js';
+import type { ExchangeMessage, ExchangeMessageOf } from './messages.js';
+import type { UnreachableRegion } from './region-size-tracker.js';
 import type PeerTable from './peer-table.js';
-import type { ToldMarks } from './same-store.js';
-import type { EvidenceExchangeOptions, PeerId } from './types.js';
+import type { AdvertisedStoreMarks } from './peer-store-verifier.js';
+import type { PeerExchangeOptions, PeerId } from './types.js';
 
-/** What gossip needs. */
-export interface GossipOptions extends Pick<EvidenceExchangeOptions, 'readKnowledge' | 'region'> {
+/** Dependencies of `Gossip`. */
+export interface GossipOptions extends Pick<PeerExchangeOptions, 'readSyncState' | 'region'> {
   peers: PeerTable;
   /** Whether this VM chose a peer for gossip. */
-  isChosen(peer: PeerId): boolean;
-  /** Every member, to name to a peer that may know none. */
-  nameAll(): MemberAge[];
+  isChosenPeer(peer: PeerId): boolean;
+  /** All members, for a peer that may know none. */
+  listAllMembers(): GossipedMember[];
   /** Whether a peer is in another region. */
-  isDistant(peer: PeerId): boolean;
-  /** The members of the own region; none where the fleet is in one. */
-  nameRegion(): MemberAge[];
-  /** Regions that this VM can't see. */
-  listHidden(): HiddenRegion[];
-  /** What to tell a peer of the store that this VM follows; undefined where both are sure. */
-  composeMarks(peer: PeerId): ToldMarks | undefined;
-  broadcast(message: EvidenceMessage, peers: PeerId[]): void;
+  isInOtherRegion(peer: PeerId): boolean;
+  /** The members of the own region; empty if the fleet has one region. */
+  listRegionMembers(): GossipedMember[];
+  /** Regions that this VM cannot reach. */
+  listUnreachableRegions(): UnreachableRegion[];
+  /** Marks of the store for a peer; undefined if both ends know that they follow the same store. */
+  composeMarks(peer: PeerId): AdvertisedStoreMarks | undefined;
+  broadcast(message: ExchangeMessage, peers: PeerId[]): void;
 }
 
-/** Knows which links serve gossip: those that one of both ends chose for it. */
+/**
+ * Sends heartbeats, and knows the links that share gossip: those that at least one end chose for
+ * it.
+ */
 export default class Gossip {
   constructor(private readonly options: GossipOptions) {}
 
-  /** Peers that share in it. */
+  /** Peers with which gossip is shared. */
   listPeers(): PeerId[] {
-    return this.options.peers.list().filter((peer) => this.serves(peer));
+    return this.options.peers.list().filter((peer) => this.sharesGossip(peer));
   }
 
-  /** Tells peers that this VM is there. */
-  beat(peers: PeerId[], named: MemberAge[]): void {
-    const gossiping = peers.filter((peer) => this.serves(peer));
+  /** Sends heartbeats to gossip peers and pulses to the others. */
+  sendHeartbeats(peers: PeerId[], members: GossipedMember[]): void {
+    const gossipPeers = peers.filter((peer) => this.sharesGossip(peer));
     this.options.broadcast(
       { kind: 'pulse' },
-      peers.filter((peer) => !gossiping.includes(peer)),
+      peers.filter((peer) => !gossipPeers.includes(peer)),
     );
-    this.sendHeartbeats(gossiping, named);
+    this.sendGossipHeartbeats(gossipPeers, members);
   }
 
-  /** A peer said whether it chose this VM. */
-  hear(peer: PeerId, isWantedThere: boolean): void {
+  /** Handles whether a peer chose this VM for gossip. */
+  onPeerChoice(peer: PeerId, isChosenByPeer: boolean): void {
     const state = this.options.peers.get(peer);
     if (state === undefined) {
       return;
     }
-    state.isWantedThere = isWantedThere;
-    if (!state.isGreeted && this.serves(peer)) {
-      this.sendHeartbeats([peer], []);
+    state.isChosenByPeer = isChosenByPeer;
+    if (!state.hasReceivedMembers && this.sharesGossip(peer)) {
+      this.sendGossipHeartbeats([peer], []);
     }
   }
 
-  private serves(peer: PeerId): boolean {
-    const { isChosen, peers } = this.options;
-    return isChosen(peer) || peers.get(peer)?.isWantedThere === true;
+  private sharesGossip(peer: PeerId): boolean {
+    const { isChosenPeer, peers } = this.options;
+    return isChosenPeer(peer) || peers.get(peer)?.isChosenByPeer === true;
   }
 
-  /** The first heartbeat to a peer names all members. */
-  private sendHeartbeats(peers: PeerId[], named: MemberAge[]): void {
-    const greeted = this.options.peers.takeUngreeted(peers);
-    if (greeted.length > 0) {
-      this.sendHeartbeat(greeted, this.options.nameAll());
+  /** Sends all members with the first heartbeat to a peer. */
+  private sendGossipHeartbeats(peers: PeerId[], members: GossipedMember[]): void {
+    const firstTime = this.options.peers.markMembersSent(peers);
+    if (firstTime.length > 0) {
+      this.sendHeartbeat(firstTime, this.options.listAllMembers());
     }
-    const others = peers.filter((peer) => !greeted.includes(peer));
-    const distant = others.filter((peer) => this.options.isDistant(peer));
+    const others = peers.filter((peer) => !firstTime.includes(peer));
+    const remote = others.filter((peer) => this.options.isInOtherRegion(peer));
     this.sendHeartbeat(
-      others.filter((peer) => !distant.includes(peer)),
-      named,
+      others.filter((peer) => !remote.includes(peer)),
+      members,
     );
-    if (distant.length > 0) {
-      this.sendHeartbeat(distant, this.addRegion(named));
+    if (remote.length > 0) {
+      this.sendHeartbeat(remote, this.addRegion(members));
     }
   }
 
   /**
-   * A few links join two regions: a VM named there by chance only would be forgotten in
-   * the other region while it runs.
+   * Adds the members of the own region. Few links join two regions, so that random samples alone
+   * would let running VMs expire in the other region.
    */
-  private addRegion(named: MemberAge[]): MemberAge[] {
-    const members = new Map([...named, ...this.options.nameRegion()].map((vm) => [vm.id, vm]));
-    return [...members.values()];
+  private addRegion(members: GossipedMember[]): GossipedMember[] {
+    const byId = new Map(
+      [...members, ...this.options.listRegionMembers()].map((vm) => [vm.id, vm]),
+    );
+    return [...byId.values()];
   }
 
-  private sendHeartbeat(peers: PeerId[], members: MemberAge[]): void {
-    const { readKnowledge, region, isChosen, listHidden } = this.options;
-    const { revision, configuration, configurationBytes } = readKnowledge();
-    const knowledge = { revision, configuration, configurationBytes };
-    for (const wanted of [true, false]) {
-      const addressed = peers.filter((peer) => isChosen(peer) === wanted);
-      const hidden = listHidden();
-      const told = {
-        ...nameMembers(members, region),
+  private sendHeartbeat(peers: PeerId[], members: GossipedMember[]): void {
+    const { readSyncState, region, isChosenPeer, listUnreachableRegions } = this.options;
+    const { revision, configuration, configurationBytes } = readSyncState();
+    const syncState = { revision, configuration, configurationBytes };
+    for (const isChosen of [true, false]) {
+      const addressed = peers.filter((peer) => isChosenPeer(peer) === isChosen);
+      const hidden = listUnreachableRegions();
+      const regionFields = {
+        ...toHeartbeatMembers(members, region),
         ...(hidden.length === 0 ? {} : { hidden }),
       };
-      const heartbeat = { kind: 'heartbeat', wanted, ...told, ...knowledge } as const;
-      this.sendWithMarks(heartbeat, addressed);
+      const heartbeat = {
+        kind: 'heartbeat',
+        wanted: isChosen,
+        ...regionFields,
+        ...syncState,
+      } as const;
+      this.sendWithStoreMarks(heartbeat, addressed);
     }
   }
 
-  /** Marks are told one by one to those that need them, which are few behind the start. */
-  private sendWithMarks(heartbeat: EvidenceMessageOf<'heartbeat'>, peers: PeerId[]): void {
+  /** Adds store marks for the peers that need them; the others share one message. */
+  private sendWithStoreMarks(heartbeat: ExchangeMessageOf<'heartbeat'>, peers: PeerId[]): void {
     const { broadcast, composeMarks } = this.options;
     const marks = new Map(peers.map((peer) => [peer, composeMarks(peer)]));
     broadcast(
--- a/packages/share-evidence/src/index.ts
+++ b/packages/share-evidence/src/index.ts
@@ -1,13 +1,13 @@
-/** What VMs of the HTTP front door tell each other. */
-export { default as EvidenceExchange } from './evidence-exchange.js';
-export { choosePart } from './choose-schedulers.js';
+/** Exchanges load, losses, members, permits, reports and store items between VMs. */
+export { default as PeerExchange } from './peer-exchange.js';
+export { choosePartition } from './choose-schedulers.js';
 export type { PeerReport } from './report-messages.js';
 export type {
-  EvidenceExchangeOptions,
+  PeerExchangeOptions,
   PeerId,
-  StoreKnowledge,
+  StoreSyncState,
   StoreUpdate,
-  TargetAnswer,
+  SchedulerAnswer,
   TargetLoad,
-  TargetQuestion,
+  SchedulerRequest,
 } from './types.js';
--- a/packages/share-evidence/src/leaving-messages.ts
+++ b/packages/share-evidence/src/leaving-messages.ts
@@ -1,22 +1,22 @@
-/** Wire format of leaving announcements; ages replace times, since VMs share no clock. */
+/**
+ * Wire format of leaving announcements. It carries ages instead of times, since VMs share no clock.
+ */
 import type { LeavingFact } from '@limelead/track-backpressure';
 import type { Millis } from '@limelead/types';
 import * as t from 'io-ts';
 
-/** An optional field of the message of lost targets, which older releases ignore. */
-export const leavingNewsCodec = t.array(t.type({ target: t.string, heardAgoMs: t.number }));
+/** An optional field of the message of lost targets; older releases ignore it. */
+export const leavingUpdateCodec = t.array(t.type({ target: t.string, heardAgoMs: t.number }));
 
-type LeavingNews = t.TypeOf<typeof leavingNewsCodec>;
+type LeavingUpdate = t.TypeOf<typeof leavingUpdateCodec>;
 
-/** Encodes announcements. */
-export function composeLeavingNews(facts: LeavingFact[], now: Millis): LeavingNews {
+export function encodeLeavingUpdate(facts: LeavingFact[], now: Millis): LeavingUpdate {
   return facts.map(({ target, heardAtMs }) => ({
     target,
     heardAgoMs: Math.round(now - heardAtMs),
   }));
 }
 
-/** Decodes announcements. */
-export function readLeavingNews(news: LeavingNews, now: Millis): LeavingFact[] {
-  return news.map(({ target, heardAgoMs }) => ({ target, heardAtMs: now - heardAgoMs }));
+export function decodeLeavingUpdate(update: LeavingUpdate, now: Millis): LeavingFact[] {
+  return update.map(({ target, heardAgoMs }) => ({ target, heardAtMs: now - heardAgoMs }));
 }
--- a/packages/share-evidence/src/load-exchange.ts
+++ b/packages/share-evidence/src/load-exchange.ts
@@ -1,181 +1,192 @@
 /**
- * The load of VMs at targets, and what follows from it. In a small fleet every VM
- * tells all others. In a large one each tells the schedulers of its region, and asks
- * them where its streams go; schedulers tell those of other regions the sums.
+ * Exchanges the load of VMs at targets. In a small fleet every VM sends its load to all others. In
+ * a large fleet each VM sends it to the schedulers of its region and asks them where its streams
+ * go; schedulers send the sums to those of other regions.
  */
 import type { Advice, AdviceRequest, Clock, Millis, Timers } from '@limelead/types';
-import { choosePart, type Schedulers } from './choose-schedulers.js';
-import LoadNews from './load-news.js';
-import type { EvidenceMessage, EvidenceMessageOf } from './messages.js';
+import { choosePartition, type SchedulersByPartition } from './choose-schedulers.js';
+import LoadPublisher from './load-publisher.js';
+import type { ExchangeMessage, ExchangeMessageOf } from './messages.js';
 import type PeerTable from './peer-table.js';
-import RegionLoad, { fromColumns } from './region-load.js';
-import TargetAdvice from './target-advice.js';
-import type { EvidenceExchangeOptions, PeerId, TargetLoad } from './types.js';
+import RegionLoadPublisher, { fromColumns } from './region-load-publisher.js';
+import TargetAdviceClient from './target-advice-client.js';
+import type { PeerExchangeOptions, PeerId, TargetLoad } from './types.js';
 
-/** What it needs. */
+/** Dependencies of `LoadExchange`. */
 export interface LoadExchangeOptions extends Pick<
-  EvidenceExchangeOptions,
-  'failureDomain' | 'readLoad' | 'onLoad' | 'adviseTarget'
+  PeerExchangeOptions,
+  'failureDomain' | 'readLoad' | 'onPeerLoad' | 'adviseTarget'
 > {
   self: PeerId;
   clock: Clock;
   timers: Timers;
   peers: PeerTable;
-  /** By part of the targets; none in a small fleet. */
-  listSchedulers(): Schedulers;
-  /** VMs of other regions that are told the load of this one; none but for a scheduler. */
-  listLoadReaders(): readonly PeerId[];
+  /** Schedulers by partition of the targets; empty in a small fleet. */
+  listSchedulers(): SchedulersByPartition;
+  /**
+   * Schedulers of other regions to which this VM sends load; empty unless it is a scheduler itself.
+   */
+  listRemoteSchedulers(): readonly PeerId[];
   /** Whether a peer is in another region. */
-  isDistant(peer: PeerId): boolean;
-  send(peer: PeerId, message: EvidenceMessage): void;
-  broadcast(message: EvidenceMessage, peers: PeerId[]): void;
+  isInOtherRegion(peer: PeerId): boolean;
+  send(peer: PeerId, message: ExchangeMessage): void;
+  broadcast(message: ExchangeMessage, peers: PeerId[]): void;
 }
 
-type LoadMessage = EvidenceMessageOf<'load' | 'region-load' | 'want-target' | 'advise-target'>;
+type LoadMessage = ExchangeMessageOf<'load' | 'region-load' | 'want-target' | 'advise-target'>;
 
-/** Tells load, asks for advice and gives it. */
+/** Publishes load, requests advice and answers such requests. */
 export default class LoadExchange {
-  private readonly news: LoadNews;
-  private readonly region: RegionLoad;
-  private readonly advice: TargetAdvice;
+  private readonly loadPublisher: LoadPublisher;
+  private readonly regionLoadPublisher: RegionLoadPublisher;
+  private readonly adviceClient: TargetAdviceClient;
   private startedAtMs: Millis = 0;
 
   constructor(private readonly options: LoadExchangeOptions) {
     const { self, clock, timers, peers, listSchedulers, adviseTarget, send, broadcast } = options;
-    this.news = new LoadNews({
+    this.loadPublisher = new LoadPublisher({
       timers,
-      listPeers: () => this.listReaders(),
+      listPeers: () => this.listRecipients(),
       readLoadFor: (peer) => this.readLoadFor(peer),
-      tell: (peer, targets) =>
-        send(peer, { kind: 'load', targets, advice: this.advice.answeredBy(peer) }),
+      send: (peer, targets) =>
+        send(peer, { kind: 'load', targets, advice: this.adviceClient.lastAnswerNumber(peer) }),
     });
-    this.region = new RegionLoad({
+    this.regionLoadPublisher = new RegionLoadPublisher({
       timers,
       readOwnLoad: () => this.readLoadFor(self),
-      listReaders: () => this.listRegionReaders(),
-      tell: (readers, sums) => broadcast({ kind: 'region-load', ...sums }, readers),
+      listRecipients: () => this.listRegionRecipients(),
+      send: (readers, sums) => broadcast({ kind: 'region-load', ...sums }, readers),
     });
-    this.advice = new TargetAdvice({
+    this.adviceClient = new TargetAdviceClient({
       self,
       clock,
       timers,
       listSchedulers,
       readLinkedAtMs: (scheduler) =>
         scheduler === self ? this.startedAtMs : peers.get(scheduler)?.linkedAtMs,
-      decide: (question) => adviseTarget(self, question),
-      send: (scheduler, question) => send(scheduler, { kind: 'want-target', ...question }),
+      adviseLocally: (request) => adviseTarget(self, request),
+      send: (scheduler, request) => send(scheduler, { kind: 'want-target', ...request }),
     });
   }
 
-  /** From now on this VM counts as linked to itself. */
+  /** Starts the exchange; this VM counts as linked to itself from now on. */
   start(): void {
     this.startedAtMs = this.options.clock.now();
   }
 
-  /** The load of this VM changed; those who should know are told soon. */
-  note(): void {
-    this.news.note();
-    this.region.note();
+  /** Schedules publication of a changed load. */
+  onLoadChanged(): void {
+    this.loadPublisher.onLoadChanged();
+    this.regionLoadPublisher.onLoadChanged();
   }
 
-  /** Tells those who should know another load than they do. */
-  tell(): void {
-    this.news.tellAll();
-    this.region.tellAll();
+  /** Sends the current load to every recipient with an outdated one. */
+  publishChanges(): void {
+    this.loadPublisher.publishChanges();
+    this.regionLoadPublisher.publishChanges();
   }
 
-  /** Asks where a stream should go; answered at once where there is nobody to ask. */
-  ask(request: AdviceRequest, receive: (advice: Advice) => void): () => void {
-    return this.advice.ask({ ...request, failureDomain: this.options.failureDomain }, receive);
+  /**
+   * Requests a target for a stream. `receive` is called at once if there is no scheduler.
+   * @returns a function that cancels the request
+   */
+  requestAdvice(request: AdviceRequest, receive: (advice: Advice) => void): () => void {
+    return this.adviceClient.requestAdvice(
+      { ...request, failureDomain: this.options.failureDomain },
+      receive,
+    );
   }
 
-  /** A link came up. */
-  noteLinked(peer: PeerId): void {
-    this.news.forget(peer);
-    this.region.forget(peer);
-    this.news.tellAll();
-    this.region.note();
+  /** Handles a new link. */
+  onLinked(peer: PeerId): void {
+    this.loadPublisher.forgetPeer(peer);
+    this.regionLoadPublisher.forgetRecipient(peer);
+    this.loadPublisher.publishChanges();
+    this.regionLoadPublisher.onLoadChanged();
   }
 
-  /** A link is lost. */
-  noteLost(peer: PeerId): void {
-    this.news.forget(peer);
-    this.region.forget(peer);
-    this.region.take(peer, []);
-    this.advice.noteLost(peer);
-    this.options.onLoad(peer, { targets: new Map(), advice: Infinity });
+  /** Handles the loss of a link. */
+  onPeerLost(peer: PeerId): void {
+    this.loadPublisher.forgetPeer(peer);
+    this.regionLoadPublisher.forgetRecipient(peer);
+    this.regionLoadPublisher.setVmLoad(peer, []);
+    this.adviceClient.onLinkLost(peer);
+    this.options.onPeerLoad(peer, { targets: new Map(), advice: Infinity });
   }
 
-  /** A peer told its load, or one of the two asks where a stream should go. */
-  hear(peer: PeerId, message: LoadMessage): void {
+  /** Handles a peer's load, or its request for or answer with advice. */
+  onMessage(peer: PeerId, message: LoadMessage): void {
     switch (message.kind) {
       case 'load':
-        this.hearLoad(peer, message);
+        this.onLoad(peer, message);
         break;
       case 'region-load':
-        this.options.onLoad(peer, { targets: toLoads(fromColumns(message)), advice: 0 });
+        this.options.onPeerLoad(peer, { targets: toLoads(fromColumns(message)), advice: 0 });
         break;
       case 'want-target':
-        this.answer(peer, message);
+        this.answerRequest(peer, message);
         break;
       case 'advise-target':
-        this.hearAdvice(peer, message);
+        this.onAdvice(peer, message);
         break;
     }
   }
 
-  /** A peer told its load. */
-  private hearLoad(peer: PeerId, { targets, advice }: EvidenceMessageOf<'load'>): void {
-    this.options.onLoad(peer, { targets: toLoads(targets), advice });
-    this.region.take(peer, this.options.isDistant(peer) ? [] : targets);
+  /** Records the load of a peer. */
+  private onLoad(peer: PeerId, { targets, advice }: ExchangeMessageOf<'load'>): void {
+    this.options.onPeerLoad(peer, { targets: toLoads(targets), advice });
+    this.regionLoadPublisher.setVmLoad(peer, this.options.isInOtherRegion(peer) ? [] : targets);
   }
 
-  /** A peer asks where its stream should go. */
-  private answer(peer: PeerId, question: EvidenceMessageOf<'want-target'>): void {
+  /** Answers a request for advice. */
+  private answerRequest(peer: PeerId, request: ExchangeMessageOf<'want-target'>): void {
     const { adviseTarget, send } = this.options;
-    const answer = adviseTarget(peer, question);
+    const answer = adviseTarget(peer, request);
     send(peer, {
       kind: 'advise-target',
-      number: question.number,
+      number: request.number,
       target: answer?.target ?? null,
       copyTo: answer?.copyTo ?? null,
     });
   }
 
-  /** A scheduler answered. */
-  private hearAdvice(
+  /** Passes the advice of a scheduler on. */
+  private onAdvice(
     peer: PeerId,
-    { number, target, copyTo }: EvidenceMessageOf<'advise-target'>,
+    { number, target, copyTo }: ExchangeMessageOf<'advise-target'>,
   ): void {
     const answer = target === null ? undefined : { target, copyTo: copyTo ?? undefined };
-    this.advice.hear(peer, number, answer);
+    this.adviceClient.onAnswer(peer, number, answer);
   }
 
-  /** The schedulers, or all peers where there are none. */
-  private listReaders(): PeerId[] {
+  /** Returns the linked schedulers, or all peers if there are no schedulers. */
+  private listRecipients(): PeerId[] {
     const { peers, listSchedulers } = this.options;
     const schedulers = new Set(listSchedulers().flat());
     return peers.list().filter((peer) => schedulers.size === 0 || schedulers.has(peer));
   }
 
-  /** One scheduler of a part speaks for the region: the first that is linked to this one, or this one. */
-  private listRegionReaders(): PeerId[] {
-    const { self, peers, listSchedulers, listLoadReaders } = this.options;
-    const part = listSchedulers().find((schedulers) => schedulers.includes(self)) ?? [];
-    const speaker = part.find((peer) => peer === self || peers.get(peer) !== undefined);
-    return speaker === self
-      ? listLoadReaders().filter((peer) => peers.get(peer) !== undefined)
+  /**
+   * Returns recipients only if this VM reports for its region: it is the first scheduler of its
+   * partition that is linked.
+   */
+  private listRegionRecipients(): PeerId[] {
+    const { self, peers, listSchedulers, listRemoteSchedulers } = this.options;
+    const partition = listSchedulers().find((schedulers) => schedulers.includes(self)) ?? [];
+    const sender = partition.find((peer) => peer === self || peers.get(peer) !== undefined);
+    return sender === self
+      ? listRemoteSchedulers().filter((peer) => peers.get(peer) !== undefined)
       : [];
   }
 
-  /** A scheduler is told the load at its part of the targets. */
+  /** Returns the load for a peer; a scheduler gets only its partition of the targets. */
   private readLoadFor(peer: PeerId): TargetLoad[] {
     const { listSchedulers, readLoad } = this.options;
-    const parts = listSchedulers();
-    const part = parts.findIndex((schedulers) => schedulers.includes(peer));
-    return part < 0
+    const partitions = listSchedulers();
+    const partition = partitions.findIndex((schedulers) => schedulers.includes(peer));
+    return partition < 0
       ? readLoad()
-      : readLoad().filter(({ id }) => choosePart(id, parts.length) === part);
+      : readLoad().filter(({ id }) => choosePartition(id, partitions.length) === partition);
   }
 }
 
--- a/packages/share-evidence/src/membership.ts
+++ b/packages/share-evidence/src/membership.ts
@@ -1,184 +1,206 @@
 /**
- * Which VMs there are, as one of them sees it, and what follows from it: the links
- * that it keeps, whether it is one of those that follow the store for all, and which
- * VMs are asked where streams go.
+ * Tracks the members of the fleet as one VM sees them, and derives its links, the VMs that follow
+ * the store, the schedulers and the candidates for duties.
  */
 import type { PeerLinks } from '@limelead/peer-links';
 import type { Clock, Millis, Random } from '@limelead/types';
-import { FULL_MESH_VMS } from './choose-peers.js';
-import { LEAST_FOLLOWERS } from './choose-followers.js';
-import type { Schedulers } from './choose-schedulers.js';
-import DutyCandidates from './duty-candidates.js';
-import LinkUpkeep from './link-upkeep.js';
-import MemberBook, { type MemberAge } from './member-book.js';
-import planFleet, { LONE_PLAN, type FleetPlan, type LocatedVm } from './plan-fleet.js';
-import RegionSizes, { type HiddenRegion, type RegionNotice } from './region-sizes.js';
+import { LARGE_FLEET_VMS } from './choose-gossip-peers.js';
+import { MIN_FOLLOWERS } from './choose-store-followers.js';
+import type { SchedulersByPartition } from './choose-schedulers.js';
+import DutyCandidateTracker from './duty-candidate-tracker.js';
+import GossipLinkManager from './gossip-link-manager.js';
+import MemberRegistry, { type GossipedMember } from './member-registry.js';
+import planFleet, { SINGLE_VM_PLAN, type FleetPlan, type VmWithRegion } from './plan-fleet.js';
+import RegionSizeTracker, {
+  type UnreachableRegion,
+  type RegionChange,
+} from './region-size-tracker.js';
 import type { PeerId } from './types.js';
 
 /**
- * A VM of which nobody heard for this long decides nothing for others. Each speaks about once a second,
- * and what one hears is passed on in the next.
+ * Maximum age of a member that may become a grantor. Each VM sends about one message per second,
+ * and peers forward it in the next.
  */
-const SPEAKS_WITHIN_MS: Millis = 2_500;
+const ACTIVE_WITHIN_MS: Millis = 2_500;
 
-/** What a membership needs. */
+/** Dependencies of `Membership`. */
 export interface MembershipOptions {
   self: PeerId;
-  /** Region of this VM; undefined where the fleet is in one. */
+  /** Region of this VM; undefined if the fleet has one region. */
   region: string | undefined;
   seeds: PeerId[];
   links: Pick<PeerLinks<never>, 'open' | 'opened' | 'drop' | 'linked'>;
   clock: Clock;
   random: Random;
-  /** Another region came into sight, or went out of it. */
-  onRegion(notice: RegionNotice): void;
+  /** Another region became reachable or unreachable. */
+  onRegionChange(notice: RegionChange): void;
 }
 
-/** Follows the members, round by round. */
+/** Updates members, links and roles in each round. */
 export default class Membership {
-  private readonly book: MemberBook;
-  private readonly upkeep: LinkUpkeep;
-  private readonly sizes: RegionSizes;
-  /** As of the last round; before the first, a VM of a large fleet is taken for a follower. */
+  private readonly registry: MemberRegistry;
+  private readonly linkManager: GossipLinkManager;
+  private readonly regionSizes: RegionSizeTracker;
+  /** Plan of the last round; before the first one this VM counts as a follower of the store. */
   private plan: FleetPlan;
-  /** VMs that run out of sight, as of the last round. */
-  private hiddenVms = 0;
-  private readonly candidates: DutyCandidates;
+  /** Number of VMs in unreachable regions, as of the last round. */
+  private unreachableVms = 0;
+  private readonly candidates: DutyCandidateTracker;
 
   constructor(private readonly options: MembershipOptions) {
     const { self, region, seeds, links, clock, random } = options;
-    this.book = new MemberBook(self, clock, random, region);
-    this.candidates = new DutyCandidates(self, clock);
-    this.upkeep = new LinkUpkeep(self, seeds, links);
-    this.sizes = new RegionSizes(clock, options.onRegion);
-    this.plan = { ...LONE_PLAN, followers: [self] };
+    this.registry = new MemberRegistry(self, clock, random, region);
+    this.candidates = new DutyCandidateTracker(self, clock);
+    this.linkManager = new GossipLinkManager(self, seeds, links);
+    this.regionSizes = new RegionSizeTracker(clock, options.onRegionChange);
+    this.plan = { ...SINGLE_VM_PLAN, followers: [self] };
   }
 
-  /** VMs that are believed to run, this one included. */
+  /** Number of known VMs that have not expired, including this one. */
   get count(): number {
-    return this.book.count;
+    return this.registry.count;
   }
 
   /**
-   * VMs that share the retry budget: those of a region that can't be reached go on
-   * spending, and three regions that lose each other would spend three budgets.
+   * Number of VMs including those of unreachable regions, which continue to spend their part of the
+   * retry budget.
    */
-  get budgetCount(): number {
-    return this.count + this.hiddenVms;
+  get totalVmCount(): number {
+    return this.count + this.unreachableVms;
   }
 
-  /** Whether a few VMs follow the store for all; a small fleet asks it directly. */
-  get isLarge(): boolean {
-    return this.count >= FULL_MESH_VMS;
+  /** Whether a few VMs follow the store for all; in a small fleet every VM does. */
+  get isLargeFleet(): boolean {
+    return this.count >= LARGE_FLEET_VMS;
   }
 
-  /** VMs that ask the store themselves while news of it spread as they should. */
-  get followerCount(): number {
-    return this.isLarge ? Math.max(LEAST_FOLLOWERS, this.plan.followers.length) : this.count;
+  /** Number of VMs that follow the store themselves while its updates arrive in time. */
+  get storeFollowerCount(): number {
+    return this.isLargeFleet ? Math.max(MIN_FOLLOWERS, this.plan.followers.length) : this.count;
   }
 
-  /** Whether others rely on this VM to follow the store. */
-  get followsForOthers(): boolean {
-    return this.isLarge && this.plan.followers.includes(this.options.self);
+  /** Whether other VMs rely on this one to follow the store. */
+  get isStoreFollower(): boolean {
+    return this.isLargeFleet && this.plan.followers.includes(this.options.self);
   }
 
-  /** VMs of the own region that are asked where streams go, by part of the targets; none in a small fleet. */
-  get schedulers(): Schedulers {
+  /** Schedulers of the own region by partition of the targets; empty in a small fleet. */
+  get schedulers(): SchedulersByPartition {
     return this.plan.schedulers;
   }
 
-  /** VMs of other regions that this one, a scheduler, tells the load of its region. */
-  get loadReaders(): readonly PeerId[] {
-    return this.plan.loadReaders;
+  /**
+   * Schedulers of other regions to which this VM sends the load of its region; empty unless it is a
+   * scheduler.
+   */
+  get remoteSchedulers(): readonly PeerId[] {
+    return this.plan.remoteSchedulers;
   }
 
-  /** The VMs that stand for duties of one VM at a time; none before the first round. */
+  /** Candidates for duties that one VM at a time performs; empty before the first round. */
   get dutyCandidates(): readonly PeerId[] {
     return this.candidates.list;
   }
 
-  /** VMs one of which decides for all: those that spoke lately, in a large fleet those that stand for duties. */
-  listDeciders(): PeerId[] {
+  /**
+   * VMs from which the grantors of permits are chosen: the duty candidates of a large fleet, or
+   * else all recently active VMs.
+   */
+  listGrantorCandidates(): PeerId[] {
     const { self } = this.options;
-    return this.isLarge
+    return this.isLargeFleet
       ? [...this.candidates.list]
-      : [self, ...this.book.listSpoken(SPEAKS_WITHIN_MS)];
+      : [self, ...this.registry.listActive(ACTIVE_WITHIN_MS)];
   }
 
-  /** Since when this VM has no links to most of the others that it knows; undefined where it has. */
-  get cutOffSinceMs(): Millis | undefined {
-    return this.candidates.cutOffSinceMs;
+  /**
+   * Time since which this VM has no links to most of the VMs that it knows; undefined if it has.
+   */
+  get isolatedSinceMs(): Millis | undefined {
+    return this.candidates.isolatedSinceMs;
   }
 
   /** Whether this VM chose a peer for gossip. */
   isChosenPeer(peer: PeerId): boolean {
-    return this.upkeep.isChosen(peer);
+    return this.linkManager.isChosenPeer(peer);
   }
 
   /** Whether a peer is in another region. */
-  isDistant(peer: PeerId): boolean {
-    return this.plan.distant.has(peer);
+  isInOtherRegion(peer: PeerId): boolean {
+    return this.plan.otherRegionVms.has(peer);
   }
 
-  /** A peer spoke just now. */
-  hearFrom(peer: PeerId): void {
-    this.book.hearFrom(peer);
+  /** Records a message of a peer. */
+  recordContact(peer: PeerId): void {
+    this.registry.recordContact(peer);
   }
 
-  /** A peer turned out to belong to another fleet. */
-  forget(peer: PeerId): void {
-    this.book.forget(peer);
+  /** Removes a peer that belongs to another fleet. */
+  remove(peer: PeerId): void {
+    this.registry.remove(peer);
   }
 
-  /** A peer told its own region; undefined where it knows none. */
-  locate(peer: PeerId, region: string | undefined): void {
+  /** Sets the region that a peer reports of itself; undefined if it reports none. */
+  setRegion(peer: PeerId, region: string | undefined): void {
     if (region !== undefined) {
-      this.book.locate(peer, region);
+      this.registry.setRegion(peer, region);
     }
   }
 
-  /** Regions that this VM can't see. */
-  listHidden(): HiddenRegion[] {
-    return this.sizes.listHidden();
+  /** Regions that this VM cannot reach. */
+  listUnreachableRegions(): UnreachableRegion[] {
+    return this.regionSizes.listUnreachable();
   }
 
-  /** A peer named other VMs, and regions that it can't see; a small fleet grows together at once. */
-  hear(members: MemberAge[], hidden: readonly HiddenRegion[] = []): void {
-    hidden
+  /**
+   * Records the members and unreachable regions that a peer reported. A small fleet opens links at
+   * once.
+   */
+  onMembersReceived(
+    members: GossipedMember[],
+    unreachable: readonly UnreachableRegion[] = [],
+  ): void {
+    unreachable
       .filter(({ region }) => region !== this.options.region)
-      .forEach((region) => this.sizes.hear(region));
-    members.forEach((member) => this.book.hear(member));
-    if (!this.isLarge) {
-      this.upkeep.open(this.book.list());
+      .forEach((region) => this.regionSizes.recordUnreachable(region));
+    members.forEach((member) => this.registry.recordMember(member));
+    if (!this.isLargeFleet) {
+      this.linkManager.openGossipLinks(this.registry.list());
     }
   }
 
-  /** One round: links and followers are chosen anew. Gives the members to name to all peers. */
-  tend(): MemberAge[] {
+  /**
+   * Runs one round: updates the plan and the links.
+   * @returns the members for the heartbeats of this round
+   */
+  runRound(): GossipedMember[] {
     const { self, region, links } = this.options;
-    const members = this.book.listLocated();
-    this.hiddenVms = this.sizes.note(this.listDistant(members));
+    const members = this.registry.listWithRegions();
+    this.unreachableVms = this.regionSizes.update(this.listOtherRegionVms(members));
     this.plan = planFleet({ id: self, region }, members);
-    const { isLarge, near, schedulers, loadReaders, ranking, fleetSchedulers } = this.plan;
-    this.candidates.choose(ranking, fleetSchedulers, links.linked());
-    const wanted = new Set([...schedulers.flat(), ...loadReaders, ...this.candidates.list]);
+    const { isLarge, sameRegionVms, schedulers, remoteSchedulers, ranking, fleetWideSchedulers } =
+      this.plan;
+    this.candidates.update(ranking, fleetWideSchedulers, links.linked());
+    const wanted = new Set([...schedulers.flat(), ...remoteSchedulers, ...this.candidates.list]);
     wanted.delete(self);
-    this.upkeep.tend(near, isLarge ? [...wanted] : [], this.plan);
-    return this.book.sample();
+    this.linkManager.runRound(sameRegionVms, isLarge ? [...wanted] : [], this.plan);
+    return this.registry.sample();
   }
 
-  /** Every member, to name to a peer that was just linked. */
-  nameAll(): MemberAge[] {
-    return this.book.nameAll();
+  /** All members, for a newly linked peer. */
+  listAllMembers(): GossipedMember[] {
+    return this.registry.listRecent();
   }
 
-  /** Every member of the own region, to name to a peer in another; none where the fleet is in one. */
-  nameRegion(): MemberAge[] {
+  /**
+   * All members of the own region, for a peer in another region; empty if the fleet has one region.
+   */
+  listRegionMembers(): GossipedMember[] {
     const { region } = this.options;
-    return region === undefined ? [] : this.book.nameRegion(region);
+    return region === undefined ? [] : this.registry.listRecentOfRegion(region);
   }
 
-  private listDistant(members: readonly LocatedVm[]): LocatedVm[] {
+  private listOtherRegionVms(members: readonly VmWithRegion[]): VmWithRegion[] {
     const { region } = this.options;
     return region === undefined
       ? []
--- a/packages/share-evidence/src/messages.test.ts
+++ b/packages/share-evidence/src/messages.test.ts
@@ -11,11 +11,11 @@
 import { Packr } from 'msgpackr';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { evidenceMessageFormat } from './messages.js';
+import { exchangeMessageFormat } from './messages.js';
 
 const SEED = 38;
 
-test('any bytes of a peer are a message or none', () => {
+test('any bytes decode to a message or to none', () => {
   const packr = new Packr({ useRecords: false });
   const message = record({
     kind: constantFrom('heartbeat', 'items', 'lost', 'load'),
@@ -27,27 +27,27 @@
   );
   check(
     property(bytes, (value) => {
-      const decoded = evidenceMessageFormat.decode(value);
+      const decoded = exchangeMessageFormat.decode(value);
       assert.ok(decoded === undefined || typeof decoded.kind === 'string');
     }),
     { seed: SEED, numRuns: 500 },
   );
 });
 
-test('a message of a kind that a later release brings keeps its link', () => {
+test('a message of an unknown kind does not close the link', () => {
   const packr = new Packr({ useRecords: false });
-  const decode = (value: unknown) => evidenceMessageFormat.decode(packr.pack(value));
+  const decode = (value: unknown) => exchangeMessageFormat.decode(packr.pack(value));
   assert.equal(decode({ kind: 'of-tomorrow', more: [1] }), { kind: 'unknown' });
   assert.is(decode({ kind: 'lost', targets: 7, replaced: [] }), undefined);
   assert.is(decode({ targets: [] }), undefined);
 });
 
-test('news of lost targets hold with and without those of requests, and with more than is known', () => {
+test('a message of lost targets is valid without quarantine updates, with them, and with unknown fields', () => {
   const packr = new Packr({ useRecords: false });
   const lost = { kind: 'lost', targets: ['t1'], replaced: [] };
   const requests = { strikes: [], withdrawn: [], absolved: [], trials: [] };
   for (const value of [lost, { ...lost, requests }, { ...lost, ofTomorrow: 1 }]) {
-    assert.equal(evidenceMessageFormat.decode(packr.pack(value)), value);
+    assert.equal(exchangeMessageFormat.decode(packr.pack(value)), value);
   }
 });
 
--- a/packages/share-evidence/src/messages.ts
+++ b/packages/share-evidence/src/messages.ts
@@ -1,11 +1,22 @@
-/** Messages between VMs of the HTTP front door. */
+/** Messages between VMs and their codecs. */
 import { createMessageFormat, type MessageFormat } from '@limelead/peer-links';
 import * as t from 'io-ts';
-import { guardNewsCodec } from './guard-messages.js';
-import { askPermits, givePermits, limitNewsCodec, returnPermit } from './permit-codecs.js';
-import { leavingNewsCodec } from './leaving-messages.js';
+import { quarantineUpdateCodec } from './quarantine-messages.js';
+import {
+  askPermitsCodec,
+  givePermitsCodec,
+  limitUpdateCodec,
+  returnPermitCodec,
+} from './permit-codecs.js';
+import { leavingUpdateCodec } from './leaving-messages.js';
 import { memberListCodec } from './member-codec.js';
-import { demand, timeOfDay, usage, versionEvidence, versionTotal } from './report-messages.js';
+import {
+  demandCodec,
+  timeOfDayCodec,
+  usageCodec,
+  versionEvidenceCodec,
+  versionTotalCodec,
+} from './report-messages.js';
 
 const buffer = new t.Type<Buffer, Uint8Array, unknown>(
   'bytes',
@@ -20,40 +31,40 @@
   t.partial({ made: t.number }),
 ]);
 
-/** Sent about once a second for gossip, and at once after a change of the two last fields. */
+/** Sent to gossip peers about once a second, and at once when the configuration changes. */
 const heartbeatBase = t.type({
   kind: t.literal('heartbeat'),
   /** Whether the sender chose the receiver for gossip. */
   wanted: t.boolean,
-  /** Some VMs that the sender heard of lately, with the milliseconds since each spoke. */
+  /** Some recently active VMs, with the milliseconds since each sent a message. */
   members: memberListCodec,
-  /** Revision of the store up to which the sender knows everything; 0 before the first list. */
+  /** Revision of the store up to which the sender is current; 0 before the first list. */
   revision: t.number,
   /** Version of the configuration in force; 0 for none. */
   configuration: t.number,
   configurationBytes: t.number,
 });
 
-/** What a heartbeat says beside that in a fleet of several regions; see `NamedMembers`. */
+/** Additional fields in a fleet of several regions; see `HeartbeatMembers`. */
 const heartbeatRegions = t.partial({
   region: t.string,
   regions: t.array(t.string),
   regionOf: t.array(t.number),
-  /** Regions that the sender can't see; see `HiddenRegion`. */
+  /** Regions that the sender cannot reach; see `UnreachableRegion`. */
   hidden: t.array(t.type({ region: t.string, vms: t.number, ageMs: t.number })),
 });
 
-/** Left out where both ends know that they follow the same store; see `ToldMarks`. */
+/** Omitted if both ends know that they follow the same store; see `AdvertisedStoreMarks`. */
 const heartbeatMarks = t.partial({
   storeMarks: t.type({ store: t.string, marks: t.array(t.number), isUnsure: t.boolean }),
 });
 
 const heartbeat = t.intersection([heartbeatBase, heartbeatRegions, heartbeatMarks]);
 
-/** Takes the place of a heartbeat on links that serve no gossip. */
+/** Sent instead of a heartbeat on links without gossip. */
 const pulse = t.type({ kind: t.literal('pulse') });
 
-/** Requests of the sender under way at each target; targets without any are left out. */
+/** Open requests of the sender at each target; idle targets are omitted. */
 const load = t.type({
   kind: t.literal('load'),
   /** Number of the receiver's last advice that this load follows; 0 for none. */
@@ -69,7 +80,10 @@
   ),
 });
 
-/** Requests of a whole region under way at each target, told by one of its schedulers; see `RegionLoad`. */
+/**
+ * Open requests of a whole region at each target, sent by one of its schedulers; see
+ * `RegionLoadPublisher`.
+ */
 const regionLoad = t.type({
   kind: t.literal('region-load'),
   targets: t.array(t.string),
@@ -79,18 +93,22 @@
   slowness: t.array(t.number),
 });
 
-/** The sender, or VMs that told it, found these targets lost just now; see `LostTargets`. */
+/** Targets that the sender or another VM detected as lost; see `LostTargets`. */
 const lost = t.intersection([
   t.type({
     kind: t.literal('lost'),
     targets: t.array(t.string),
     replaced: t.array(t.string),
   }),
-  /** Left out where there is none, and by VMs of a release that knows nothing of it. */
-  t.partial({ requests: guardNewsCodec, limits: limitNewsCodec, leaving: leavingNewsCodec }),
+  /** Omitted if empty, and by older releases. */
+  t.partial({
+    requests: quarantineUpdateCodec,
+    limits: limitUpdateCodec,
+    leaving: leavingUpdateCodec,
+  }),
 ]);
 
-/** Told by VMs that follow the store, and passed on; see `NewsOfStore`. */
+/** Sent by VMs that follow the store, and forwarded; see `StoreProgress`. */
 const storeNews = t.type({
   kind: t.literal('store-news'),
   revision: t.number,
@@ -99,36 +117,36 @@
   ageMs: t.number,
 });
 
-/** Asks for what the peer knows of the store beyond a revision; 0 for everything. */
+/** Requests the store items after a revision; 0 for all. */
 const wantItems = t.type({ kind: t.literal('want-items'), since: t.number });
 
-/** What the sender knows of the store, up to the revision. */
+/** The store items that the sender knows, up to `revision`. */
 const items = t.type({
   kind: t.literal('items'),
-  /** The items written behind the revision that was asked for. */
+  /** Items written after the requested revision. */
   items: t.array(storeItem),
-  /** Keys that went behind it. */
+  /** Keys deleted after the requested revision. */
   gone: t.array(t.string),
-  /** Keys of all items that are there, where not all that went is known; what is missing is gone. */
+  /** Keys of all existing items if not all deletions are known; any other key is deleted. */
   present: t.union([t.array(t.string), t.null]),
   revision: t.number,
 });
 
-/** Asks for repeats of the service's retry budget; the sender has few left. */
+/** Requests retries of the service's retry budget; the sender has few left. */
 const wantRepeats = t.type({
   kind: t.literal('want-repeats'),
   service: t.string,
   repeats: t.number,
 });
 
-/** Repeats of the service's retry budget that the sender counts as spent. */
+/** Retries of the service's retry budget that the sender counts as spent. */
 const lendRepeats = t.type({
   kind: t.literal('lend-repeats'),
   service: t.string,
   repeats: t.number,
 });
 
-/** Asks a scheduler where a stream should go; see `TargetQuestion`. */
+/** Requests advice from a scheduler; see `SchedulerRequest`. */
 const wantTarget = t.type({
   kind: t.literal('want-target'),
   number: t.number,
@@ -140,7 +158,10 @@
   parts: t.number,
 });
 
-/** Answers the question of that number; no target where none has a place, no copy where there is no other. */
+/**
+ * Answers the request of that number. `target` is null if none has a free slot, `copyTo` if there
+ * is no replica target.
+ */
 const adviseTarget = t.type({
   kind: t.literal('advise-target'),
   number: t.number,
@@ -161,21 +182,21 @@
   items,
   wantRepeats,
   lendRepeats,
-  timeOfDay,
-  usage,
-  demand,
-  versionEvidence,
-  versionTotal,
-  askPermits,
-  givePermits,
-  returnPermit,
+  timeOfDayCodec,
+  usageCodec,
+  demandCodec,
+  versionEvidenceCodec,
+  versionTotalCodec,
+  askPermitsCodec,
+  givePermitsCodec,
+  returnPermitCodec,
 ]);
 
 /** A message of a kind that this release knows. */
-export type KnownMessage = t.TypeOf<typeof knownMessageCodec>;
+export type SupportedMessage = t.TypeOf<typeof knownMessageCodec>;
 
-/** Whether a later message makes one needless, so that a slow link may drop it. */
-const IS_DROPPABLE: Readonly<Record<KnownMessage['kind'], boolean>> = {
+/** Whether a later message replaces one of this kind, so that a slow link may drop it. */
+const IS_DROPPABLE: Readonly<Record<SupportedMessage['kind'], boolean>> = {
   heartbeat: true,
   pulse: true,
   load: true,
@@ -198,7 +219,7 @@
   'return-permit': false,
 };
 
-/** A message of a kind that only a later release knows: it is passed over, and the link stays. */
+/** A message of a kind that only later releases know. It is ignored, and the link remains open. */
 const unknownMessage = t.type({ kind: t.literal('unknown') });
 const anyMessage = t.type({ kind: t.string });
 
@@ -214,18 +235,18 @@
 
 const evidenceMessageCodec = t.union([knownMessageCodec, unknownMessageCodec]);
 
-/** A message from one VM to another. */
-export type EvidenceMessage = t.TypeOf<typeof evidenceMessageCodec>;
+/** A message between VMs. */
+export type ExchangeMessage = t.TypeOf<typeof evidenceMessageCodec>;
 
-/** One kind of message. */
-export type EvidenceMessageOf<Kind extends EvidenceMessage['kind']> = Extract<
-  EvidenceMessage,
+/** A message of one kind. */
+export type ExchangeMessageOf<Kind extends ExchangeMessage['kind']> = Extract<
+  ExchangeMessage,
   { kind: Kind }
 >;
 
-/** Format of the messages on the wire. */
-export const evidenceMessageFormat: MessageFormat<EvidenceMessage> = createMessageFormat(
-  evidenceMessageCodec as t.Type<EvidenceMessage, unknown>,
+/** Wire format of the messages. */
+export const exchangeMessageFormat: MessageFormat<ExchangeMessage> = createMessageFormat(
+  evidenceMessageCodec as t.Type<ExchangeMessage, unknown>,
   ({ kind }) => kind === 'unknown' || IS_DROPPABLE[kind],
   (message) => evidenceMessageCodec.encode(message),
 );
--- a/packages/share-evidence/src/evidence-exchange.test.ts
+++ b/packages/share-evidence/src/peer-exchange.test.ts
@@ -6,51 +6,46 @@
 import { createServer, type AddressInfo } from 'node:net';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import {
-  EvidenceExchange,
-  type StoreKnowledge,
-  type StoreUpdate,
-  type TargetLoad,
-} from './index.js';
+import { PeerExchange, type StoreSyncState, type StoreUpdate, type TargetLoad } from './index.js';
 
 const clock = { now: () => performance.now() };
 const log = createDecisionLog({ vm: 'test', clock, output: (_, done) => done() });
 
-const EMPTY: StoreKnowledge = {
+const EMPTY: StoreSyncState = {
   revision: 0,
   configuration: 0,
   configurationBytes: 0,
-  isInTouch: true,
-  isStoreAway: false,
+  isStoreAnswering: true,
+  hasStoreCallFailed: false,
 };
 
-/** One VM, with what it was told. */
+/** One VM with the updates that it received. */
 class Vm {
   readonly loads = new Map<string, ReadonlyMap<string, PacedLoad>>();
   readonly lost: string[] = [];
   readonly updates: StoreUpdate[] = [];
-  readonly strangers: string[] = [];
-  /** Of the one store that all follow, unless a test says otherwise. */
+  readonly foreignPeers: string[] = [];
+  /** All VMs follow the same store unless a test sets other marks. */
   marks = [1];
   readonly borrowed = new Map<string, number>();
   spare = 0;
-  knowledge: StoreKnowledge = EMPTY;
+  syncState: StoreSyncState = EMPTY;
   items: StoreItem[] = [];
   load: TargetLoad[] = [];
-  exchange!: EvidenceExchange;
+  exchange!: PeerExchange;
   private wake: (() => void)[] = [];
 
   static async start(
     port: number,
     failureDomain: string,
     seeds: number[],
-    knowledge: StoreKnowledge = EMPTY,
+    syncState: StoreSyncState = EMPTY,
     items: StoreItem[] = [],
   ): Promise<Vm> {
     const vm = new Vm();
     vm.items = items;
-    vm.knowledge = knowledge;
-    vm.exchange = new EvidenceExchange({
+    vm.syncState = syncState;
+    vm.exchange = new PeerExchange({
       id: `127.0.0.1:${port}`,
       incarnation: `${port}.1`,
       host: '127.0.0.1',
@@ -61,38 +56,38 @@
       timers: backgroundTimers,
       random: systemRandom,
       log,
-      readKnowledge: () => vm.knowledge,
+      readSyncState: () => vm.syncState,
       secret: '',
       onFault: () => assert.unreachable(),
       storeAddress: 'store:1',
-      readMarks: () => vm.marks,
-      onStranger: (peer) => vm.note(() => vm.strangers.push(peer)),
-      readUpdate: (since) => ({
+      readStoreMarks: () => vm.marks,
+      onForeignPeer: (peer) => vm.note(() => vm.foreignPeers.push(peer)),
+      readStoreUpdate: (since) => ({
         items: vm.items.filter((item) => item.revision > since),
         gone: ['removed'],
         present: since === 0 ? vm.items.map(({ key }) => key) : undefined,
-        revision: vm.knowledge.revision,
+        revision: vm.syncState.revision,
       }),
       readLoad: () => vm.load,
-      onLoad: (peer, { targets }) => vm.note(() => vm.loads.set(peer, targets)),
+      onPeerLoad: (peer, { targets }) => vm.note(() => vm.loads.set(peer, targets)),
       adviseTarget: () => ({ target: `advised by ${port}` }),
-      onLost: (target) => vm.note(() => vm.lost.push(target)),
-      readGuardNews: () => composeNews({}),
-      onGuardNews: () => undefined,
+      onTargetLost: (target) => vm.note(() => vm.lost.push(target)),
+      readQuarantineState: () => composeNews({}),
+      onQuarantineUpdate: () => undefined,
       readLimits: () => [],
       onLimits: () => undefined,
       readLeaving: () => [],
       onLeaving: () => undefined,
-      onPermits: () => undefined,
+      onPermitMessage: () => undefined,
       onPermitPeerLost: () => undefined,
-      lendRepeats: (_, wanted) => Math.min(wanted, vm.spare),
-      onRepeats: (service, repeats) => vm.note(() => vm.borrowed.set(service, repeats)),
-      onUpdate: (update) =>
+      lendRetries: (_, wanted) => Math.min(wanted, vm.spare),
+      onRetriesBorrowed: (service, retries) => vm.note(() => vm.borrowed.set(service, retries)),
+      onStoreUpdate: (update) =>
         vm.note(() => {
           const { items, revision } = update;
           vm.updates.push(update);
           vm.items = items;
-          vm.knowledge = { ...vm.knowledge, revision };
+          vm.syncState = { ...vm.syncState, revision };
         }),
     });
     await vm.exchange.start();
@@ -126,67 +121,69 @@
   return ports;
 }
 
-test('VMs find each other through one seed, and count themselves', async () => {
+test('VMs find each other through one seed, and count all VMs', async () => {
   const [a = 0, b = 0, c = 0] = await findPorts(3);
   const first = await Vm.start(a, 'north', []);
   const second = await Vm.start(b, 'north', [a]);
   const third = await Vm.start(c, 'south', [a]);
-  await third.until(() => [first, second, third].every(({ exchange }) => exchange.vmCount === 3));
+  await third.until(() =>
+    [first, second, third].every(({ exchange }) => exchange.totalVmCount === 3),
+  );
   await Promise.all([first, second, third].map(({ exchange }) => exchange.stop()));
 });
 
-test('load is told to every peer, and is forgotten with the VM that told it', async () => {
+test('load reaches every peer, and is removed when its sender is lost', async () => {
   const [a = 0, b = 0, c = 0] = await findPorts(3);
-  const teller = await Vm.start(a, 'north', []);
+  const sender = await Vm.start(a, 'north', []);
   const near = await Vm.start(b, 'north', [a]);
   const far = await Vm.start(c, 'south', [a]);
-  teller.load = [
+  sender.load = [
     { id: 'n1', requests: 2, reading: 1, copies: 0, slowness: 1 },
     { id: 's1', requests: 1, reading: 0, copies: 0, slowness: 1 },
   ];
-  const told = (vm: Vm): Record<string, number> =>
+  const readRequests = (vm: Vm): Record<string, number> =>
     Object.fromEntries(
       [...(vm.loads.get(`127.0.0.1:${a}`) ?? [])].map(([id, { requests }]) => [id, requests]),
     );
   await near.until(() => {
-    teller.exchange.noteLoad();
-    return told(near)['n1'] === 2 && told(far)['s1'] === 1;
+    sender.exchange.onLoadChanged();
+    return readRequests(near)['n1'] === 2 && readRequests(far)['s1'] === 1;
   });
-  assert.equal(told(near), { n1: 2, s1: 1 });
-  assert.equal(told(far), { n1: 2, s1: 1 });
-  await teller.exchange.stop();
-  await near.until(() => Object.keys(told(near)).length === 0);
+  assert.equal(readRequests(near), { n1: 2, s1: 1 });
+  assert.equal(readRequests(far), { n1: 2, s1: 1 });
+  await sender.exchange.stop();
+  await near.until(() => Object.keys(readRequests(near)).length === 0);
   await Promise.all([near, far].map(({ exchange }) => exchange.stop()));
 });
 
-test('a lost target is told to everybody once', async () => {
+test('a lost target reaches every peer once', async () => {
   const [a = 0, b = 0] = await findPorts(2);
   const first = await Vm.start(a, 'north', []);
   const second = await Vm.start(b, 'south', [a]);
-  await first.until(() => first.exchange.vmCount === 2);
+  await first.until(() => first.exchange.totalVmCount === 2);
   await first.until(() => {
-    first.exchange.noteLost('t1', 'lost');
+    first.exchange.publishLoss('t1', 'lost');
     return second.lost.length > 0;
   });
-  first.exchange.noteLost('t2', 'lost');
+  first.exchange.publishLoss('t2', 'lost');
   await second.until(() => second.lost.includes('t2'));
   assert.equal([...new Set(second.lost)], second.lost);
   assert.equal(first.lost, []);
   await Promise.all([first, second].map(({ exchange }) => exchange.stop()));
 });
 
-test('a VM that the store turns away learns its items from a peer that knows more', async () => {
+test('a VM that the store does not answer gets its items from a peer', async () => {
   const [a = 0, b = 0] = await findPorts(2);
   const item = { key: 'k', value: Buffer.from('v'), revision: 7 };
   const known = { ...EMPTY, revision: 9, configuration: 3 };
   const first = await Vm.start(a, 'north', [], known, [item]);
-  const blind = await Vm.start(b, 'south', [a], { ...EMPTY, isInTouch: false });
-  await blind.until(() => blind.knowledge.revision === 9);
-  assert.equal(blind.items, [item]);
-  await Promise.all([first, blind].map(({ exchange }) => exchange.stop()));
+  const disconnected = await Vm.start(b, 'south', [a], { ...EMPTY, isStoreAnswering: false });
+  await disconnected.until(() => disconnected.syncState.revision === 9);
+  assert.equal(disconnected.items, [item]);
+  await Promise.all([first, disconnected].map(({ exchange }) => exchange.stop()));
 });
 
-test('a VM whose store seems well but tells nothing new learns a newer configuration from a peer', async () => {
+test('a VM whose store answers without new items gets a newer configuration from a peer', async () => {
   const [a = 0, b = 0] = await findPorts(2);
   const item = { key: 'k', value: Buffer.from('v'), revision: 7 };
   const known = { ...EMPTY, revision: 9, configuration: 3 };
@@ -196,18 +193,22 @@
     revision: 5,
     configuration: 2,
   });
-  await stale.until(() => stale.knowledge.revision === 9);
+  await stale.until(() => stale.syncState.revision === 9);
   assert.equal(stale.items, [item]);
   await Promise.all([first, stale].map(({ exchange }) => exchange.stop()));
 });
 
-test('a peer that is behind gets what it lacks, and the keys that went', async () => {
+test('a peer with an older revision gets the missing items and the deleted keys', async () => {
   const [a = 0, b = 0] = await findPorts(2);
   const old = { key: 'old', value: Buffer.from('v'), revision: 4 };
   const newer = { key: 'newer', value: Buffer.from('w'), revision: 7 };
   const known = { ...EMPTY, revision: 9, configuration: 3 };
   const first = await Vm.start(a, 'north', [], known, [old, newer]);
-  const behind = await Vm.start(b, 'south', [a], { ...EMPTY, revision: 5, isInTouch: false });
+  const behind = await Vm.start(b, 'south', [a], {
+    ...EMPTY,
+    revision: 5,
+    isStoreAnswering: false,
+  });
   await behind.until(() => behind.updates.length > 0);
   const [update] = behind.updates;
   assert.equal(update?.items, [newer]);
@@ -216,20 +217,20 @@
   await Promise.all([first, behind].map(({ exchange }) => exchange.stop()));
 });
 
-test('a VM with few repeats left gets half of one from a peer that has it', async () => {
+test('a VM with few retries left borrows half of one from a peer', async () => {
   const [a = 0, b = 0] = await findPorts(2);
-  const rich = await Vm.start(a, 'north', []);
-  rich.spare = 1;
-  const poor = await Vm.start(b, 'south', [a]);
-  await poor.until(() => {
-    poor.exchange.wantRepeats('briefs');
-    return poor.borrowed.get('briefs') === 0.5;
+  const lender = await Vm.start(a, 'north', []);
+  lender.spare = 1;
+  const borrower = await Vm.start(b, 'south', [a]);
+  await borrower.until(() => {
+    borrower.exchange.borrowRetries('briefs');
+    return borrower.borrowed.get('briefs') === 0.5;
   });
-  assert.is(rich.borrowed.size, 0);
-  await Promise.all([rich, poor].map(({ exchange }) => exchange.stop()));
+  assert.is(lender.borrowed.size, 0);
+  await Promise.all([lender, borrower].map(({ exchange }) => exchange.stop()));
 });
 
-test('a fleet of twelve asks one scheduler, and its stand-in once it is gone', async () => {
+test('a fleet of twelve VMs asks one scheduler, and its standby after it is lost', async () => {
   const ports = await findPorts(12);
   const vms: Vm[] = [];
   for (const port of ports) {
@@ -238,9 +239,9 @@
   const ask = (vm: Vm): Promise<Advice> =>
     new Promise((resolve) => {
       const request = { service: 'briefs', affinityKey: 'session', exclude: [] };
-      vm.exchange.askTarget(request, resolve);
+      vm.exchange.requestTargetAdvice(request, resolve);
     });
-  /** Asks until all that run are told the same by one scheduler; gives its port. */
+  /** Asks until one scheduler advises all running VMs; returns its port. */
   const agree = async (running: Vm[]): Promise<number> => {
     for (;;) {
       const advice = await Promise.all(running.map(ask));
--- /dev/null
+++ b/packages/share-evidence/src/peer-exchange.ts
@@ -0,0 +1,489 @@
+/**
+ * Exchanges messages between one VM and its peers: load and lost targets, advice on where streams
+ * go, permits, reports, and items of the store for VMs that the store does not answer.
+ */
+import { describeThrown } from '@limelead/errors';
+import { createPeerLinks, type PeerLinks } from '@limelead/peer-links';
+import type { PermitMessage } from '@limelead/permit-sends';
+import type { GuardNews } from '@limelead/quarantine-requests';
+import type { LeavingFact } from '@limelead/track-backpressure';
+import type { TargetLoss } from '@limelead/track-service-targets';
+import type { Advice, AdviceRequest, Millis } from '@limelead/types';
+import Gossip from './gossip.js';
+import LoadExchange from './load-exchange.js';
+import type { GossipedMember } from './member-registry.js';
+import canDelegateStoreRetries from './can-delegate-store-retries.js';
+import Membership from './membership.js';
+import { fromHeartbeatMembers } from './heartbeat-members.js';
+import PeerTable from './peer-table.js';
+import PermitExchange from './permit-exchange.js';
+import RetryBorrower from './retry-borrower.js';
+import PeerStoreVerifier from './peer-store-verifier.js';
+import type { RegionChange } from './region-size-tracker.js';
+import StoreExchange from './store-exchange.js';
+import TargetUpdateExchange from './target-update-exchange.js';
+import {
+  exchangeMessageFormat,
+  type ExchangeMessage,
+  type ExchangeMessageOf,
+  type SupportedMessage,
+} from './messages.js';
+import type { PeerReport } from './report-messages.js';
+import type { PeerExchangeOptions, LinkedPeer, PeerId } from './types.js';
+
+/** Interval of heartbeats and of updates of links and members. */
+const ROUND_MS = 1_000;
+/**
+ * Delay of the second round. It is short, since by then the seeds know all VMs that started
+ * together.
+ */
+const SECOND_ROUND_MS = 400;
+/**
+ * Time in milliseconds for which a VM that has listed the store waits to learn from its seeds
+ * whether the fleet is large.
+ */
+const FIRST_WATCH_DELAY_MS = 100;
+/** The same in a large fleet, until the third round determines the VMs that follow the store. */
+const LARGE_FLEET_FIRST_WATCH_DELAY_MS = 1_500;
+
+/** Connects a VM to its peers and dispatches their messages. */
+export default class PeerExchange {
+  private links: PeerLinks<ExchangeMessage> | undefined;
+  private readonly peers: PeerTable;
+  private members: Membership | undefined;
+  private readonly gossip: Gossip;
+  private readonly load: LoadExchange;
+  private readonly targetUpdates: TargetUpdateExchange;
+  private readonly retryBorrower: RetryBorrower;
+  private readonly store: StoreExchange;
+  private readonly storeVerifier: PeerStoreVerifier;
+  /** Limits reported by targets, and permits. */
+  readonly permits: PermitExchange;
+  /** Version of the configuration that was last sent to peers. */
+  private announcedConfiguration = 0;
+  private isStopped = false;
+
+  constructor(private readonly options: PeerExchangeOptions) {
+    const { clock, random } = options;
+    this.peers = new PeerTable(clock);
+    const listPeers = (): PeerId[] => this.gossip.listPeers();
+    const send = (peer: PeerId, message: ExchangeMessage): void => {
+      this.links?.send(peer, message);
+    };
+    const broadcast = (message: ExchangeMessage, peers: PeerId[]): void =>
+      this.links?.broadcast(message, peers);
+    this.storeVerifier = new PeerStoreVerifier({
+      clock,
+      store: options.storeAddress,
+      seeds: options.seeds,
+      readStoreMarks: options.readStoreMarks,
+      onForeignPeer: (peer) => this.onStranger(peer),
+    });
+    this.gossip = new Gossip({
+      peers: this.peers,
+      readSyncState: options.readSyncState,
+      region: options.region,
+      isChosenPeer: (peer) => this.members?.isChosenPeer(peer) ?? false,
+      isInOtherRegion: (peer) => this.members?.isInOtherRegion(peer) ?? false,
+      listUnreachableRegions: () => this.members?.listUnreachableRegions() ?? [],
+      listRegionMembers: () => this.members?.listRegionMembers() ?? [],
+      listAllMembers: () => this.members?.listAllMembers() ?? [],
+      composeMarks: (peer) => this.storeVerifier.composeMarks(peer),
+      broadcast,
+    });
+    this.retryBorrower = new RetryBorrower({
+      clock,
+      random,
+      listPeers,
+      sendRequest: (peer, service, retries) =>
+        send(peer, { kind: 'want-repeats', service, repeats: retries }),
+    });
+    this.store = new StoreExchange({
+      ...options,
+      peers: this.peers,
+      listPeers,
+      isTrusted: (peer) => this.storeVerifier.isTrusted(peer),
+      isLargeFleet: () => this.isLargeFleet,
+      isStoreFollower: () => this.isStoreFollower,
+      send,
+      broadcast,
+    });
+    this.load = new LoadExchange({
+      ...options,
+      self: options.id,
+      peers: this.peers,
+      listSchedulers: () => this.members?.schedulers ?? [],
+      listRemoteSchedulers: () => this.members?.remoteSchedulers ?? [],
+      isInOtherRegion: (peer) => this.members?.isInOtherRegion(peer) ?? false,
+      send,
+      broadcast,
+    });
+    this.permits = new PermitExchange({
+      ...options,
+      self: options.id,
+      peers: this.peers,
+      listPeers,
+      isPossiblySameStore: (peer) => this.storeVerifier.isPossiblySameStore(peer),
+      readMembership: () => this.members,
+      send,
+      broadcast,
+    });
+    this.targetUpdates = new TargetUpdateExchange({
+      ...options,
+      listPeers,
+      isPossiblySameStore: (peer) => this.storeVerifier.isPossiblySameStore(peer),
+      send,
+      broadcast,
+    });
+  }
+
+  /**
+   * Number of VMs including this one and those of unreachable regions; they share the retry budget.
+   */
+  get totalVmCount(): number {
+    return this.members?.totalVmCount ?? 1;
+  }
+
+  /** Number of VMs that follow the store themselves while its updates arrive in time. */
+  get storeFollowerCount(): number {
+    return this.members?.storeFollowerCount ?? 1;
+  }
+
+  /** Whether this VM has to follow the store itself. */
+  get mustFollowStore(): boolean {
+    return this.store.mustFollowStore;
+  }
+
+  /** Whether other VMs rely on this one to follow the store. */
+  get isStoreFollower(): boolean {
+    return this.members?.isStoreFollower ?? false;
+  }
+
+  /**
+   * Time in milliseconds for which this VM leaves the store to others before its first watch. It is
+   * 0 for a seed, and if a large configuration has to be read.
+   */
+  get firstWatchDelayMs(): Millis {
+    const { id, seeds } = this.options;
+    if (seeds.length === 0 || seeds.includes(id) || this.store.needsLargeConfiguration) {
+      return 0;
+    }
+    return this.isLargeFleet ? LARGE_FLEET_FIRST_WATCH_DELAY_MS : FIRST_WATCH_DELAY_MS;
+  }
+
+  /** Whether other VMs retry an unavailable store and can send this VM everything that it needs. */
+  get delegatesStoreRetries(): boolean {
+    return canDelegateStoreRetries({
+      isLargeFleet: this.isLargeFleet,
+      isStoreFollower: this.isStoreFollower,
+      linkedPeers: this.peers.size,
+      needsLargeConfiguration: this.store.needsLargeConfiguration,
+    });
+  }
+
+  /** Time at which the store last answered any VM, as far as this VM knows. */
+  get storeConfirmedAtMs(): Millis {
+    return this.store.confirmedAtMs;
+  }
+
+  /** Records that the store answered this VM. */
+  onStoreAnswered(): void {
+    this.store.onStoreAnswered();
+  }
+
+  /** Accepts peers and starts the periodic rounds. */
+  async start(): Promise<void> {
+    const { id, incarnation, host, port, timers, region, seeds, clock, random } = this.options;
+    this.links = await createPeerLinks<ExchangeMessage>({
+      id,
+      incarnation,
+      secret: this.options.secret,
+      host,
+      port,
+      timers,
+      format: exchangeMessageFormat,
+      onReady: (peer) => this.onReady(peer),
+      onMessage: (peer, message) => this.onMessage(peer, message),
+      onLost: (peer) => this.onPeerLost(peer),
+      onDropped: () => undefined,
+      onMisdirected: (message) => this.options.onMisdirected?.(message),
+    });
+    const onRegionChange = (change: RegionChange): void =>
+      this.options.log.write(change.isReachable ? 'region-in-sight' : 'region-away', {
+        region: change.region,
+        vms: change.vms,
+      });
+    const links = this.skipForeignPeers(this.links);
+    this.members = new Membership({
+      self: id,
+      region,
+      seeds,
+      links,
+      clock,
+      random,
+      onRegionChange,
+    });
+    this.load.start();
+    this.runRound(SECOND_ROUND_MS);
+  }
+
+  /**
+   * Prevents links to VMs that follow another store, even if they are seeds or listed as members.
+   */
+  private skipForeignPeers(links: PeerLinks<ExchangeMessage>): PeerLinks<ExchangeMessage> {
+    return {
+      ...links,
+      open: (peers) => links.open(peers.filter(({ id }) => !this.storeVerifier.isKnownForeign(id))),
+    };
+  }
+
+  /** Handles a store that was replaced or reset; peers have to be verified again. */
+  onStoreReplaced(): void {
+    this.announcedConfiguration = 0;
+    this.storeVerifier.reset();
+  }
+
+  /** Closes all links. */
+  async stop(): Promise<void> {
+    this.isStopped = true;
+    await this.links?.close();
+  }
+
+  /** Schedules publication of a changed load. */
+  onLoadChanged(): void {
+    if (!this.isStopped) {
+      this.load.onLoadChanged();
+    }
+  }
+
+  /**
+   * Requests a target for a stream. `receive` is called at once if there is no scheduler.
+   * @returns a function that cancels the request
+   */
+  requestTargetAdvice(request: AdviceRequest, receive: (advice: Advice) => void): () => void {
+    return this.load.requestAdvice(request, receive);
+  }
+
+  /** Publishes a target that this VM detected as lost. */
+  publishLoss(target: string, loss: TargetLoss): void {
+    this.targetUpdates.publishLoss(target, loss);
+  }
+
+  /** Publishes a quarantine update to all peers except the one from which it came. */
+  publishQuarantineUpdate(update: GuardNews, from?: PeerId): void {
+    this.targetUpdates.publishQuarantineUpdate(update, from);
+  }
+
+  /** Publishes leaving targets to all peers except the one from which they came. */
+  publishLeaving(facts: LeavingFact[], from?: PeerId): void {
+    this.targetUpdates.publishLeaving(facts, from);
+  }
+
+  /** Borrows retries from peers for a service that has few left. */
+  borrowRetries(service: string): void {
+    this.retryBorrower.requestRetries(service);
+  }
+
+  /** Candidates for duties that one VM at a time performs; may include this VM. */
+  get dutyCandidates(): readonly PeerId[] {
+    return this.members?.dutyCandidates ?? [];
+  }
+
+  /**
+   * Time since which this VM has no links to most of the VMs that it knows; undefined if it has.
+   */
+  get isolatedSinceMs(): Millis | undefined {
+    return this.members?.isolatedSinceMs;
+  }
+
+  /** The linked duty candidates, with the time since which the link is up. */
+  get linkedCandidates(): LinkedPeer[] {
+    return this.dutyCandidates.flatMap((peer) => {
+      const linkedAtMs = this.peers.get(peer)?.linkedAtMs;
+      return linkedAtMs === undefined ? [] : [{ peer, linkedAtMs }];
+    });
+  }
+
+  /** Sends a report to one peer; it is lost if no link is up. */
+  reportTo(peer: PeerId, report: PeerReport): void {
+    this.links?.send(peer, report);
+  }
+
+  /** Sends a report to the other duty candidates. */
+  reportToCandidates(report: PeerReport): void {
+    const { id } = this.options;
+    const linked = this.dutyCandidates.filter(
+      (peer) => peer !== id && this.peers.get(peer) !== undefined,
+    );
+    this.links?.broadcast(report, linked);
+  }
+
+  /** Sends a report to every linked VM. */
+  reportToLinked(report: PeerReport): void {
+    this.links?.broadcast(report, this.peers.list());
+  }
+
+  /** Sends a report to the gossip peers. */
+  reportToPeers(report: PeerReport): void {
+    this.links?.broadcast(report, this.gossip.listPeers());
+  }
+
+  /**
+   * Handles a change of the known store state; sends a heartbeat at once if the configuration is
+   * new.
+   */
+  onSyncStateChanged(): void {
+    const { configuration } = this.options.readSyncState();
+    if (configuration > this.announcedConfiguration) {
+      this.announcedConfiguration = configuration;
+      this.gossip.sendHeartbeats(this.gossip.listPeers(), []);
+    }
+  }
+
+  private get isLargeFleet(): boolean {
+    return this.members?.isLargeFleet ?? false;
+  }
+
+  private runRound(nextMs: Millis = ROUND_MS): void {
+    if (this.isStopped) {
+      return;
+    }
+    this.peers.listSilent().forEach((peer) => this.dropPeer(peer));
+    this.storeVerifier.findForeignPeers().forEach((peer) => this.dropPeer(peer));
+    const members = this.members?.runRound() ?? [];
+    this.gossip.sendHeartbeats(this.peers.list(), members);
+    this.load.publishChanges();
+    this.store.requestItemsIfDue();
+    this.options.timers.after(nextMs, () => this.runRound());
+  }
+
+  private dropPeer(peer: PeerId): void {
+    this.links?.drop(peer);
+    this.onPeerLost(peer);
+  }
+
+  private onStranger(peer: PeerId): void {
+    this.options.log.write('peer-of-other-store', { peer });
+    this.options.onForeignPeer(peer);
+    this.members?.remove(peer);
+  }
+
+  private onReady(peer: PeerId): void {
+    if (this.storeVerifier.isKnownForeign(peer)) {
+      this.links?.drop(peer);
+      return;
+    }
+    this.peers.add(peer);
+    this.storeVerifier.add(peer);
+    this.members?.recordContact(peer);
+    this.options.log.write('peer-linked', { peer, peers: this.peers.size });
+    this.gossip.sendHeartbeats([peer], []);
+    this.targetUpdates.onLinked(peer);
+    this.permits.onLinked(peer);
+    this.load.onLinked(peer);
+  }
+
+  private onPeerLost(peer: PeerId): void {
+    if (this.peers.remove(peer)) {
+      this.storeVerifier.remove(peer);
+      this.options.log.write('peer-lost', { peer, peers: this.peers.size });
+      this.load.onPeerLost(peer);
+      this.permits.onPeerLost(peer);
+    }
+  }
+
+  private onMessage(peer: PeerId, message: ExchangeMessage): void {
+    if (!this.peers.recordMessage(peer)) {
+      return;
+    }
+    this.members?.recordContact(peer);
+    if (message.kind === 'unknown') {
+      return;
+    }
+    try {
+      this.dispatch(peer, message);
+    } catch (thrown) {
+      // An invalid message of one peer must not stop this VM.
+      const reason = describeThrown(thrown);
+      this.options.log.write('peer-message-failed', { peer, kind: message.kind, reason });
+      this.options.onFault();
+    }
+  }
+
+  private dispatch(peer: PeerId, message: SupportedMessage): void {
+    switch (message.kind) {
+      case 'heartbeat':
+        this.onHeartbeat(peer, message);
+        break;
+      case 'pulse':
+        this.gossip.onPeerChoice(peer, false);
+        break;
+      case 'load':
+      case 'region-load':
+      case 'want-target':
+      case 'advise-target':
+        this.load.onMessage(peer, message);
+        break;
+      case 'lost':
+        this.permits.onPeerUpdate(peer, message);
+        this.targetUpdates.onMessage(peer, message);
+        break;
+      case 'store-news':
+      case 'want-items':
+      case 'items':
+        this.store.onMessage(peer, message);
+        break;
+      case 'want-repeats':
+        this.lendRetries(peer, message);
+        break;
+      case 'lend-repeats':
+        this.options.onRetriesBorrowed(message.service, message.repeats);
+        break;
+      default:
+        this.dispatchForwarded(peer, message);
+        break;
+    }
+  }
+
+  /** Passes on messages that the exchange itself does not use. */
+  private dispatchForwarded(peer: PeerId, message: PermitMessage | PeerReport): void {
+    switch (message.kind) {
+      case 'ask-permits':
+      case 'give-permits':
+      case 'return-permit':
+        this.permits.onMessage(peer, message);
+        break;
+      default:
+        this.options.onReport?.(peer, message);
+        break;
+    }
+  }
+
+  private lendRetries(
+    peer: PeerId,
+    { service, repeats: wanted }: ExchangeMessageOf<'want-repeats'>,
+  ): void {
+    const retries = this.options.lendRetries(service, wanted);
+    if (retries > 0) {
+      this.links?.send(peer, { kind: 'lend-repeats', service, repeats: retries });
+    }
+  }
+
+  private withoutForeignPeers(members: GossipedMember[]): GossipedMember[] {
+    return members.filter(({ id }) => !this.storeVerifier.isKnownForeign(id));
+  }
+
+  private onHeartbeat(peer: PeerId, message: ExchangeMessageOf<'heartbeat'>): void {
+    this.storeVerifier.onMarks(peer, message.storeMarks);
+    this.store.onPeerSyncState(peer, message);
+    if (this.storeVerifier.isPossiblySameStore(peer)) {
+      this.members?.setRegion(peer, message.region);
+      this.members?.onMembersReceived(
+        this.withoutForeignPeers(fromHeartbeatMembers(message)),
+        message.hidden,
+      );
+    }
+    this.gossip.onPeerChoice(peer, message.wanted);
+    this.store.requestItemsIfDue();
+  }
+}
--- a/packages/share-evidence/src/peer-table.ts
+++ b/packages/share-evidence/src/peer-table.ts
@@ -1,11 +1,11 @@
-/** The peers to which this VM is linked, with what each said last. */
+/** The peers to which this VM is linked, with the state that each reported. */
 import type { Clock, Millis } from '@limelead/types';
-import type { PeerId, PeerKnowledge, PeerState } from './types.js';
+import type { PeerId, PeerSyncState, PeerState } from './types.js';
 
-/** A peer that said nothing for this long is dropped. */
-const SILENT_PEER_MS = 3_200;
+/** Time without a message after which a peer is dropped. */
+const SILENCE_TIMEOUT_MS = 3_200;
 
-/** Holds the peers. */
+/** Stores the linked peers. */
 export default class PeerTable {
   private readonly peers = new Map<PeerId, PeerState>();
 
@@ -15,14 +15,14 @@
     return this.peers.size;
   }
 
-  /** A link came up. */
+  /** Adds a newly linked peer. */
   add(peer: PeerId): void {
     const now = this.clock.now();
     this.peers.set(peer, {
       linkedAtMs: now,
-      heardAtMs: now,
-      isWantedThere: false,
-      isGreeted: false,
+      receivedAtMs: now,
+      isChosenByPeer: false,
+      hasReceivedMembers: false,
       revision: 0,
       configuration: 0,
       configurationBytes: 0,
@@ -33,17 +33,17 @@
     return this.peers.get(peer);
   }
 
-  /** A peer said something; false where no link to it is up. */
-  hear(peer: PeerId): boolean {
+  /** Records that a peer sent a message; returns false if it is not linked. */
+  recordMessage(peer: PeerId): boolean {
     const state = this.peers.get(peer);
     if (state === undefined) {
       return false;
     }
-    state.heardAtMs = this.clock.now();
+    state.receivedAtMs = this.clock.now();
     return true;
   }
 
-  /** True where the peer was there. */
+  /** Returns whether the peer was present. */
   remove(peer: PeerId): boolean {
     return this.peers.delete(peer);
   }
@@ -53,31 +53,36 @@
     return [...this.peers.keys()];
   }
 
-  /** Those of some peers that were not named all members yet; from now on they were. */
-  takeUngreeted(peers: PeerId[]): PeerId[] {
+  /**
+   * Returns those of the peers that have not received all members yet, and marks them as having
+   * received them.
+   */
+  markMembersSent(peers: PeerId[]): PeerId[] {
     return peers.filter((peer) => {
       const state = this.peers.get(peer);
-      const isFirst = state?.isGreeted === false;
-      if (isFirst) {
-        state.isGreeted = true;
+      const isPending = state?.hasReceivedMembers === false;
+      if (isPending) {
+        state.hasReceivedMembers = true;
       }
-      return isFirst;
+      return isPending;
     });
   }
 
-  /** A peer told all that it knows of the store. */
-  noteKnowledge(
-    peer: PeerId,
-    { revision, configuration, configurationBytes }: PeerKnowledge,
-  ): void {
+  /** Replaces the store state that a peer reported. */
+  setSyncState(peer: PeerId, { revision, configuration, configurationBytes }: PeerSyncState): void {
     const state = this.peers.get(peer);
     if (state !== undefined) {
       Object.assign(state, { revision, configuration, configurationBytes });
     }
   }
 
-  /** A peer has news of the store, which may be older than what it told before. */
-  noteNews(peer: PeerId, { revision, configuration, configurationBytes }: PeerKnowledge): void {
+  /**
+   * Advances the store state of a peer; the progress that it reports may be older than a heartbeat.
+   */
+  advanceSyncState(
+    peer: PeerId,
+    { revision, configuration, configurationBytes }: PeerSyncState,
+  ): void {
     const state = this.peers.get(peer);
     if (state !== undefined) {
       state.revision = Math.max(state.revision, revision);
@@ -86,17 +91,17 @@
     }
   }
 
-  /** What each of some peers knows of the store. */
-  readKnowledge(peers: PeerId[]): (readonly [PeerId, PeerKnowledge])[] {
+  /** Returns the store states of some peers. */
+  listSyncStates(peers: PeerId[]): (readonly [PeerId, PeerSyncState])[] {
     return peers.flatMap((peer) => {
       const state = this.peers.get(peer);
       return state === undefined ? [] : [[peer, state] as const];
     });
   }
 
-  /** Peers that have been silent for too long. */
+  /** Peers that exceeded the silence timeout. */
   listSilent(): PeerId[] {
-    const heardSince: Millis = this.clock.now() - SILENT_PEER_MS;
-    return this.list().filter((peer) => (this.peers.get(peer)?.heardAtMs ?? 0) < heardSince);
+    const receivedSince: Millis = this.clock.now() - SILENCE_TIMEOUT_MS;
+    return this.list().filter((peer) => (this.peers.get(peer)?.receivedAtMs ?? 0) < receivedSince);
   }
 }
--- a/packages/share-evidence/src/permit-codecs.ts
+++ b/packages/share-evidence/src/permit-codecs.ts
@@ -1,22 +1,25 @@
-/** How limits of targets and permits to send travel: ages in place of times, since each VM's clock is its own. */
+/**
+ * Wire format of target limits and permits to send. It carries ages instead of times, since VMs
+ * share no clock.
+ */
 import type { LimitFact } from '@limelead/permit-sends';
 import type { Millis } from '@limelead/types';
 import * as t from 'io-ts';
 
-/** Rides on news of lost targets, so that VMs of a release that does not know it pass it over. */
-export const limitNewsCodec = t.array(
+/** An optional field of the message of lost targets; older releases ignore it. */
+export const limitUpdateCodec = t.array(
   t.type({
     target: t.string,
-    /** Null where the target names no limit any more. */
+    /** Null if the target no longer reports a limit. */
     perSecond: t.union([t.number, t.null]),
     askedAgoMs: t.number,
-    /** Names the word wherever it is told. */
+    /** Identifies the report of the limit on all VMs. */
     mark: t.string,
   }),
 );
 
-/** Asks the VM that grants permits of a service; replaces what the sender asked for before. */
-export const askPermits = t.type({
+/** Requests permits from the grantor of a service; replaces the sender's previous request. */
+export const askPermitsCodec = t.type({
   kind: t.literal('ask-permits'),
   service: t.string,
   number: t.number,
@@ -26,8 +29,8 @@
   received: t.number,
 });
 
-/** Answers the ask of that number, or goes on answering it. */
-export const givePermits = t.type({
+/** Answers the request of that number, possibly in several messages. */
+export const givePermitsCodec = t.type({
   kind: t.literal('give-permits'),
   service: t.string,
   number: t.number,
@@ -35,17 +38,16 @@
   refusals: t.array(t.type({ want: t.number, retryAfterMs: t.number })),
 });
 
-/** No request of the sender had a use for a permit. */
-export const returnPermit = t.type({
+/** Returns a permit that no request of the sender needs. */
+export const returnPermitCodec = t.type({
   kind: t.literal('return-permit'),
   service: t.string,
   target: t.string,
 });
 
-type LimitNews = t.TypeOf<typeof limitNewsCodec>;
+type LimitUpdate = t.TypeOf<typeof limitUpdateCodec>;
 
-/** Composes the news. */
-export function composeLimitNews(facts: LimitFact[], now: Millis): LimitNews {
+export function encodeLimitUpdate(facts: LimitFact[], now: Millis): LimitUpdate {
   return facts.map(({ target, perSecond, askedAtMs, mark }) => ({
     target,
     perSecond: perSecond ?? null,
@@ -54,9 +56,8 @@
   }));
 }
 
-/** Reads the news. */
-export function readLimitNews(news: LimitNews, now: Millis): LimitFact[] {
-  return news.map(({ target, perSecond, askedAgoMs, mark }) => ({
+export function decodeLimitUpdate(update: LimitUpdate, now: Millis): LimitFact[] {
+  return update.map(({ target, perSecond, askedAgoMs, mark }) => ({
     target,
     perSecond: perSecond ?? undefined,
     askedAtMs: now - askedAgoMs,
--- a/packages/share-evidence/src/permit-exchange.ts
+++ b/packages/share-evidence/src/permit-exchange.ts
@@ -1,20 +1,20 @@
 /**
- * What VMs tell each other of limits that targets name, and of permits to send. Limits go to all
- * by gossip; permits pass between a VM and the one that grants them for all.
+ * Exchanges target limits, which reach all VMs by gossip, and permits, which pass between a VM and
+ * the grantor of the service.
  */
 import type { LimitFact, PermitMessage } from '@limelead/permit-sends';
 import type { Clock } from '@limelead/types';
 import chooseGrantor from './choose-grantor.js';
 import type Membership from './membership.js';
-import type { EvidenceMessage, EvidenceMessageOf } from './messages.js';
+import type { ExchangeMessage, ExchangeMessageOf } from './messages.js';
 import type PeerTable from './peer-table.js';
-import { composeLimitNews, readLimitNews } from './permit-codecs.js';
-import type { EvidenceExchangeOptions, PeerId } from './types.js';
+import { encodeLimitUpdate, decodeLimitUpdate } from './permit-codecs.js';
+import type { PeerExchangeOptions, PeerId } from './types.js';
 
-/** What it needs. */
+/** Dependencies of `PermitExchange`. */
 export interface PermitExchangeOptions extends Pick<
-  EvidenceExchangeOptions,
-  'readLimits' | 'onLimits' | 'onPermits' | 'onPermitPeerLost'
+  PeerExchangeOptions,
+  'readLimits' | 'onLimits' | 'onPermitMessage' | 'onPermitPeerLost'
 > {
   self: PeerId;
   clock: Clock;
@@ -22,16 +22,16 @@
   /** Peers with which gossip is shared. */
   listPeers(): PeerId[];
   /** Whether a peer may follow the same store. */
-  isPossible(peer: PeerId): boolean;
+  isPossiblySameStore(peer: PeerId): boolean;
   readMembership(): Membership | undefined;
-  send(peer: PeerId, message: EvidenceMessage): void;
-  broadcast(message: EvidenceMessage, peers: PeerId[]): void;
+  send(peer: PeerId, message: ExchangeMessage): void;
+  broadcast(message: ExchangeMessage, peers: PeerId[]): void;
 }
 
-/** Tells limits, carries permits, and knows who grants them. */
+/** Publishes limits, transfers permits, and determines their grantors. */
 export default class PermitExchange {
-  /** Linked peers of releases that know of limits; others neither follow them nor answer. */
-  private readonly speakers = new Set<PeerId>();
+  /** Linked peers whose release knows limits; other peers neither apply limits nor answer. */
+  private readonly limitAwarePeers = new Set<PeerId>();
 
   constructor(private readonly options: PermitExchangeOptions) {}
 
@@ -39,77 +39,78 @@
     return this.options.self;
   }
 
-  /** VMs that are believed to run, this one included, with those of regions that can't be reached. */
-  get vmCount(): number {
-    return this.options.readMembership()?.budgetCount ?? 1;
+  /** Number of VMs including this one and those of unreachable regions. */
+  get totalVmCount(): number {
+    return this.options.readMembership()?.totalVmCount ?? 1;
   }
 
-  /** VMs that can ask this one, itself included. */
-  get reachedCount(): number {
-    return this.speakers.size + 1;
+  /** Number of VMs that can send requests to this one, including itself. */
+  get reachableCount(): number {
+    return this.limitAwarePeers.size + 1;
   }
 
-  /** The VM that grants the permits of a service; undefined where it can't be reached. */
+  /** Returns the grantor of a service; undefined if it is unreachable. */
   chooseGrantor(service: string): PeerId | undefined {
     const { self, peers } = this.options;
-    const candidates = this.options.readMembership()?.listDeciders() ?? [self];
+    const candidates = this.options.readMembership()?.listGrantorCandidates() ?? [self];
     const isOfOlderRelease = (peer: PeerId): boolean =>
-      peer !== self && peers.get(peer) !== undefined && !this.speakers.has(peer);
+      peer !== self && peers.get(peer) !== undefined && !this.limitAwarePeers.has(peer);
     const grantor = chooseGrantor(
       service,
       candidates.filter((peer) => !isOfOlderRelease(peer)),
     );
-    const isReached = grantor === self || (grantor !== undefined && this.speakers.has(grantor));
-    return isReached ? grantor : undefined;
+    const isReachable =
+      grantor === self || (grantor !== undefined && this.limitAwarePeers.has(grantor));
+    return isReachable ? grantor : undefined;
   }
 
-  /** Tells limits to the peers of gossip, the one that told them aside. */
+  /** Publishes limits to gossip peers except the one from which they came. */
   publishLimits(facts: LimitFact[], from?: PeerId): void {
     const peers = this.options.listPeers().filter((peer) => peer !== from);
-    this.options.broadcast(this.compose(facts), peers);
+    this.options.broadcast(this.composeMessage(facts), peers);
   }
 
-  /** Tells limits to one peer. */
+  /** Sends limits to one peer. */
   sendLimitCorrection(peer: PeerId, facts: LimitFact[]): void {
-    this.options.send(peer, this.compose(facts));
+    this.options.send(peer, this.composeMessage(facts));
   }
 
-  /** A permit, or a question for some. */
+  /** Sends a permit, or a request for permits. */
   send(peer: PeerId, message: PermitMessage): void {
     this.options.send(peer, message);
   }
 
-  /** A link came up: the peer is told all limits, and by that, that this release knows of them. */
-  noteLinked(peer: PeerId): void {
+  /** Sends all limits to a newly linked peer, which also shows that this release knows limits. */
+  onLinked(peer: PeerId): void {
     this.sendLimitCorrection(peer, this.options.readLimits());
   }
 
-  /** A link is lost. */
-  noteLost(peer: PeerId): void {
-    this.speakers.delete(peer);
+  /** Handles the loss of a link. */
+  onPeerLost(peer: PeerId): void {
+    this.limitAwarePeers.delete(peer);
     this.options.onPermitPeerLost(peer);
   }
 
-  /** A peer told limits. */
-  onPeerUpdate(peer: PeerId, { limits }: EvidenceMessageOf<'lost'>): void {
+  /** Handles limits that a peer published. */
+  onPeerUpdate(peer: PeerId, { limits }: ExchangeMessageOf<'lost'>): void {
     if (limits === undefined) {
       return;
     }
-    this.speakers.add(peer);
-    if (this.options.isPossible(peer)) {
-      this.options.onLimits(readLimitNews(limits, this.options.clock.now()), peer);
+    this.limitAwarePeers.add(peer);
+    if (this.options.isPossiblySameStore(peer)) {
+      this.options.onLimits(decodeLimitUpdate(limits, this.options.clock.now()), peer);
     }
   }
 
-  /** A peer asks, gives or returns permits. */
-  hear(peer: PeerId, message: PermitMessage): void {
-    if (this.options.isPossible(peer)) {
-      this.options.onPermits(message, peer);
+  /** Handles requested, granted or returned permits. */
+  onMessage(peer: PeerId, message: PermitMessage): void {
+    if (this.options.isPossiblySameStore(peer)) {
+      this.options.onPermitMessage(message, peer);
     }
   }
 
-  private compose(facts: LimitFact[]): EvidenceMessage {
-    const limits = composeLimitNews(facts, this.options.clock.now());
+  private composeMessage(facts: LimitFact[]): ExchangeMessage {
+    const limits = encodeLimitUpdate(facts, this.options.clock.now());
     return { kind: 'lost', targets: [], replaced: [], limits };
   }
 }
--- a/packages/share-evidence/src/draw-some.ts
+++ b/packages/share-evidence/src/pick-random-entries.ts
@@ -1,8 +1,10 @@
-/** Draws some entries of a list, beginning at a random place and going round. */
 import type { Random } from '@limelead/types';
 
-/** Gives at most `count` entries; each is drawn equally often. */
-export default function drawSome<Entry>(
+/**
+ * Returns at most `count` consecutive entries from a random position, continuing at the beginning
+ * of the list. Each entry is equally likely.
+ */
+export default function pickRandomEntries<Entry>(
   entries: readonly Entry[],
   count: number,
   random: Random,
--- a/packages/share-evidence/src/plan-fleet.ts
+++ b/packages/share-evidence/src/plan-fleet.ts
@@ -1,87 +1,95 @@
 /**
- * Pure decision: what follows for one VM from the VMs that there are. Gossip and
- * schedulers are of the own region, where the fleet is in several; a few bridges and
- * sums of load join the regions.
+ * Derives the role and the links of one VM from the members of the fleet. In a fleet of several
+ * regions, gossip and schedulers are local to each region; bridges and sums of load connect the
+ * regions.
  */
 import { rankVms } from '@limelead/track-members';
-import { FULL_MESH_VMS } from './choose-peers.js';
+import { LARGE_FLEET_VMS } from './choose-gossip-peers.js';
 import chooseBridges from './choose-bridges.js';
-import chooseFollowers from './choose-followers.js';
-import chooseSchedulers, { type Schedulers } from './choose-schedulers.js';
+import chooseStoreFollowers from './choose-store-followers.js';
+import chooseSchedulers, { type SchedulersByPartition } from './choose-schedulers.js';
 import type { PeerId } from './types.js';
 
-/** A VM, with its region. */
-export interface LocatedVm {
+/** A VM with its region. */
+export interface VmWithRegion {
   id: PeerId;
-  /** Undefined where the fleet is in one region, and where nobody told it yet. */
+  /** Undefined if the fleet has one region or the region is not known yet. */
   region: string | undefined;
 }
 
-/** What one VM does with which others. */
+/** Role and links of one VM. */
 export interface FleetPlan {
-  /** A few VMs follow the store for all, and some are asked where streams go. */
+  /** Whether a few VMs follow the store for all, and schedulers advise where streams go. */
   isLarge: boolean;
-  /** Other VMs of the own region, or all where the fleet is small or in one region. */
-  near: readonly PeerId[];
+  /** Other VMs of the own region; all other VMs in a small fleet or a fleet of one region. */
+  sameRegionVms: readonly PeerId[];
   /** VMs of other regions. */
-  distant: ReadonlySet<PeerId>;
-  /** Those of them with which gossip is shared. */
+  otherRegionVms: ReadonlySet<PeerId>;
+  /** VMs of other regions with which gossip is shared. */
   bridges: readonly PeerId[];
-  /** VMs that follow the store for all, where the fleet is large. */
+  /** VMs that follow the store for all, if the fleet is large. */
   followers: readonly PeerId[];
-  /** VMs of the own region that are asked where streams go, by part of the targets. */
-  schedulers: Schedulers;
-  /** VMs of other regions that are told the load of this one; empty but for a scheduler. */
-  loadReaders: readonly PeerId[];
-  /** All VMs, in the order that they share. */
+  /** Schedulers of the own region by partition of the targets. */
+  schedulers: SchedulersByPartition;
+  /** Schedulers of other regions to which this VM sends load; empty unless it is a scheduler. */
+  remoteSchedulers: readonly PeerId[];
+  /** All VMs in the order that all VMs share. */
   ranking: readonly PeerId[];
-  /** The schedulers that the whole fleet would have, the same for all VMs; they stand for duties. */
-  fleetSchedulers: Schedulers;
+  /**
+   * Schedulers chosen from the whole fleet, the same for all VMs; they are the candidates for
+   * duties.
+   */
+  fleetWideSchedulers: SchedulersByPartition;
 }
 
-/** What a VM does that knows no other. */
-export const LONE_PLAN: FleetPlan = {
+/** Plan of a VM that knows no other. */
+export const SINGLE_VM_PLAN: FleetPlan = {
   isLarge: false,
-  near: [],
-  distant: new Set(),
+  sameRegionVms: [],
+  otherRegionVms: new Set(),
   bridges: [],
   followers: [],
   schedulers: [],
-  loadReaders: [],
+  remoteSchedulers: [],
   ranking: [],
-  fleetSchedulers: [],
+  fleetWideSchedulers: [],
 };
 
-/** Plans for one VM, which the others do not include. */
-export default function planFleet(self: LocatedVm, others: readonly LocatedVm[]): FleetPlan {
+/** Plans for one VM; `others` does not include it. */
+export default function planFleet(self: VmWithRegion, others: readonly VmWithRegion[]): FleetPlan {
   const ranking = rankVms([...others.map(({ id }) => id), self.id]);
-  if (others.length + 1 < FULL_MESH_VMS) {
-    const near = others.map(({ id }) => id);
-    const followers = chooseFollowers(ranking, [ranking]);
-    return { ...LONE_PLAN, near, followers, ranking };
+  if (others.length + 1 < LARGE_FLEET_VMS) {
+    const sameRegionVms = others.map(({ id }) => id);
+    const followers = chooseStoreFollowers(ranking, [ranking]);
+    return { ...SINGLE_VM_PLAN, sameRegionVms, followers, ranking };
   }
   const regions = groupByRegion(self, others, ranking);
-  const own = regions.get(self.region) ?? [];
-  const elsewhere = [...regions].flatMap(([region, vms]) => (region === self.region ? [] : [vms]));
-  const schedulers = chooseSchedulers(own);
-  const readers = elsewhere.flatMap((vms) => chooseSchedulers(vms).flat());
+  const ownRegion = regions.get(self.region) ?? [];
+  const otherRegions = [...regions].flatMap(([region, vms]) =>
+    region === self.region ? [] : [vms],
+  );
+  const schedulers = chooseSchedulers(ownRegion);
+  const remoteSchedulers = otherRegions.flatMap((vms) => chooseSchedulers(vms).flat());
   return {
     isLarge: true,
-    near: own.filter((id) => id !== self.id),
-    distant: new Set(elsewhere.flat()),
-    bridges: chooseBridges(self.id, own, elsewhere),
-    followers: chooseFollowers(ranking, [...regions.values()]),
+    sameRegionVms: ownRegion.filter((id) => id !== self.id),
+    otherRegionVms: new Set(otherRegions.flat()),
+    bridges: chooseBridges(self.id, ownRegion, otherRegions),
+    followers: chooseStoreFollowers(ranking, [...regions.values()]),
     schedulers,
-    loadReaders: schedulers.flat().includes(self.id) ? readers : [],
+    remoteSchedulers: schedulers.flat().includes(self.id) ? remoteSchedulers : [],
     ranking,
-    fleetSchedulers: elsewhere.length === 0 ? schedulers : chooseSchedulers(ranking),
+    fleetWideSchedulers: otherRegions.length === 0 ? schedulers : chooseSchedulers(ranking),
   };
 }
 
-/** A VM whose region nobody told counts as near: it runs an older release, or just came up. */
+/**
+ * A VM with an unknown region counts as one of the own region: it runs an older release or has just
+ * started.
+ */
 function groupByRegion(
-  self: LocatedVm,
-  others: readonly LocatedVm[],
+  self: VmWithRegion,
+  others: readonly VmWithRegion[],
   ranking: readonly PeerId[],
 ): Map<string | undefined, PeerId[]> {
   const regionOf = new Map(others.map(({ id, region }) => [id, region]));
--- a/packages/share-evidence/src/guard-messages.ts
+++ b/packages/share-evidence/src/quarantine-messages.ts
@@ -1,10 +1,12 @@
-/** How news of requests that may end targets travel: ages in place of times, since each VM's clock is its own. */
+/**
+ * Wire format of quarantine updates. It carries ages instead of times, since VMs share no clock.
+ */
 import { isEmptyNews, type GuardNews, type Strike } from '@limelead/quarantine-requests';
 import type { Millis } from '@limelead/types';
 import * as t from 'io-ts';
 
-/** Rides on news of lost targets, so that VMs of a release that does not know it pass it over. */
-export const guardNewsCodec = t.type({
+/** An optional field of the message of lost targets; older releases ignore it. */
+export const quarantineUpdateCodec = t.type({
   strikes: t.array(
     t.type({
       request: t.string,
@@ -20,43 +22,45 @@
   trials: t.array(t.type({ request: t.string, trial: t.string, isOver: t.boolean })),
 });
 
-/** The news on the wire. */
-export type GuardNewsMessage = t.TypeOf<typeof guardNewsCodec>;
+/** A quarantine update on the wire. */
+export type QuarantineUpdateMessage = t.TypeOf<typeof quarantineUpdateCodec>;
 
-/** Composes the message; undefined where there is nothing to tell. */
-export function composeGuardNews(news: GuardNews, now: Millis): GuardNewsMessage | undefined {
-  if (isEmptyNews(news)) {
+/** Encodes an update; undefined if it is empty. */
+export function encodeQuarantineUpdate(
+  update: GuardNews,
+  now: Millis,
+): QuarantineUpdateMessage | undefined {
+  if (isEmptyNews(update)) {
     return undefined;
   }
-  const toMessage = ({ startedAtMs, endedAtMs, ...strike }: Strike) => ({
+  const encodeStrike = ({ startedAtMs, endedAtMs, ...strike }: Strike) => ({
     ...strike,
     startedAgoMs: Math.round(now - startedAtMs),
     endedAgoMs: Math.round(now - endedAtMs),
   });
   return {
-    strikes: news.strikes.map(toMessage),
-    withdrawn: news.withdrawn.map(({ request, target }) => ({ request, target })),
-    absolved: news.absolved.map(({ request, atMs }) => ({
+    strikes: update.strikes.map(encodeStrike),
+    withdrawn: update.withdrawn.map(({ request, target }) => ({ request, target })),
+    absolved: update.absolved.map(({ request, atMs }) => ({
       request,
       agoMs: Math.round(now - atMs),
     })),
-    trials: news.trials,
+    trials: update.trials,
   };
 }
 
-/** Reads the message. */
-export function readGuardNews(message: GuardNewsMessage, now: Millis): GuardNews {
-  const toStrike = ({
+export function decodeQuarantineUpdate(message: QuarantineUpdateMessage, now: Millis): GuardNews {
+  const decodeStrike = ({
     startedAgoMs,
     endedAgoMs,
     ...strike
-  }: GuardNewsMessage['strikes'][number]): Strike => ({
+  }: QuarantineUpdateMessage['strikes'][number]): Strike => ({
     ...strike,
     startedAtMs: now - startedAgoMs,
     endedAtMs: now - endedAgoMs,
   });
   return {
-    strikes: message.strikes.map(toStrike),
+    strikes: message.strikes.map(decodeStrike),
     withdrawn: message.withdrawn,
     absolved: message.absolved.map(({ request, agoMs }) => ({ request, atMs: now - agoMs })),
     trials: message.trials,
--- a/packages/share-evidence/src/regions.test.ts
+++ b/packages/share-evidence/src/regions.test.ts
@@ -1,31 +1,34 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { Fleet, type FleetVm } from './fleet.fixture.js';
+import { SimulatedFleet, type SimulatedVm } from './fleet.fixture.js';
 
-/** Links between two regions, each crossed once in each direction at most. */
+/** Links between two regions; each carries an item at most once in each direction. */
 const CROSSINGS_OF_TWO_REGIONS = 3 * 2;
 const SETTLED_MS = 14_000;
 
-function createFleet(size: number, regions: number): Fleet {
-  return new Fleet(size, (index) => `region ${index % regions}`);
+function createFleet(size: number, regions: number): SimulatedFleet {
+  return new SimulatedFleet(size, (index) => `region ${index % regions}`);
 }
 
-/** Passes an item on as losses and news of the store are; counts who got it and what crossed. */
-function spread(fleet: Fleet, from: FleetVm): { reached: number; crossings: number } {
+/**
+ * Spreads an item as losses and store updates are spread; counts the VMs reached and the messages
+ * between regions.
+ */
+function spread(fleet: SimulatedFleet, from: SimulatedVm): { reached: number; crossings: number } {
   const reached = new Set([from]);
-  const due: { vm: FleetVm; teller: string }[] = [{ vm: from, teller: '' }];
+  const due: { vm: SimulatedVm; sender: string }[] = [{ vm: from, sender: '' }];
   let crossings = 0;
   for (let next = due.shift(); next !== undefined; next = due.shift()) {
-    const { vm, teller } = next;
+    const { vm, sender } = next;
     for (const peer of vm.linked) {
       const other = fleet.vms.get(peer);
-      if (other === undefined || peer === teller || !vm.gossips(peer)) {
+      if (other === undefined || peer === sender || !vm.sharesGossipWith(peer)) {
         continue;
       }
       crossings += vm.region === other.region ? 0 : 1;
       if (!reached.has(other)) {
         reached.add(other);
-        due.push({ vm: other, teller: vm.id });
+        due.push({ vm: other, sender: vm.id });
       }
     }
   }
@@ -38,15 +41,15 @@
 ] as const) {
   const borders = (regions * (regions - 1)) / 2;
 
-  test(`${size} VMs of ${regions} regions: an item crosses each border a few times, and a fortieth at most is forgotten`, () => {
+  test(`${size} VMs of ${regions} regions: an item crosses each border a few times, and at most a fortieth of the VMs expires`, () => {
     const fleet = createFleet(size, regions);
-    fleet.playUntil(SETTLED_MS);
+    fleet.advanceTo(SETTLED_MS);
     for (const vm of [...fleet.vms.values()].slice(0, 10)) {
       const { reached, crossings } = spread(fleet, vm);
       assert.is(reached, size);
       assert.ok(crossings <= borders * CROSSINGS_OF_TWO_REGIONS, `${crossings} crossings`);
     }
-    fleet.playUntil(SETTLED_MS + 2_000);
+    fleet.advanceTo(SETTLED_MS + 2_000);
     const counts = [...fleet.vms.values()].map(({ membership }) => membership.count);
     assert.ok(
       Math.min(...counts) >= size - Math.floor(size / 40),
@@ -57,9 +60,9 @@
 
 test('each region has a VM that follows the store, and schedulers of its own', () => {
   const fleet = createFleet(89, 3);
-  fleet.playUntil(SETTLED_MS);
+  fleet.advanceTo(SETTLED_MS);
   const vms = [...fleet.vms.values()];
-  const followers = vms.filter(({ membership }) => membership.followsForOthers);
+  const followers = vms.filter(({ membership }) => membership.isStoreFollower);
   assert.is(followers.length, 4);
   assert.is(new Set(followers.map(({ region }) => region)).size, 3);
   for (const { region, membership } of vms) {
@@ -70,51 +73,54 @@
   assert.is(new Set(candidates).size, 1);
 });
 
-test('with any one VM gone at once, an item still reaches all others', () => {
+test('an item still reaches all VMs after the loss of any one bridge', () => {
   const fleet = createFleet(89, 3);
-  fleet.playUntil(SETTLED_MS);
-  const isBridge = (vm: FleetVm): boolean =>
-    [...vm.linked].some((peer) => vm.gossips(peer) && fleet.vms.get(peer)?.region !== vm.region);
+  fleet.advanceTo(SETTLED_MS);
+  const isBridge = (vm: SimulatedVm): boolean =>
+    [...vm.linked].some(
+      (peer) => vm.sharesGossipWith(peer) && fleet.vms.get(peer)?.region !== vm.region,
+    );
   const bridges = [...fleet.vms.values()].filter(isBridge);
   assert.ok(bridges.length >= 9 && bridges.length <= 12, `${bridges.length} bridges`);
   for (const lost of bridges) {
     fleet.vms.delete(lost.id);
-    const [teller] = fleet.vms.values();
-    assert.is(teller && spread(fleet, teller).reached, 88);
+    const [sender] = fleet.vms.values();
+    assert.is(sender && spread(fleet, sender).reached, 88);
     fleet.vms.set(lost.id, lost);
   }
 });
 
-test('regions that lose each other go on alone with the budget of one fleet, and join again', () => {
+test('separated regions continue with the retry budget of one fleet, and rejoin', () => {
   const fleet = createFleet(89, 3);
-  fleet.playUntil(SETTLED_MS);
+  fleet.advanceTo(SETTLED_MS);
   const regionOf = (id: string): string | undefined => fleet.vms.get(id)?.region;
   fleet.isCut = (a, b) => regionOf(a) !== regionOf(b);
-  fleet.playUntil(120_000);
+  fleet.advanceTo(120_000);
   const vms = [...fleet.vms.values()];
   for (const region of ['region 0', 'region 1', 'region 2']) {
     const own = vms.filter((vm) => vm.region === region);
     assert.equal([...new Set(own.map(({ membership }) => membership.count))], [own.length]);
-    assert.equal([...new Set(own.map(({ membership }) => membership.budgetCount))], [89]);
-    assert.is(own.filter(({ membership }) => membership.followsForOthers).length, 4);
+    assert.equal([...new Set(own.map(({ membership }) => membership.totalVmCount))], [89]);
+    assert.is(own.filter(({ membership }) => membership.isStoreFollower).length, 4);
   }
   const own0 = vms.find((other) => other.region === 'region 0' && !fleet.seeds.includes(other.id));
   assert.ok(own0);
-  assert.equal(own0.regions.slice(2).sort(), ['region 1 false', 'region 2 false']);
+  assert.equal(own0.regionChanges.slice(2).sort(), ['region 1 false', 'region 2 false']);
   const restarted = fleet.restart(own0);
-  fleet.playUntil(126_000);
-  assert.is(restarted.membership.budgetCount, 89);
+  fleet.advanceTo(126_000);
+  assert.is(restarted.membership.totalVmCount, 89);
   const opened = countOpened(vms);
   fleet.isCut = () => false;
-  // Each VM meets a seed once in twenty rounds; what it hears then spreads in a few more.
-  fleet.playUntil(151_000);
+  // Each VM links to a seed once in twenty rounds; the members then spread in a few more.
+  fleet.advanceTo(151_000);
   const running = [...fleet.vms.values()];
   assert.equal([...new Set(running.map(({ membership }) => membership.count))], [89]);
-  // Two to the candidates for duties that all agree on again, and a seed in twenty rounds.
+  // Two links to the duty candidates on which all VMs agree again, and one to a seed in twenty
+  // rounds.
   assert.ok(countOpened(vms) - opened <= 3 * 89, `${countOpened(vms) - opened} links opened`);
 });
 
-function countOpened(vms: FleetVm[]): number {
+function countOpened(vms: SimulatedVm[]): number {
   return vms.reduce((sum, vm) => sum + vm.opened, 0);
 }
 
--- a/packages/share-evidence/src/report-messages.ts
+++ b/packages/share-evidence/src/report-messages.ts
@@ -1,23 +1,23 @@
 /**
- * Reports that VMs give each other for the parts of the product that look at the whole
- * fleet: usage, capacity and roll-outs. The exchange carries them and reads none.
+ * Reports between VMs for usage metering, capacity planning and roll-outs. The exchange transfers
+ * them without using them.
  */
 import * as t from 'io-ts';
 
-/** The sender's time of day, by which VMs agree on true time. */
-export const timeOfDay = t.type({
+/** The sender's wall-clock time, from which VMs estimate true time. */
+export const timeOfDayCodec = t.type({
   kind: t.literal('time-of-day'),
-  /** Another for each start of the sender's process. */
+  /** Unique to each start of the sender's process. */
   incarnation: t.string,
   /** Milliseconds since 1970 by the clock of the sender's machine. */
   timeMs: t.number,
 });
 
 /**
- * Requests that targets began for the sender's callers. Counts are the sums of this
- * incarnation so far, so a report that is lost, repeated or late changes nothing.
+ * Requests that targets began for the sender's callers. Counts are cumulative within the
+ * incarnation, so that lost, repeated or late reports do no harm.
  */
-export const usage = t.type({
+export const usageCodec = t.type({
   kind: t.literal('usage'),
   incarnation: t.string,
   /** The first window that the sender counted from its beginning. */
@@ -25,27 +25,33 @@
   windows: t.array(
     t.type({
       window: t.number,
-      /** Organisations and their requests, those that changed since the last report. */
+      /** Organisations and their requests, for those that changed since the last report. */
       counts: t.array(t.tuple([t.string, t.number])),
     }),
   ),
 });
 
-/** What the sender's callers ask of each service; sums of this incarnation, and what is there now. */
-export const demand = t.type({
+/**
+ * Demand of the sender's callers for each service: cumulative sums of the incarnation, and current
+ * numbers.
+ */
+export const demandCodec = t.type({
   kind: t.literal('demand'),
   incarnation: t.string,
   services: t.array(
     t.type({
       service: t.string,
-      /** Requests that were admitted, and the tokens of their prompts; sums so far. */
+      /** Admitted requests and the tokens of their prompts, cumulative. */
       arrived: t.number,
       promptTokens: t.number,
       /** Requests that targets have begun and not ended. */
       running: t.number,
-      /** Requests that wait for a target now. */
+      /** Requests that currently wait for a target. */
       waiting: t.number,
-      /** Prompt tokens of the runs that were begun, and the milliseconds until their first pieces; sums so far. */
+      /**
+       * Prompt tokens of the runs that were begun, and the milliseconds until their first pieces,
+       * cumulative.
+       */
       begunTokens: t.number,
       begunMs: t.number,
     }),
@@ -57,27 +63,31 @@
   isTrial: t.boolean,
   good: t.number,
   bad: t.number,
-  /** Numbers of buckets and answers whose time fell there. */
+  /** Pairs of a bucket's number and the answers whose time fell into it. */
   times: t.array(t.tuple([t.number, t.number])),
 });
 
-/** What the sender's sends to the versions of a service brought; sums of this incarnation. */
-export const versionEvidence = t.type({
+/**
+ * Results of the sender's attempts at the versions of a service; cumulative within the incarnation.
+ */
+export const versionEvidenceCodec = t.type({
   kind: t.literal('version-evidence'),
   incarnation: t.string,
   service: t.string,
-  /** Revision of the order. */
+  /** Revision of the roll-out order. */
   order: t.number,
-  /** Longest time since any VM saw the order, as far as the sender heard. */
+  /** Longest time since any VM read the order, as far as the sender knows. */
   ageMs: t.number,
-  /** Whether the sender sends nothing new to replaced targets, and what is under way there. */
+  /**
+   * Whether the sender sends no new requests to replaced targets, and the number still open there.
+   */
   moves: t.boolean,
   underWay: t.number,
   sums: t.array(routeSums),
 });
 
-/** The sums of all VMs that told the sender. */
-export const versionTotal = t.type({
+/** The sums over all VMs that reported to the sender. */
+export const versionTotalCodec = t.type({
   kind: t.literal('version-total'),
   service: t.string,
   order: t.number,
@@ -86,10 +96,10 @@
   sums: t.array(routeSums),
 });
 
-/** One report. */
+/** A report of any kind. */
 export type PeerReport =
-  | t.TypeOf<typeof timeOfDay>
-  | t.TypeOf<typeof usage>
-  | t.TypeOf<typeof demand>
-  | t.TypeOf<typeof versionEvidence>
-  | t.TypeOf<typeof versionTotal>;
+  | t.TypeOf<typeof timeOfDayCodec>
+  | t.TypeOf<typeof usageCodec>
+  | t.TypeOf<typeof demandCodec>
+  | t.TypeOf<typeof versionEvidenceCodec>
+  | t.TypeOf<typeof versionTotalCodec>;
--- a/packages/share-evidence/src/store-exchange.ts
+++ b/packages/share-evidence/src/store-exchange.ts
@@ -1,129 +1,132 @@
-/** What VMs tell each other of the store: how new their knowledge is, and its items to those that lack them. */
+/**
+ * Exchanges the progress of store followers between VMs, and sends store items to those that lack
+ * them.
+ */
 import type { Clock, Millis, Timers } from '@limelead/types';
-import CatchUp from './catch-up.js';
-import type { EvidenceMessage, EvidenceMessageOf } from './messages.js';
+import StoreCatchUp from './store-catch-up.js';
+import type { ExchangeMessage, ExchangeMessageOf } from './messages.js';
 import type PeerTable from './peer-table.js';
-import StoreNews from './store-news.js';
-import type { EvidenceExchangeOptions, PeerId, PeerKnowledge } from './types.js';
+import StoreProgressTracker from './store-progress-tracker.js';
+import type { PeerExchangeOptions, PeerId, PeerSyncState } from './types.js';
 
-/** What it needs. */
+/** Dependencies of `StoreExchange`. */
 export interface StoreExchangeOptions extends Pick<
-  EvidenceExchangeOptions,
-  'readKnowledge' | 'readUpdate' | 'onUpdate'
+  PeerExchangeOptions,
+  'readSyncState' | 'readStoreUpdate' | 'onStoreUpdate'
 > {
   clock: Clock;
   timers: Timers;
   peers: PeerTable;
-  /** Peers with which news are shared. */
+  /** Peers with which progress is shared. */
   listPeers(): PeerId[];
-  /** Whether what a peer says of the store counts here. */
+  /** Whether what a peer reports about the store is used here. */
   isTrusted(peer: PeerId): boolean;
   /** Whether a few VMs follow the store for all. */
-  isLarge(): boolean;
+  isLargeFleet(): boolean;
   /** Whether this VM is one of them. */
-  followsForOthers(): boolean;
-  send(peer: PeerId, message: EvidenceMessage): void;
-  broadcast(message: EvidenceMessage, peers: PeerId[]): void;
+  isStoreFollower(): boolean;
+  send(peer: PeerId, message: ExchangeMessage): void;
+  broadcast(message: ExchangeMessage, peers: PeerId[]): void;
 }
 
-/** Tells and takes news of the store. */
+/** Publishes and receives progress and items of the store. */
 export default class StoreExchange {
-  private readonly catchUp: CatchUp;
-  private readonly news: StoreNews;
+  private readonly catchUp: StoreCatchUp;
+  private readonly progress: StoreProgressTracker;
 
   constructor(private readonly options: StoreExchangeOptions) {
-    const { clock, timers, readKnowledge, peers, listPeers, send, broadcast } = options;
-    this.catchUp = new CatchUp({
+    const { clock, timers, readSyncState, peers, listPeers, send, broadcast } = options;
+    this.catchUp = new StoreCatchUp({
       clock,
       timers,
-      readKnowledge,
-      isFollowing: () => this.mustFollow,
-      listPeers: () => peers.readKnowledge(listPeers().filter(options.isTrusted)),
-      ask: (peer, since) => send(peer, { kind: 'want-items', since }),
+      readSyncState,
+      isFollowingStore: () => this.mustFollowStore,
+      listPeers: () => peers.listSyncStates(listPeers().filter(options.isTrusted)),
+      requestItems: (peer, since) => send(peer, { kind: 'want-items', since }),
     });
-    this.news = new StoreNews({
+    this.progress = new StoreProgressTracker({
       clock,
-      readKnowledge,
+      readSyncState: readSyncState,
       listPeers,
-      tell: (told, news) => broadcast({ kind: 'store-news', ...news }, told),
+      send: (recipients, progress) => broadcast({ kind: 'store-news', ...progress }, recipients),
     });
   }
 
-  /** Whether this VM has to ask the store itself. */
-  get mustFollow(): boolean {
-    const { isLarge, followsForOthers } = this.options;
-    return !isLarge() || followsForOthers() || !this.news.isCurrent;
+  /** Whether this VM has to follow the store itself. */
+  get mustFollowStore(): boolean {
+    const { isLargeFleet, isStoreFollower } = this.options;
+    return !isLargeFleet() || isStoreFollower() || !this.progress.isCurrent;
   }
 
   /** Whether this VM has to read a large configuration from the store itself. */
-  get wantsLargeConfiguration(): boolean {
-    return this.news.wantsLargeConfiguration;
+  get needsLargeConfiguration(): boolean {
+    return this.progress.needsLargeConfiguration;
   }
 
-  /** When the store last answered any VM, as far as this one heard. */
+  /** Time at which the store last answered any VM, as far as this VM knows. */
   get confirmedAtMs(): Millis {
-    return this.news.lastConfirmedAtMs;
+    return this.progress.lastConfirmedAtMs;
   }
 
-  /** The store answered this VM. */
-  noteAnswered(): void {
-    if (this.options.isLarge()) {
-      this.news.confirm();
+  /** Records that the store answered this VM. */
+  onStoreAnswered(): void {
+    if (this.options.isLargeFleet()) {
+      this.progress.onStoreAnswered();
     }
   }
 
-  /** Asks a peer for what this VM lacks, where it is time to. */
-  check(): void {
-    this.catchUp.check();
+  /** Requests missing items from a peer if a request is due. */
+  requestItemsIfDue(): void {
+    this.catchUp.requestItemsIfDue();
   }
 
-  /** A peer knows so much of the store. */
-  noteKnowledge(peer: PeerId, knowledge: PeerKnowledge): void {
+  /** Records the store state that a peer reports in a heartbeat. */
+  onPeerSyncState(peer: PeerId, state: PeerSyncState): void {
     const { peers, isTrusted } = this.options;
-    peers.noteKnowledge(peer, knowledge);
+    peers.setSyncState(peer, state);
     if (isTrusted(peer)) {
-      this.news.noteConfiguration(knowledge);
+      this.progress.recordPeerConfiguration(state);
     }
   }
 
-  /** A peer spoke of the store. */
-  hear(peer: PeerId, message: EvidenceMessageOf<'store-news' | 'want-items' | 'items'>): void {
+  /** Handles a message about the store. */
+  onMessage(peer: PeerId, message: ExchangeMessageOf<'store-news' | 'want-items' | 'items'>): void {
     if (message.kind === 'want-items') {
-      this.answer(peer, message);
+      this.answerRequest(peer, message);
       return;
     }
     if (!this.options.isTrusted(peer)) {
       return;
     }
     if (message.kind === 'store-news') {
-      this.hearNews(peer, message);
+      this.onProgress(peer, message);
     } else {
-      this.hearItems(peer, message);
+      this.onItems(peer, message);
     }
   }
 
-  /** A peer has news. */
-  private hearNews(peer: PeerId, news: EvidenceMessageOf<'store-news'>): void {
-    this.options.peers.noteNews(peer, news);
-    this.news.hear(peer, news);
-    this.catchUp.check();
+  /** Handles the progress that a peer reports. */
+  private onProgress(peer: PeerId, progress: ExchangeMessageOf<'store-news'>): void {
+    this.options.peers.advanceSyncState(peer, progress);
+    this.progress.onProgress(peer, progress);
+    this.catchUp.requestItemsIfDue();
   }
 
-  /** A peer gets what it lacks, once. */
-  private answer(peer: PeerId, { since }: EvidenceMessageOf<'want-items'>): void {
-    const { readUpdate, send } = this.options;
-    const update = readUpdate(since);
+  /** Sends a peer the items that it lacks. */
+  private answerRequest(peer: PeerId, { since }: ExchangeMessageOf<'want-items'>): void {
+    const { readStoreUpdate, send } = this.options;
+    const update = readStoreUpdate(since);
     send(peer, { kind: 'items', ...update, present: update.present ?? null });
   }
 
-  /** A peer gave what this VM lacked. */
-  private hearItems(
+  /** Applies the items that a peer sent. */
+  private onItems(
     peer: PeerId,
-    { items, gone, present, revision }: EvidenceMessageOf<'items'>,
+    { items, gone, present, revision }: ExchangeMessageOf<'items'>,
   ): void {
-    this.catchUp.noteAnswer();
-    this.options.onUpdate({ items, gone, present: present ?? undefined, revision }, peer);
-    this.news.noteCaughtUp();
-    this.catchUp.check();
+    this.catchUp.onItemsReceived();
+    this.options.onStoreUpdate({ items, gone, present: present ?? undefined, revision }, peer);
+    this.progress.applyPendingProgress();
+    this.catchUp.requestItemsIfDue();
   }
 }
--- /dev/null
+++ b/packages/share-evidence/src/target-update-exchange.ts
@@ -0,0 +1,99 @@
+/**
+ * Gossip that shares the message of lost targets: losses, leaving targets, and quarantine updates.
+ * Older releases ignore fields that they do not know.
+ */
+import type { GuardNews } from '@limelead/quarantine-requests';
+import type { LeavingFact } from '@limelead/track-backpressure';
+import type { TargetLoss } from '@limelead/track-service-targets';
+import { encodeQuarantineUpdate, decodeQuarantineUpdate } from './quarantine-messages.js';
+import LeavingTargetExchange from './leaving-target-exchange.js';
+import LossPublisher from './loss-publisher.js';
+import type { ExchangeMessage, ExchangeMessageOf } from './messages.js';
+import type { PeerExchangeOptions, PeerId } from './types.js';
+
+/** Dependencies of `TargetUpdateExchange`. */
+export interface TargetUpdateExchangeOptions extends Pick<
+  PeerExchangeOptions,
+  | 'clock'
+  | 'timers'
+  | 'onTargetLost'
+  | 'readQuarantineState'
+  | 'onQuarantineUpdate'
+  | 'readLeaving'
+  | 'onLeaving'
+> {
+  /** Peers with which gossip is shared. */
+  listPeers(): PeerId[];
+  /** Whether a peer may follow the same store. */
+  isPossiblySameStore(peer: PeerId): boolean;
+  send(peer: PeerId, message: ExchangeMessage): void;
+  broadcast(message: ExchangeMessage, peers: PeerId[]): void;
+}
+
+/** Publishes and receives updates about targets. */
+export default class TargetUpdateExchange {
+  private readonly lossPublisher: LossPublisher;
+  private readonly leaving: LeavingTargetExchange;
+
+  constructor(private readonly options: TargetUpdateExchangeOptions) {
+    const { clock, timers, listPeers, send } = options;
+    this.leaving = new LeavingTargetExchange(options);
+    this.lossPublisher = new LossPublisher({
+      clock,
+      timers,
+      listPeers,
+      send: (peer, lost) => send(peer, { kind: 'lost', ...lost }),
+    });
+  }
+
+  /** Publishes a target that this VM detected as lost. */
+  publishLoss(target: string, loss: TargetLoss): void {
+    this.lossPublisher.recordLoss(target, loss);
+  }
+
+  /** Publishes leaving targets to all peers except the one from which they came. */
+  publishLeaving(facts: LeavingFact[], from?: PeerId): void {
+    this.leaving.publish(facts, from);
+  }
+
+  /** Publishes a quarantine update to all peers except the one from which it came. */
+  publishQuarantineUpdate(update: GuardNews, from?: PeerId): void {
+    this.sendQuarantineUpdate(
+      update,
+      this.options.listPeers().filter((peer) => peer !== from),
+    );
+  }
+
+  /** Sends the known quarantine state and leaving targets to a newly linked peer. */
+  onLinked(peer: PeerId): void {
+    this.sendQuarantineUpdate(this.options.readQuarantineState(), [peer]);
+    this.leaving.onLinked(peer);
+  }
+
+  /** Handles a message of a peer. */
+  onMessage(peer: PeerId, message: ExchangeMessageOf<'lost'>): void {
+    const { targets, replaced, requests } = message;
+    this.leaving.onMessage(peer, message);
+    if (requests !== undefined && this.options.isPossiblySameStore(peer)) {
+      this.options.onQuarantineUpdate(
+        decodeQuarantineUpdate(requests, this.options.clock.now()),
+        peer,
+      );
+    }
+    this.forwardLosses(peer, targets, 'lost');
+    this.forwardLosses(peer, replaced, 'replaced');
+  }
+
+  private forwardLosses(peer: PeerId, targets: string[], loss: TargetLoss): void {
+    targets
+      .filter((target) => this.lossPublisher.recordLoss(target, loss, peer))
+      .forEach((target) => this.options.onTargetLost(target, loss));
+  }
+
+  private sendQuarantineUpdate(update: GuardNews, peers: PeerId[]): void {
+    const requests = encodeQuarantineUpdate(update, this.options.clock.now());
+    if (requests !== undefined) {
+      this.options.broadcast({ kind: 'lost', targets: [], replaced: [], requests }, peers);
+    }
+  }
+}
--- a/packages/share-evidence/src/types.ts
+++ b/packages/share-evidence/src/types.ts
@@ -1,4 +1,4 @@
-/** Shapes that the parts of the exchange share. */
+/** Types that the parts of the exchange share. */
 import type { DecisionLog } from '@limelead/decision-log';
 import type { StoreItem } from '@limelead/follow-store';
 import type { LimitFact, PermitMessage } from '@limelead/permit-sends';
@@ -9,7 +9,7 @@
 import type { IncomingMessage } from 'node:http';
 import type { PeerReport } from './report-messages.js';
 
-/** An address on which VMs reach each other, as "host:port". */
+/** An address at which VMs reach each other, as "host:port". */
 export type PeerId = string;
 
 /** A peer to which a link is up. */
@@ -19,73 +19,73 @@
   linkedAtMs: Millis;
 }
 
-/** What this VM knows of the store. */
-export interface StoreKnowledge {
-  /** Revision up to which it knows everything; 0 before the first list. */
+/** How far this VM is synchronised with the store. */
+export interface StoreSyncState {
+  /** Revision up to which this VM is current; 0 before the first list. */
   revision: number;
   /** Version of the configuration in force; 0 for none. */
   configuration: number;
   /** Bytes of the configuration in force; 0 for none. */
   configurationBytes: number;
-  /** Whether the store answers this VM now. */
-  isInTouch: boolean;
+  /** Whether the store currently answers this VM. */
+  isStoreAnswering: boolean;
   /** Whether this VM's last call to the store failed. */
-  isStoreAway: boolean;
+  hasStoreCallFailed: boolean;
 }
 
-/** What a peer knows of the store that this VM does not. */
+/** Changes of the store that a peer has and this VM lacks. */
 export interface StoreUpdate {
-  /** Items that were written behind the revision known here. */
+  /** Items written after this VM's revision. */
   items: StoreItem[];
-  /** Keys that went behind that revision. */
+  /** Keys deleted after that revision. */
   gone: string[];
-  /** Keys of all items that are there, where not all that went is known; what is missing is gone. */
+  /** Keys of all existing items if not all deletions are known; any other key is deleted. */
   present?: string[];
   revision: number;
 }
 
-/** Targets that a VM found lost. */
+/** Targets that a VM detected as lost. */
 export interface LostTargets {
-  /** Those that seem down. */
+  /** Targets that seem to be down. */
   targets: string[];
-  /** Those whose address another incarnation holds. */
+  /** Targets whose address another incarnation holds. */
   replaced: string[];
 }
 
-/** A VM's load at one target. */
+/** The load of a VM at one target. */
 export interface TargetLoad extends PacedLoad {
   id: string;
 }
 
-/** A request for advice as a scheduler gets it. */
-export interface TargetQuestion extends AdviceRequest {
+/** A request for advice as a scheduler receives it. */
+export interface SchedulerRequest extends AdviceRequest {
   /** Failure domain of the VM that asks. */
   failureDomain: string;
-  /** Questions of one VM are numbered from 1. */
+  /** Number of the request, counted from 1 by each VM. */
   number: number;
-  /** Only targets of this part, out of so many, are looked at. */
+  /** Partition of the targets to choose from, out of `parts`. */
   part: number;
   parts: number;
 }
 
-/** What a scheduler answers. */
-export interface TargetAnswer {
+/** Advice of a scheduler. */
+export interface SchedulerAnswer {
   target: string;
-  /** Where a copy of the run may stand. */
+  /** Replica target for the run's memory. */
   copyTo?: string;
 }
 
-/** What the exchange needs. */
-export interface EvidenceExchangeOptions {
+/** Settings, dependencies and event handlers of a `PeerExchange`. */
+export interface PeerExchangeOptions {
   id: PeerId;
   incarnation: string;
   host: string;
   port: number;
   failureDomain: string;
-  /** Region of this VM; undefined where the fleet is in one. */
+  /** Region of this VM; undefined if the fleet has one region. */
   region?: string;
   seeds: PeerId[];
-  /** Both ends of each link prove that they know it. */
+  /** Shared secret; both ends of each link prove that they know it. */
   secret: string;
   /** Address of the store in this VM's settings, as "host:port". */
   storeAddress: string;
@@ -93,63 +93,66 @@
   timers: Timers;
   random: Random;
   log: DecisionLog;
-  readKnowledge(): StoreKnowledge;
-  /** What this VM knows of the store beyond a revision; 0 for everything. */
-  readUpdate(since: number): StoreUpdate;
-  /** Marks of what only this VM's store can have written; none before it answered. See `SameStore`. */
-  readMarks(): readonly number[];
-  /** A peer follows another store; the link to it is ended. */
-  onStranger(peer: PeerId): void;
-  /** A plain request came to the peers' address, where nothing of it is run. */
+  readSyncState(): StoreSyncState;
+  /** Returns the store items that this VM knows after a revision; 0 for all. */
+  readStoreUpdate(since: number): StoreUpdate;
+  /**
+   * Returns marks of data that only this VM's store can hold; empty until the store answered. See
+   * `PeerStoreVerifier`.
+   */
+  readStoreMarks(): readonly number[];
+  /** Called when a peer follows another store; its link is closed. */
+  onForeignPeer(peer: PeerId): void;
+  /** Called when a plain HTTP request arrives at the address for peers; it is not executed. */
   onMisdirected?(message: IncomingMessage): void;
-  /** A message of a peer could not be taken by a fault of this program. */
+  /** Called when a message of a peer caused an unexpected error. */
   onFault(): void;
-  /** Requests of this VM under way, target by target. */
+  /** Returns the open requests of this VM at each target. */
   readLoad(): TargetLoad[];
-  /** The load that a peer told; empty once it is lost. */
-  onLoad(peer: PeerId, load: ToldLoad): void;
-  /** A peer asks where a stream should go; undefined where no target has a place. */
-  adviseTarget(peer: PeerId, question: TargetQuestion): TargetAnswer | undefined;
-  onLost(target: string, loss: TargetLoss): void;
-  /** What this VM knows of requests that may end targets, for a peer that has just met it. */
-  readGuardNews(): GuardNews;
-  /** A peer told of such requests. */
-  onGuardNews(news: GuardNews, peer: PeerId): void;
-  /** Limits that targets named, for a peer that has just met this one. */
+  /** Called with the load that a peer reports; empty after the peer is lost. */
+  onPeerLoad(peer: PeerId, load: ToldLoad): void;
+  /** Chooses a target for a stream of a peer; undefined if no target has a free slot. */
+  adviseTarget(peer: PeerId, request: SchedulerRequest): SchedulerAnswer | undefined;
+  onTargetLost(target: string, loss: TargetLoss): void;
+  /** Returns all known suspected and quarantined requests, for a newly linked peer. */
+  readQuarantineState(): GuardNews;
+  /** Called with the quarantine update of a peer. */
+  onQuarantineUpdate(update: GuardNews, peer: PeerId): void;
+  /** Returns the limits that targets reported, for a newly linked peer. */
   readLimits(): LimitFact[];
-  /** A peer told such limits. */
+  /** Called with limits that a peer published. */
   onLimits(facts: LimitFact[], peer: PeerId): void;
-  /** All targets that announced that they leave, for a newly linked peer. */
+  /** Returns all targets that announced that they are leaving, for a newly linked peer. */
   readLeaving(): LeavingFact[];
-  /** A peer published leaving targets. */
+  /** Called with leaving targets that a peer published. */
   onLeaving(facts: LeavingFact[], peer: PeerId): void;
-  /** A peer asks, gives or returns permits to send. */
-  onPermits(message: PermitMessage, peer: PeerId): void;
-  /** The link to a peer that may have asked or given some is lost. */
+  /** Called when a peer requests, grants or returns permits. */
+  onPermitMessage(message: PermitMessage, peer: PeerId): void;
+  /** Called when the link to a peer is lost that may have open permits or requests for permits. */
   onPermitPeerLost(peer: PeerId): void;
-  /** A peer told what the store held at a later revision than this VM knows. */
-  onUpdate(update: StoreUpdate, peer: PeerId): void;
-  /** A peer asks for repeats of a retry budget; gives how many it gets. */
-  lendRepeats(service: string, wanted: number): number;
-  /** A peer lent repeats. */
-  onRepeats(service: string, repeats: number): void;
-  /** A peer gave a report; undefined where no part of this VM reads any. */
+  /** Called with store changes of a peer that is at a later revision. */
+  onStoreUpdate(update: StoreUpdate, peer: PeerId): void;
+  /** Returns how many retries of the service's budget to lend to a peer. */
+  lendRetries(service: string, wanted: number): number;
+  /** Called with the retries that a peer lent. */
+  onRetriesBorrowed(service: string, retries: number): void;
+  /** Called with a report of a peer; undefined if nothing in this VM handles reports. */
   onReport?(peer: PeerId, report: PeerReport): void;
 }
 
-/** What a peer last said that it knows. */
-export interface PeerKnowledge {
+/** The store state that a peer last reported. */
+export interface PeerSyncState {
   revision: number;
   configuration: number;
   configurationBytes: number;
 }
 
-/** One peer, as this VM is linked to it. */
-export interface PeerState extends PeerKnowledge {
+/** State of one linked peer. */
+export interface PeerState extends PeerSyncState {
   linkedAtMs: Millis;
-  heardAtMs: Millis;
+  receivedAtMs: Millis;
   /** Whether the peer chose this VM for gossip. */
-  isWantedThere: boolean;
-  /** Whether the peer was named all members once. */
-  isGreeted: boolean;
+  isChosenByPeer: boolean;
+  /** Whether all members were sent to the peer. */
+  hasReceivedMembers: boolean;
 }
