--- a/packages/daemon/src/peer-conversation.ts
+++ b/packages/daemon/src/peer-conversation.ts
@@ -126,7 +126,7 @@
   private async beat(): Promise<void> {
     const { members, clock, settings } = this.context;
     this.links?.broadcast(this.createHeartbeat());
-    const present = members.all().filter(({ leaving, port }) => !leaving && port > 0);
+    const present = members.list().filter(({ leaving, port }) => !leaving && port > 0);
     const chosen = chooseLinks(
       settings.id,
       present.map(({ id }) => id),
@@ -165,7 +165,7 @@
   }
 
   private onLost(peer: VmId): void {
-    this.context.members.noteLost(peer);
+    this.context.members.onLinkLost(peer);
     this.demands.delete(peer);
     this.assembler.forget(peer);
     this.noteMembership(peer, 'lost');
@@ -285,7 +285,7 @@
     const { targets, members, clock } = this.context;
     const now = clock.now();
     targets.applyList(list, now - ageMs);
-    members.applyList(list, now);
+    members.applyVmList(list, now);
   }
 
   private onBreaker(peer: VmId, { target, openForMs }: PeerMessageOf<'breaker'>): void {
--- a/packages/daemon/src/poll-targets.ts
+++ b/packages/daemon/src/poll-targets.ts
@@ -22,7 +22,7 @@
     return;
   }
   const changed = targets.applyList(list.right, readAtMs);
-  members.applyList(list.right, clock.now());
+  members.applyVmList(list.right, clock.now());
   gaps.keepOnly(new Set(targets.all().map(({ id }) => id)));
   for (const id of changed) {
     const target = targets.find(id);
--- a/packages/daemon/src/services/administration-service.ts
+++ b/packages/daemon/src/services/administration-service.ts
@@ -119,7 +119,7 @@
     revision: BigInt(configuration.configuration.revision),
     openGenerations: openGenerations.size,
     draining: context.isDraining(),
-    vms: members.all().map((member) => ({
+    vms: members.list().map((member) => ({
       id: member.id,
       failureDomain: member.failureDomain,
       state: members.stateOf(member, now),
--- a/packages/track-members/src/choose-watchers.ts
+++ b/packages/track-members/src/choose-configuration-watchers.ts
@@ -5,7 +5,7 @@
 export const WATCHER_COUNT = 2;
 
 /** The first of the ranking; the loss of one moves only its own place. */
-export default function chooseWatchers(
+export default function chooseConfigurationWatchers(
   members: readonly VmId[],
   count: number = WATCHER_COUNT,
 ): VmId[] {
--- a/packages/track-members/src/index.test.ts
+++ b/packages/track-members/src/index.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { MAX_OPENED_LINKS } from './choose-links.js';
-import { chooseLinks, chooseWatchers, createMemberTable } from './index.js';
+import { chooseLinks, chooseConfigurationWatchers, createMemberTable } from './index.js';
 
 function names(count: number): string[] {
   return Array.from({ length: count }, (_, index) => `vm-${String(index).padStart(4, '0')}`);
@@ -49,10 +49,10 @@
 
 test('all VMs come to the same watchers, and the loss of one replaces only that one', () => {
   const ids = names(50);
-  const watchers = chooseWatchers(ids);
-  assert.equal(chooseWatchers([...ids].reverse()), watchers);
+  const watchers = chooseConfigurationWatchers(ids);
+  assert.equal(chooseConfigurationWatchers([...ids].reverse()), watchers);
   const [lost, kept] = watchers;
-  const next = chooseWatchers(ids.filter((id) => id !== lost));
+  const next = chooseConfigurationWatchers(ids.filter((id) => id !== lost));
   assert.ok(kept !== undefined && next.includes(kept));
   assert.is(next.length, watchers.length);
 });
@@ -75,11 +75,11 @@
   };
   assert.is(state(3_000), 'alive');
   assert.is(state(4_000), 'suspect');
-  assert.is(table.present(4_000).length, 0);
+  assert.is(table.listAvailable(4_000).length, 0);
   table.applyHeartbeat(facts, 4_100);
   assert.is(state(4_200), 'alive');
   assert.is(table.findByIncarnation('vm-2.a')?.id, 'vm-2');
-  table.noteLost('vm-2');
+  table.onLinkLost('vm-2');
   assert.is(state(4_300), 'suspect');
 });
 
--- a/packages/track-members/src/index.ts
+++ b/packages/track-members/src/index.ts
@@ -1,5 +1,5 @@
 /** Which VMs are alive, as seen from heartbeats and the list of VMs; which peers to link to. */
 export { default as createMemberTable } from './member-table.js';
-export type { Member, MemberState, MemberTable, HeartbeatFacts } from './member-table.js';
+export type { Member, MemberState, MemberTable, MemberHeartbeat } from './member-table.js';
 export { default as chooseLinks } from './choose-links.js';
-export { default as chooseWatchers, rankVms } from './choose-watchers.js';
+export { default as chooseConfigurationWatchers, rankVms } from './choose-configuration-watchers.js';
--- a/packages/track-members/src/member-table.ts
+++ b/packages/track-members/src/member-table.ts
@@ -23,11 +23,11 @@
   leaving: boolean;
   isListed: boolean;
   /** Time of the last heartbeat; undefined where none was heard. */
-  heardAtMs?: Millis;
+  lastHeartbeatAtMs?: Millis;
 }
 
 /** What a heartbeat says of its sender. */
-export interface HeartbeatFacts {
+export interface MemberHeartbeat {
   id: VmId;
   host: string;
   port: number;
@@ -41,16 +41,16 @@
 export interface MemberTable {
   /** Peers named in the settings, known before anything is heard. */
   addSeed(seed: Pick<Member, 'id' | 'host' | 'port'>): void;
-  applyList(list: VmList, now: Millis): void;
-  applyHeartbeat(facts: HeartbeatFacts, now: Millis): void;
+  applyVmList(list: VmList, now: Millis): void;
+  applyHeartbeat(facts: MemberHeartbeat, now: Millis): void;
   /** The link to a peer broke. */
-  noteLost(id: VmId): void;
+  onLinkLost(id: VmId): void;
   stateOf(member: Member, now: Millis): MemberState;
   find(id: VmId): Member | undefined;
   findByIncarnation(incarnation: string): Member | undefined;
-  all(): Member[];
+  list(): Member[];
   /** Peers that are not known to be leaving or lost; a peer never heard is given the benefit. */
-  present(now: Millis): Member[];
+  listAvailable(now: Millis): Member[];
 }
 
 /** Creates an empty table. */
@@ -68,7 +68,8 @@
     if (member.leaving) {
       return 'leaving';
     }
-    const isHeard = member.heardAtMs !== undefined && now - member.heardAtMs <= SUSPECT_AFTER_MS;
+    const isHeard =
+      member.lastHeartbeatAtMs !== undefined && now - member.lastHeartbeatAtMs <= SUSPECT_AFTER_MS;
     return isHeard ? 'alive' : 'suspect';
   }
 
@@ -86,31 +87,36 @@
 
   function forgetUnheard(now: Millis): void {
     for (const member of members.values()) {
-      const heardAtMs = member.heardAtMs ?? Number.NEGATIVE_INFINITY;
-      if (!member.isListed && member.heardAtMs !== undefined && now - heardAtMs > FORGET_AFTER_MS) {
+      const heardAtMs = member.lastHeartbeatAtMs ?? Number.NEGATIVE_INFINITY;
+      if (
+        !member.isListed &&
+        member.lastHeartbeatAtMs !== undefined &&
+        now - heardAtMs > FORGET_AFTER_MS
+      ) {
         members.delete(member.id);
       }
     }
   }
 
   return {
-    applyList,
+    applyVmList: applyList,
     stateOf,
     addSeed: ({ id, host, port }) => upsert(id, { host, port }),
-    applyHeartbeat: ({ id, ...facts }, now) => upsert(id, { ...facts, heardAtMs: now }),
-    noteLost: (id) => {
+    applyHeartbeat: ({ id, ...facts }, now) => upsert(id, { ...facts, lastHeartbeatAtMs: now }),
+    onLinkLost: (id) => {
       if (members.has(id)) {
-        upsert(id, { heardAtMs: Number.NEGATIVE_INFINITY });
+        upsert(id, { lastHeartbeatAtMs: Number.NEGATIVE_INFINITY });
       }
     },
     find: (id) => members.get(id),
     findByIncarnation: (incarnation) =>
       [...members.values()].find((member) => member.incarnation === incarnation),
-    all: () => [...members.values()],
-    present: (now) =>
+    list: () => [...members.values()],
+    listAvailable: (now) =>
       [...members.values()].filter(
         (member) =>
-          !member.leaving && (member.heardAtMs === undefined || stateOf(member, now) === 'alive'),
+          !member.leaving &&
+          (member.lastHeartbeatAtMs === undefined || stateOf(member, now) === 'alive'),
       ),
   };
 }
