--- a/packages/track-members/src/choose-configuration-watchers.ts
+++ b/packages/track-members/src/choose-configuration-watchers.ts
@@ -1,10 +1,14 @@
-/** Pure decision: which VMs watch the configuration in the platform's service. */
 import { hashText, type VmId } from '@limelead/types';
 
-/** VMs that watch at a time; a waiting watch counts against the service's rate. */
+/**
+ * Number of VMs that watch the configuration; each watch counts against the service's rate limit.
+ */
 export const WATCHER_COUNT = 2;
 
-/** The first of the ranking; the loss of one moves only its own place. */
+/**
+ * Selects the VMs that watch the configuration in the platform's service: the first of the ranking.
+ * The loss of one watcher replaces only that watcher.
+ */
 export default function chooseConfigurationWatchers(
   members: readonly VmId[],
   count: number = WATCHER_COUNT,
@@ -12,7 +16,7 @@
   return rankVms(members).slice(0, count);
 }
 
-/** Ranks the VMs by a hash, so that all come to the same order without asking. */
+/** Ranks the VMs by a hash, so that all VMs get the same order without communication. */
 export function rankVms(members: readonly VmId[]): VmId[] {
   return [...new Set(members)]
     .map((id) => ({ id, rank: hashText(`watcher/${id}`) }))
--- a/packages/track-members/src/index.ts
+++ b/packages/track-members/src/index.ts
@@ -1,5 +1,10 @@
-/** Which VMs are alive, as seen from heartbeats and the list of VMs; which peers to link to. */
+/**
+ * Tracks which VMs are alive from heartbeats and the list of VMs, and selects the peers to link to.
+ */
 export { default as createMemberTable } from './member-table.js';
 export type { Member, MemberState, MemberTable, MemberHeartbeat } from './member-table.js';
 export { default as chooseLinks } from './choose-links.js';
-export { default as chooseConfigurationWatchers, rankVms } from './choose-configuration-watchers.js';
+export {
+  default as chooseConfigurationWatchers,
+  rankVms,
+} from './choose-configuration-watchers.js';
--- a/packages/track-members/src/member-table.ts
+++ b/packages/track-members/src/member-table.ts
@@ -1,32 +1,32 @@
-/** The other VMs as one VM sees them. */
+/** Table of the other VMs as one VM sees them. */
 import type { Millis, Revision, VmId, VmList } from '@limelead/types';
 
-/** A peer that was silent for this long counts as suspect. */
+/** Time without a heartbeat after which a peer counts as suspect. */
 const SUSPECT_AFTER_MS = 3_500;
-/** A peer that is neither listed nor heard for this long is forgotten. */
+/** Time without a heartbeat after which an unlisted peer is removed. */
 const FORGET_AFTER_MS = 60_000;
 
-/** Where a peer stands. */
+/** State of a peer; `suspect` includes peers without any heartbeat. */
 export type MemberState = 'alive' | 'suspect' | 'leaving';
 
-/** One VM of the system. */
+/** One VM of the fleet. */
 export interface Member {
   id: VmId;
-  /** IP number and port for links between VMs. */
+  /** IP address and port for links between VMs. */
   host: string;
   port: number;
   failureDomain: string;
-  /** Unique to a start of the VM's process; empty until it was heard. */
+  /** Unique to each start of the VM's process; empty before the first heartbeat. */
   incarnation: string;
   revision: Revision;
-  /** Said by the list or by the VM itself. */
+  /** Reported by the list or by the VM itself. */
   leaving: boolean;
   isListed: boolean;
-  /** Time of the last heartbeat; undefined where none was heard. */
+  /** Time of the last heartbeat; undefined before the first. */
   lastHeartbeatAtMs?: Millis;
 }
 
-/** What a heartbeat says of its sender. */
+/** The content of a heartbeat. */
 export interface MemberHeartbeat {
   id: VmId;
   host: string;
@@ -37,23 +37,22 @@
   leaving: boolean;
 }
 
-/** The table of one VM; it does not hold the VM itself. */
+/** Table of one VM; it does not include the VM itself. */
 export interface MemberTable {
-  /** Peers named in the settings, known before anything is heard. */
+  /** Adds a peer from the settings, which is known before any heartbeat. */
   addSeed(seed: Pick<Member, 'id' | 'host' | 'port'>): void;
   applyVmList(list: VmList, now: Millis): void;
-  applyHeartbeat(facts: MemberHeartbeat, now: Millis): void;
-  /** The link to a peer broke. */
+  applyHeartbeat(heartbeat: MemberHeartbeat, now: Millis): void;
+  /** Marks a peer as suspect after its link was lost. */
   onLinkLost(id: VmId): void;
   stateOf(member: Member, now: Millis): MemberState;
   find(id: VmId): Member | undefined;
   findByIncarnation(incarnation: string): Member | undefined;
   list(): Member[];
-  /** Peers that are not known to be leaving or lost; a peer never heard is given the benefit. */
+  /** Peers that are not leaving or suspect; includes peers without any heartbeat so far. */
   listAvailable(now: Millis): Member[];
 }
 
-/** Creates an empty table. */
 export default function createMemberTable(self: VmId): MemberTable {
   const members = new Map<VmId, Member>();
 
@@ -68,12 +67,12 @@
     if (member.leaving) {
       return 'leaving';
     }
-    const isHeard =
+    const isAlive =
       member.lastHeartbeatAtMs !== undefined && now - member.lastHeartbeatAtMs <= SUSPECT_AFTER_MS;
-    return isHeard ? 'alive' : 'suspect';
+    return isAlive ? 'alive' : 'suspect';
   }
 
-  function applyList(list: VmList, now: Millis): void {
+  function applyVmList(list: VmList, now: Millis): void {
     const listed = list.vms.filter(({ role }) => role === 'entry');
     const ids = new Set(listed.map(({ id }) => id));
     for (const member of members.values()) {
@@ -82,16 +81,16 @@
     for (const { id, host, port, failureDomain, leaving } of listed) {
       upsert(id, { host, port, failureDomain, leaving, isListed: true });
     }
-    forgetUnheard(now);
+    forgetExpired(now);
   }
 
-  function forgetUnheard(now: Millis): void {
+  function forgetExpired(now: Millis): void {
     for (const member of members.values()) {
-      const heardAtMs = member.lastHeartbeatAtMs ?? Number.NEGATIVE_INFINITY;
+      const lastHeartbeatAtMs = member.lastHeartbeatAtMs ?? Number.NEGATIVE_INFINITY;
       if (
         !member.isListed &&
         member.lastHeartbeatAtMs !== undefined &&
-        now - heardAtMs > FORGET_AFTER_MS
+        now - lastHeartbeatAtMs > FORGET_AFTER_MS
       ) {
         members.delete(member.id);
       }
@@ -99,10 +98,10 @@
   }
 
   return {
-    applyVmList: applyList,
+    applyVmList,
     stateOf,
     addSeed: ({ id, host, port }) => upsert(id, { host, port }),
-    applyHeartbeat: ({ id, ...facts }, now) => upsert(id, { ...facts, lastHeartbeatAtMs: now }),
+    applyHeartbeat: ({ id, ...fields }, now) => upsert(id, { ...fields, lastHeartbeatAtMs: now }),
     onLinkLost: (id) => {
       if (members.has(id)) {
         upsert(id, { lastHeartbeatAtMs: Number.NEGATIVE_INFINITY });
