--- a/packages/locality/src/locality.ts
+++ b/packages/locality/src/locality.ts
@@ -1,13 +1,9 @@
-/** The regions of a fleet, how near two failure domains are, and what bytes between them cost. */
 import type { Millis } from '@limelead/types';
 
 /** How near one failure domain is to another. */
 export type Nearness = 'own-domain' | 'own-region' | 'other-region';
 
-/**
- * Price of the bytes of a run that is served elsewhere, as the delay in milliseconds that
- * one would rather bear.
- */
+/** Price of serving a run in another location, as a delay in milliseconds that is equally bad. */
 export interface LocalityPrices {
   /** In another failure domain of the region. */
   otherDomainMs: Millis;
@@ -15,35 +11,35 @@
   otherRegionMs: Millis;
 }
 
-/**
- * A region is left once its targets are three requests behind: links between regions are billed about
- * three times those between failure domains.
- */
+/** Links between regions cost about three times as much as links between failure domains. */
 const DEFAULT_PRICES: LocalityPrices = { otherDomainMs: 750, otherRegionMs: 2_250 };
 
-/** What is told of regions. */
+/** Location of a VM, the regions of the fleet, and prices. */
 export interface LocalitySettings {
   /** Failure domain of this VM. */
   failureDomain: string;
-  /** Region of this VM, where it is told; the one of its failure domain otherwise. */
+  /** Region of this VM; defaults to the region of its failure domain. */
   region?: string;
-  /** Region of each failure domain; empty where nothing tells of regions. */
+  /** Region of each failure domain; empty in a fleet of one region. */
   regionOf: Readonly<Record<string, string>>;
-  /** Prices that the operator set; the others have their defaults. */
+  /** Prices that override the defaults. */
   prices?: Partial<LocalityPrices>;
 }
 
-/** Answers what is near. */
+/** Answers how near two failure domains are, and the price of serving a run in the other one. */
 export interface Locality {
-  /** Region of this VM; undefined where the whole fleet is in one. */
+  /** Region of this VM; undefined if the fleet has one region. */
   readonly region: string | undefined;
-  /** A failure domain of which nothing is told counts as one of the own region. */
+  /**
+   * Classifies the distance between two failure domains; an unknown one counts as in the own
+   * region.
+   */
   readNearness(from: string, to: string): Nearness;
-  /** Price of serving a run of one failure domain in another. */
+  /** Price of serving a run from one failure domain in another. */
   readPriceMs(from: string, to: string): Millis;
 }
 
-/** Creates the answers. A fleet of one region is one in which nothing tells of regions. */
+/** Creates a `Locality`. A fleet without known regions counts as one region. */
 export default function createLocality(settings: LocalitySettings): Locality {
   const { failureDomain } = settings;
   const region = settings.region ?? settings.regionOf[failureDomain];
@@ -62,9 +58,10 @@
     if (from === to) {
       return 'own-domain';
     }
-    const [here, there] = [regionOf[from], regionOf[to]];
-    const isElsewhere = here !== undefined && there !== undefined && here !== there;
-    return isElsewhere ? 'other-region' : 'own-region';
+    const [fromRegion, toRegion] = [regionOf[from], regionOf[to]];
+    const isOtherRegion =
+      fromRegion !== undefined && toRegion !== undefined && fromRegion !== toRegion;
+    return isOtherRegion ? 'other-region' : 'own-region';
   };
   return {
     region: hasRegions ? region : undefined,
