--- a/packages/daemon/src/peer-conversation.ts
+++ b/packages/daemon/src/peer-conversation.ts
@@ -63,8 +63,8 @@
       format: peerMessageFormat,
       onReady: (peer) => this.onReady(peer),
       onMessage: (peer, message) => this.onMessage(peer, message),
-      onLost: (peer) => this.onLost(peer),
-      onDropped: () => metrics.count('limelead_peer_messages_dropped_total'),
+      onLinkLost: (peer) => this.onLost(peer),
+      onMessageDropped: () => metrics.count('limelead_peer_messages_dropped_total'),
     });
     configuration.onAdvance((_, source) => this.spreadConfiguration(source));
     const { heartbeatMs } = settings.timing;
@@ -98,7 +98,7 @@
   /** Asks the VM that holds a claim what became of its call. */
   askHolder(holder: string, organisation: string, requestId: string): Promise<RememberedCall> {
     const peer = this.context.members.findByIncarnation(holder)?.id;
-    if (peer === undefined || this.links?.linked().includes(peer) !== true) {
+    if (peer === undefined || this.links?.listLinked().includes(peer) !== true) {
       return Promise.resolve({ kind: 'unknown' });
     }
     return this.callQueries.ask((query) =>
@@ -108,7 +108,7 @@
 
   /** Asks linked peers to cancel a generation; says whether one of them had it. */
   async cancelElsewhere(organisation: string, requestId: string): Promise<boolean> {
-    const peers = this.links?.linked() ?? [];
+    const peers = this.links?.listLinked() ?? [];
     const answers = peers.map((peer) =>
       this.cancelQueries.ask((query) =>
         this.links?.send(peer, { kind: 'cancel-query', query, organisation, requestId }),
@@ -132,10 +132,10 @@
       present.map(({ id }) => id),
     );
     this.links?.open(present.filter(({ id }) => chosen.includes(id)));
-    for (const peer of this.links?.linked() ?? []) {
+    for (const peer of this.links?.listLinked() ?? []) {
       const member = members.find(peer);
       if (member !== undefined && members.stateOf(member, clock.now()) === 'suspect') {
-        this.links?.drop(peer);
+        this.links?.disconnect(peer);
       }
     }
   }
--- a/packages/peer-links/src/connect-within.test.ts
+++ b/packages/peer-links/src/connect-with-timeout.test.ts
@@ -3,7 +3,7 @@
 import { backgroundTimers } from '@limelead/types';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import connectWithin from './connect-within.js';
+import connectWithTimeout from './connect-with-timeout.js';
 
 /** Listens, says where, and never takes a connection from its queue. */
 const DEAF_PEER = `
@@ -36,7 +36,7 @@
   const peer = await startDeafPeer();
   const queued = await Promise.all(Array.from({ length: QUEUE }, () => connect(peer.port)));
   const startedAtMs = performance.now();
-  const socket = connectWithin({ host: '127.0.0.1', port: peer.port }, backgroundTimers);
+  const socket = connectWithTimeout({ host: '127.0.0.1', port: peer.port }, backgroundTimers);
   const error = await new Promise<Error>((resolve) => socket.once('error', resolve));
   assert.match(error.message, 'no connection in time');
   assert.ok(performance.now() - startedAtMs < 900);
@@ -50,7 +50,7 @@
   const { port } = server.address() as AddressInfo;
   let isCancelled = false;
   const timers = { after: () => () => (isCancelled = true) };
-  const socket = connectWithin({ host: '127.0.0.1', port }, timers);
+  const socket = connectWithTimeout({ host: '127.0.0.1', port }, timers);
   await new Promise((resolve) => socket.once('connect', resolve));
   assert.ok(isCancelled);
   socket.destroy();
@@ -61,7 +61,7 @@
   const server = createServer();
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
-  const socket = connectWithin({ host: '127.0.0.1', port }, backgroundTimers);
+  const socket = connectWithTimeout({ host: '127.0.0.1', port }, backgroundTimers);
   const outcome = new Promise<string>((resolve) => {
     socket.once('connect', () => resolve('connected'));
     socket.once('error', ({ message }) => resolve(message));
--- a/packages/peer-links/src/connect-within.ts
+++ b/packages/peer-links/src/connect-with-timeout.ts
@@ -12,7 +12,7 @@
 const CONNECT_TIMEOUT_MS = 300;
 
 /** Connects as `net` does; the socket is destroyed where it takes too long. */
-export default function connectWithin(options: TcpNetConnectOpts, timers: Timers): Socket {
+export default function connectWithTimeout(options: TcpNetConnectOpts, timers: Timers): Socket {
   const socket = createConnection(options);
   const giveUp = (): void => {
     if (socket.connecting) {
--- a/packages/peer-links/src/peer-link.ts
+++ b/packages/peer-links/src/peer-link.ts
@@ -22,7 +22,7 @@
   onReady(link: PeerLink<Message>): void;
   onMessage(link: PeerLink<Message>, message: Message): void;
   onClosed(link: PeerLink<Message>): void;
-  onDropped(): void;
+  onMessageDropped(): void;
 }
 
 /** What a link needs. */
@@ -79,7 +79,7 @@
       return;
     }
     if (socket.bufferedAmount > MAX_QUEUED_BYTES) {
-      events.onDropped();
+      events.onMessageDropped();
       if (!format.isExpendable(message)) {
         this.close();
       }
--- a/packages/peer-links/src/peer-links.test.ts
+++ b/packages/peer-links/src/peer-links.test.ts
@@ -33,8 +33,8 @@
       format: peerMessageFormat,
       onReady: (peer) => end.note(() => end.ready.push(peer)),
       onMessage: (_, message) => end.note(() => end.messages.push(message)),
-      onLost: (peer) => end.note(() => end.lost.push(peer)),
-      onDropped: () => undefined,
+      onLinkLost: (peer) => end.note(() => end.lost.push(peer)),
+      onMessageDropped: () => undefined,
     });
     return end;
   }
@@ -99,7 +99,7 @@
     }
   };
   await exchange();
-  assert.equal([a.links.linked(), b.links.linked()], [['vm-b'], ['vm-a']]);
+  assert.equal([a.links.listLinked(), b.links.listLinked()], [['vm-b'], ['vm-a']]);
   await a.links.close();
   await b.links.close();
 });
@@ -113,7 +113,7 @@
   fresh.links.open([a.address('vm-a')]);
   await a.until(() => a.ready.length === 2);
   await old.until(() => old.lost.length === 1);
-  assert.equal(a.links.linked(), ['vm-b']);
+  assert.equal(a.links.listLinked(), ['vm-b']);
   await Promise.all([a.links.close(), old.links.close(), fresh.links.close()]);
 });
 
--- a/packages/peer-links/src/peer-links.ts
+++ b/packages/peer-links/src/peer-links.ts
@@ -2,7 +2,7 @@
 import type { Timers, VmId } from '@limelead/types';
 import { createServer, type IncomingMessage } from 'node:http';
 import { WebSocket, WebSocketServer } from 'ws';
-import connectWithin from './connect-within.js';
+import connectWithTimeout from './connect-with-timeout.js';
 import type { MessageFormat } from './messages.js';
 import answerMisdirected from './misdirected.js';
 import PeerLink, { type PeerLinkEvents } from './peer-link.js';
@@ -31,8 +31,8 @@
   format: MessageFormat<Message>;
   onReady(peer: VmId): void;
   onMessage(peer: VmId, message: Message): void;
-  onLost(peer: VmId): void;
-  onDropped(): void;
+  onLinkLost(peer: VmId): void;
+  onMessageDropped(): void;
   /** A plain request came to the peers' address; it was told that it was not run. */
   onMisdirected?(message: IncomingMessage): void;
 }
@@ -47,10 +47,10 @@
   /** Sends one message to several peers, all that are linked unless they are named; encoded once. */
   broadcast(message: Message, peers?: readonly VmId[]): void;
   /** Ends a link; it may be opened again. */
-  drop(peer: VmId): void;
-  linked(): VmId[];
+  disconnect(peer: VmId): void;
+  listLinked(): VmId[];
   /** Peers whose link this VM opened. */
-  opened(): VmId[];
+  listOpened(): VmId[];
   close(): Promise<void>;
 }
 
@@ -97,10 +97,10 @@
       all.delete(link);
       if (ready.get(link.peerId) === link) {
         ready.delete(link.peerId);
-        options.onLost(link.peerId);
+        options.onLinkLost(link.peerId);
       }
     },
-    onDropped: options.onDropped,
+    onMessageDropped: options.onMessageDropped,
   };
 
   const createLink = (socket: WebSocket, end: 'opener' | 'acceptor'): void => {
@@ -120,7 +120,7 @@
         maxPayload: MAX_MESSAGE_BYTES,
         perMessageDeflate: false,
         handshakeTimeout: HANDSHAKE_TIMEOUT_MS,
-        createConnection: () => connectWithin({ host, port }, options.timers),
+        createConnection: () => connectWithTimeout({ host, port }, options.timers),
       });
       socket.once('close', () => opening.delete(id));
       createLink(socket, 'opener');
@@ -141,9 +141,9 @@
         peers.forEach((peer) => ready.get(peer)?.send(message, bytes));
       }
     },
-    drop: (peer) => ready.get(peer)?.close(),
-    linked: () => [...ready.keys()],
-    opened: () => [...ready].filter(([, { end }]) => end === 'opener').map(([peer]) => peer),
+    disconnect: (peer) => ready.get(peer)?.close(),
+    listLinked: () => [...ready.keys()],
+    listOpened: () => [...ready].filter(([, { end }]) => end === 'opener').map(([peer]) => peer),
     async close() {
       isClosed = true;
       all.forEach((link) => link.close());
--- a/packages/share-evidence/src/fleet.fixture.ts
+++ b/packages/share-evidence/src/fleet.fixture.ts
@@ -90,9 +90,9 @@
         this.regionChanges.push(`${other} ${isReachable}`),
       links: {
         open: (peers) => peers.forEach((peer) => this.open(peer.id)),
-        opened: () => [...this.openedNow],
-        linked: () => [...this.linked],
-        drop: (peer) => this.drop(peer),
+        listOpened: () => [...this.openedNow],
+        listLinked: () => [...this.linked],
+        disconnect: (peer) => this.drop(peer),
       },
     });
     this.runRound(SECOND_ROUND_MS);
--- a/packages/share-evidence/src/gossip-link-manager.test.ts
+++ b/packages/share-evidence/src/gossip-link-manager.test.ts
@@ -11,15 +11,15 @@
     peers.forEach(({ id }) => this.ready.add(id));
   }
 
-  opened(): string[] {
+  listOpened(): string[] {
     return [...this.ready];
   }
 
-  linked(): string[] {
+  listLinked(): string[] {
     return [...this.ready];
   }
 
-  drop(peer: string): void {
+  disconnect(peer: string): void {
     this.ready.delete(peer);
   }
 }
--- a/packages/share-evidence/src/gossip-link-manager.ts
+++ b/packages/share-evidence/src/gossip-link-manager.ts
@@ -45,7 +45,10 @@
   constructor(
     private readonly self: PeerId,
     private readonly seeds: PeerId[],
-    private readonly links: Pick<PeerLinks<never>, 'open' | 'opened' | 'drop' | 'linked'>,
+    private readonly links: Pick<
+      PeerLinks<never>,
+      'open' | 'listOpened' | 'disconnect' | 'listLinked'
+    >,
   ) {
     this.phase = hashText(self) % ROUNDS_BETWEEN_SEEDS;
     this.chosen = new Set(seeds);
@@ -77,12 +80,12 @@
     this.openGossipLinks(members, otherRegions);
     this.links.open(toAddresses(schedulers));
     const wanted = new Set([...this.chosen, ...schedulers]);
-    const opened = this.links.opened();
+    const opened = this.links.listOpened();
     for (const peer of opened) {
       const rounds = wanted.has(peer) ? 0 : (this.unwantedRounds.get(peer) ?? 0) + 1;
       this.unwantedRounds.set(peer, rounds);
       if (rounds >= UNWANTED_ROUNDS) {
-        this.links.drop(peer);
+        this.links.disconnect(peer);
       }
     }
     this.forgetExcept(new Set(opened));
@@ -92,7 +95,7 @@
     const known = members.length + otherRegionVms.size;
     const isStarting = known >= LARGE_FLEET_VMS && this.rounds < FIRST_RING_ROUND;
     const peers = isStarting ? [] : [...chooseGossipPeers(this.self, members), ...bridges];
-    const isIsolated = this.links.linked().length === 0;
+    const isIsolated = this.links.listLinked().length === 0;
     return [
       ...peers,
       ...this.chooseSeedsToLink().filter((seed) => isIsolated || !otherRegionVms.has(seed)),
@@ -105,7 +108,7 @@
    * to a seed at the same time.
    */
   private chooseSeedsToLink(): PeerId[] {
-    if (this.rounds <= SEED_ROUNDS || this.links.linked().length === 0) {
+    if (this.rounds <= SEED_ROUNDS || this.links.listLinked().length === 0) {
       return this.seeds;
     }
     const turn = this.rounds + this.phase;
--- a/packages/share-evidence/src/membership.ts
+++ b/packages/share-evidence/src/membership.ts
@@ -29,7 +29,7 @@
   /** Region of this VM; undefined if the fleet has one region. */
   region: string | undefined;
   seeds: PeerId[];
-  links: Pick<PeerLinks<never>, 'open' | 'opened' | 'drop' | 'linked'>;
+  links: Pick<PeerLinks<never>, 'open' | 'listOpened' | 'disconnect' | 'listLinked'>;
   clock: Clock;
   random: Random;
   /** Another region became reachable or unreachable. */
@@ -180,7 +180,7 @@
     this.plan = planFleet({ id: self, region }, members);
     const { isLarge, sameRegionVms, schedulers, remoteSchedulers, ranking, fleetWideSchedulers } =
       this.plan;
-    this.candidates.update(ranking, fleetWideSchedulers, links.linked());
+    this.candidates.update(ranking, fleetWideSchedulers, links.listLinked());
     const wanted = new Set([...schedulers.flat(), ...remoteSchedulers, ...this.candidates.list]);
     wanted.delete(self);
     this.linkManager.runRound(sameRegionVms, isLarge ? [...wanted] : [], this.plan);
--- a/packages/share-evidence/src/peer-exchange.ts
+++ b/packages/share-evidence/src/peer-exchange.ts
@@ -204,8 +204,8 @@
       format: exchangeMessageFormat,
       onReady: (peer) => this.onReady(peer),
       onMessage: (peer, message) => this.onMessage(peer, message),
-      onLost: (peer) => this.onPeerLost(peer),
-      onDropped: () => undefined,
+      onLinkLost: (peer) => this.onPeerLost(peer),
+      onMessageDropped: () => undefined,
       onMisdirected: (message) => this.options.onMisdirected?.(message),
     });
     const onRegionChange = (change: RegionChange): void =>
@@ -358,7 +358,7 @@
   }
 
   private dropPeer(peer: PeerId): void {
-    this.links?.drop(peer);
+    this.links?.disconnect(peer);
     this.onPeerLost(peer);
   }
 
@@ -370,7 +370,7 @@
 
   private onReady(peer: PeerId): void {
     if (this.storeVerifier.isKnownForeign(peer)) {
-      this.links?.drop(peer);
+      this.links?.disconnect(peer);
       return;
     }
     this.peers.add(peer);
