--- a/packages/daemon/src/create-context.ts
+++ b/packages/daemon/src/create-context.ts
@@ -52,7 +52,7 @@
   const members = createMemberTable(settings.id);
   settings.peers.seeds.forEach((seed) => members.addSeed(seed));
 
-  const countVms = (): number => members.listAvailable(clock.now()).length + 1;
+  const countVms = (): number => members.present(clock.now()).length + 1;
   const shareOf = (organisation: string): number => {
     const own = admission.demandOf(organisation, clock.now());
     return computeShare(own, peers.demandOf(organisation), countVms());
--- a/packages/daemon/src/is-watcher.ts
+++ b/packages/daemon/src/is-watcher.ts
@@ -4,6 +4,6 @@
 
 /** Decided from the VMs that are present now. */
 export default function isWatcher({ members, clock, settings }: VmContext): boolean {
-  const present = members.listAvailable(clock.now()).map(({ id }) => id);
+  const present = members.present(clock.now()).map(({ id }) => id);
   return chooseConfigurationWatchers([...present, settings.id]).includes(settings.id);
 }
--- a/packages/measure/src/capacity/measure-slopes.ts
+++ b/packages/measure/src/capacity/measure-slopes.ts
@@ -99,7 +99,7 @@
     const vms = Array.from({ length: count }, (_, index) => listed(`vm-${index}`, 'entry'));
     return [
       count,
-      timeMs(() => (table.applyVmList({ version: 1, vms }, 0), table.listAvailable(0))),
+      timeMs(() => (table.applyVmList({ version: 1, vms }, 0), table.present(0))),
     ] as const;
   });
   return fitSlope('taking the list into the member table', 'VM', 'ms', held);
--- a/packages/peer-links/src/connect-with-timeout.test.ts
+++ b/packages/peer-links/src/connect-with-timeout.test.ts
@@ -5,20 +5,20 @@
 import * as assert from 'uvu/assert';
 import connectWithTimeout from './connect-with-timeout.js';
 
-/** Listens, says where, and never takes a connection from its queue. */
-const DEAF_PEER = `
+/** A process that listens, prints its port and never accepts a connection from its queue. */
+const UNRESPONSIVE_PEER = `
   const server = require('net').createServer();
   server.listen({ host: '127.0.0.1', port: 0, backlog: 1 }, () => {
     require('fs').writeSync(1, String(server.address().port));
     Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0);
   });`;
-/** Connections that fill such a queue. */
-const QUEUE = 2;
-/** Longer than a connection may take. */
+/** Number of connections that fill that queue. */
+const QUEUE_LENGTH = 2;
+/** Longer than the connect timeout. */
 const BUSY_MS = 400;
 
-async function startDeafPeer(): Promise<{ port: number; process: ChildProcess }> {
-  const process = spawn(globalThis.process.execPath, ['-e', DEAF_PEER]);
+async function startUnresponsivePeer(): Promise<{ port: number; process: ChildProcess }> {
+  const process = spawn(globalThis.process.execPath, ['-e', UNRESPONSIVE_PEER]);
   const port = await new Promise<string>((resolve) => process.stdout.once('data', resolve));
   return { port: Number(port), process };
 }
@@ -29,22 +29,22 @@
 }
 
 /**
- * What happened: all VMs of a fleet started within 0.4 s, the seeds last. Whoever had come
- * first sent its packets to VMs that were not there yet, and met them a second later.
+ * Guards against a start at which first packets are lost, since the operating system retransmits
+ * them only after a second.
  */
-test('a connection whose first packet is lost is given up before the system repeats it', async () => {
-  const peer = await startDeafPeer();
-  const queued = await Promise.all(Array.from({ length: QUEUE }, () => connect(peer.port)));
+test('a connection attempt whose first packet is lost fails before the operating system retransmits it', async () => {
+  const peer = await startUnresponsivePeer();
+  const queued = await Promise.all(Array.from({ length: QUEUE_LENGTH }, () => connect(peer.port)));
   const startedAtMs = performance.now();
   const socket = connectWithTimeout({ host: '127.0.0.1', port: peer.port }, backgroundTimers);
   const error = await new Promise<Error>((resolve) => socket.once('error', resolve));
-  assert.match(error.message, 'no connection in time');
+  assert.match(error.message, 'connection to the peer timed out');
   assert.ok(performance.now() - startedAtMs < 900);
   queued.forEach((other) => other.destroy());
   peer.process.kill();
 });
 
-test('a connection that is up stays', async () => {
+test('an established connection stays open', async () => {
   const server = createServer();
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
@@ -57,7 +57,7 @@
   await new Promise((resolve) => server.close(resolve));
 });
 
-test('a VM that was busy for longer than that keeps a connection that came up meanwhile', async () => {
+test('a VM whose event loop was blocked past the timeout keeps a connection established meanwhile', async () => {
   const server = createServer();
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
--- a/packages/peer-links/src/handshake.ts
+++ b/packages/peer-links/src/handshake.ts
@@ -1,4 +1,6 @@
-/** Both ends of a link prove that they know the shared secret, without sending it. */
+/**
+ * Handshake in which both ends of a link prove that they know the shared secret without sending it.
+ */
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
 import { PROTOCOL_VERSION, type HandshakeMessage } from './messages.js';
 
@@ -6,7 +8,7 @@
 
 type Hello = Extract<HandshakeMessage, { kind: 'hello' }>;
 
-/** Which end of the link somebody is; part of the proof, so that it can't be played back. */
+/** End of a link; part of the proof, so that a proof cannot be replayed. */
 export type LinkEnd = 'opener' | 'acceptor';
 
 /** Creates the first message of either end. */
@@ -15,21 +17,20 @@
   return { kind: 'hello', version: PROTOCOL_VERSION, id, incarnation, nonce };
 }
 
-/** Proof of the end `prover`, over both ends' first messages. */
+/** Computes the proof of the end `prover` over the first messages of both ends. */
 export function createProof(
   secret: string,
   prover: LinkEnd,
   openerHello: Hello,
   acceptorHello: Hello,
 ): string {
-  const subject = JSON.stringify([prover, openerHello, acceptorHello].map(sortKeys));
-  return createHmac('sha256', secret).update(subject).digest('base64url');
+  const content = JSON.stringify([prover, openerHello, acceptorHello].map(sortKeys));
+  return createHmac('sha256', secret).update(content).digest('base64url');
 }
 
-/** Compares proofs in constant time. */
-export function isSameProof(expected: string, given: string): boolean {
+export function isSameProof(expected: string, received: string): boolean {
   const a = Buffer.from(expected);
-  const b = Buffer.from(given);
+  const b = Buffer.from(received);
   return a.length === b.length && timingSafeEqual(a, b);
 }
 
--- a/packages/peer-links/src/messages.ts
+++ b/packages/peer-links/src/messages.ts
@@ -1,4 +1,4 @@
-/** Messages between VMs. */
+/** Messages between VMs, and their format on the wire. */
 import { changeCodec, removalCodec, versionedResourceCodec } from '@limelead/configuration-state';
 import { vmListCodec } from '@limelead/outside-protocol';
 import * as E from 'fp-ts/lib/Either.js';
@@ -6,24 +6,24 @@
 import * as t from 'io-ts';
 import { Packr } from 'msgpackr';
 
-/** Version of the messages; peers of another version are refused. */
+/** Version of the messages; peers with another version are rejected. */
 export const PROTOCOL_VERSION = 1;
 
-// Records would share structures between messages, and links may lose messages.
+// Records share structures between messages, which fails on links that drop messages.
 const packr = new Packr({ useRecords: false });
 
-/** How the messages of one kind of conversation stand on the wire. */
+/** Encoding and decoding of one set of messages. */
 export interface MessageFormat<Message> {
   encode(message: Message): Buffer;
-  /** Undefined where the bytes hold no message. */
+  /** Returns undefined if the bytes are not a valid message. */
   decode(bytes: Buffer): Message | undefined;
-  /** True for messages that may be dropped for a slow peer. */
+  /** Whether a message may be dropped for a slow peer. */
   isExpendable(message: Message): boolean;
 }
 
 /**
- * Creates a format whose messages are checked when they arrive.
- * @param toWire the shape that is sent, where it differs from the message's own
+ * Creates a format that validates messages when they are decoded.
+ * @param toWire converts a message to the value that is sent, if they differ
  */
 export function createMessageFormat<Message>(
   codec: t.Type<Message, unknown>,
@@ -49,10 +49,10 @@
   incarnation: t.string,
   revision: t.number,
   leaving: t.boolean,
-  /** Version of the newest list of VMs that the sender has, and how long ago it was read. */
+  /** Version of the sender's newest list of VMs, and its age in milliseconds. */
   listVersion: t.number,
   listAgeMs: t.number,
-  /** Requests a second of each organisation that the sender admits, for sharing limits. */
+  /** Requests per second of each organisation that the sender admits, for sharing limits. */
   demand: t.array(t.type({ organisation: t.string, requestsPerSecond: t.number })),
 });
 
@@ -99,7 +99,7 @@
   cancelled: t.boolean,
 });
 
-const rememberedCall = t.union([
+const callOutcome = t.union([
   t.type({
     kind: t.literal('answered'),
     answer: t.type({ status: t.number, body: t.unknown }),
@@ -111,7 +111,7 @@
 const callReply = t.type({
   kind: t.literal('call-reply'),
   query: t.number,
-  outcome: rememberedCall,
+  outcome: callOutcome,
 });
 
 const peerMessageCodec = t.union([
@@ -131,7 +131,7 @@
 /** A message from one VM to another. */
 export type PeerMessage = t.TypeOf<typeof peerMessageCodec>;
 
-/** One kind of message. */
+/** A message of one kind. */
 export type PeerMessageOf<Kind extends PeerMessage['kind']> = Extract<PeerMessage, { kind: Kind }>;
 
 /** Format of the messages between VMs. */
@@ -140,12 +140,11 @@
   ({ kind }) => kind === 'heartbeat',
 );
 
-/** Encodes a message. */
 export function encodeMessage(message: PeerMessage): Buffer {
   return peerMessageFormat.encode(message);
 }
 
-/** Decodes a message; undefined where it does not hold. */
+/** Decodes a message; undefined if it is invalid. */
 export function decodeMessage(bytes: Buffer): PeerMessage | undefined {
   return peerMessageFormat.decode(bytes);
 }
@@ -164,12 +163,11 @@
 /** A message of the handshake that begins every link. */
 export type HandshakeMessage = t.TypeOf<typeof handshakeCodec>;
 
-/** Encodes a message of the handshake. */
 export function encodeHandshake(message: HandshakeMessage): Buffer {
   return packr.pack(message);
 }
 
-/** Decodes a message of the handshake; undefined where it does not hold. */
+/** Decodes a message of the handshake; undefined if it is invalid. */
 export function decodeHandshake(bytes: Buffer): HandshakeMessage | undefined {
   const decoded = handshakeCodec.decode(unpack(bytes));
   return E.isRight(decoded) ? decoded.right : undefined;
--- a/packages/peer-links/src/misdirected.ts
+++ b/packages/peer-links/src/misdirected.ts
@@ -1,13 +1,13 @@
 /**
- * What a request gets that came to a door of this VM where callers have no business, because
- * an address is old or was given to another process. It was not run, and its sender may go
- * on elsewhere; a 404 would say that its route is unknown, and end it.
+ * Answers requests that arrive at an address of this VM that does not serve callers, because the
+ * address is outdated or was reassigned. They are not executed, so that their senders may retry
+ * elsewhere; a 404 would mean that the route is unknown.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 const MISDIRECTED = 421;
 
-/** Answers it; its connection is closed, since nothing else on it belongs here. */
+/** Answers with 421 Misdirected Request and closes the connection. */
 export default function answerMisdirected(
   message: IncomingMessage,
   response: ServerResponse,
--- a/packages/peer-links/src/peer-link.ts
+++ b/packages/peer-links/src/peer-link.ts
@@ -1,4 +1,3 @@
-/** One link to one peer, from the handshake to its end. */
 import type { Timers } from '@limelead/types';
 import type { RawData, WebSocket } from 'ws';
 import { createHello, createProof, isSameProof, type LinkEnd } from './handshake.js';
@@ -11,21 +10,24 @@
 } from './messages.js';
 
 const HANDSHAKE_TIMEOUT_MS = 2_000;
-/** Bytes that may wait for a slow peer. Beyond it heartbeats are dropped, anything else ends the link. */
+/**
+ * Maximum bytes queued for a slow peer. Above it expendable messages are dropped, and any other
+ * message closes the link.
+ */
 const MAX_QUEUED_BYTES = 4 * 1024 * 1024;
 
 type Hello = Extract<HandshakeMessage, { kind: 'hello' }>;
 
-/** What the owner of a link is told. */
+/** Events of a link. */
 export interface PeerLinkEvents<Message> {
-  /** The peer proved that it knows the secret. */
+  /** Called after the peer proved that it knows the secret. */
   onReady(link: PeerLink<Message>): void;
   onMessage(link: PeerLink<Message>, message: Message): void;
   onClosed(link: PeerLink<Message>): void;
   onMessageDropped(): void;
 }
 
-/** What a link needs. */
+/** Settings and dependencies of a `PeerLink`. */
 export interface PeerLinkOptions<Message> {
   socket: WebSocket;
   end: LinkEnd;
@@ -37,7 +39,7 @@
   format: MessageFormat<Message>;
 }
 
-/** One link. */
+/** One link to one peer, from its handshake until it is closed. */
 export default class PeerLink<Message> {
   /** Empty until the peer's first message. */
   peerId = '';
@@ -53,9 +55,9 @@
     socket.on('close', () => options.events.onClosed(this));
     socket.on('error', () => socket.terminate());
     if (socket.readyState === socket.OPEN) {
-      this.begin();
+      this.sendHello();
     } else {
-      socket.once('open', () => this.begin());
+      socket.once('open', () => this.sendHello());
     }
     timers.after(HANDSHAKE_TIMEOUT_MS, () => {
       if (!this.isReady) {
@@ -64,14 +66,14 @@
     });
   }
 
-  /** Which end this VM is. */
+  /** Which end of the link this VM is. */
   get end(): LinkEnd {
     return this.options.end;
   }
 
   /**
-   * Sends a message unless the peer is too slow.
-   * @param bytes the encoded message, where several peers get the same
+   * Sends a message; drops it or closes the link if the peer is too slow.
+   * @param bytes the encoded message, if several peers get the same
    */
   send(message: Message, bytes?: Uint8Array): void {
     const { socket, events, format } = this.options;
@@ -88,12 +90,12 @@
     socket.send(bytes ?? format.encode(message));
   }
 
-  /** Ends the link at once. */
+  /** Closes the link at once. */
   close(): void {
     this.options.socket.terminate();
   }
 
-  private begin(): void {
+  private sendHello(): void {
     this.options.socket.send(encodeHandshake(this.ownHello));
   }
 
@@ -122,20 +124,20 @@
     this.peerHello = hello;
     this.peerId = hello.id;
     this.peerIncarnation = hello.incarnation;
-    const mac = this.proofOf(this.options.end, hello);
+    const mac = this.computeProof(this.options.end, hello);
     this.options.socket.send(encodeHandshake({ kind: 'proof', mac }));
   }
 
   private onProof(mac: string, hello: Hello): void {
     const otherEnd: LinkEnd = this.options.end === 'opener' ? 'acceptor' : 'opener';
-    if (!isSameProof(this.proofOf(otherEnd, hello), mac)) {
+    if (!isSameProof(this.computeProof(otherEnd, hello), mac)) {
       return this.close();
     }
     this.isReady = true;
     this.options.events.onReady(this);
   }
 
-  private proofOf(prover: LinkEnd, peerHello: Hello): string {
+  private computeProof(prover: LinkEnd, peerHello: Hello): string {
     const { secret, end } = this.options;
     return end === 'opener'
       ? createProof(secret, prover, this.ownHello, peerHello)
--- a/packages/peer-links/src/peer-links.test.ts
+++ b/packages/peer-links/src/peer-links.test.ts
@@ -13,17 +13,17 @@
 
 const SECRET = 'a-secret-of-all-vms';
 
-/** One end, with promises for what its test waits for. */
-class End {
+/** A VM with links, which records its events and lets a test wait for them. */
+class TestVm {
   links!: PeerLinks<PeerMessage>;
   readonly messages: PeerMessage[] = [];
-  private waiting: (() => void)[] = [];
+  private waiters: (() => void)[] = [];
   readonly ready: string[] = [];
   readonly lost: string[] = [];
 
-  static async start(id: string, secret = SECRET, incarnation = `${id}.1`): Promise<End> {
-    const end = new End();
-    end.links = await createPeerLinks({
+  static async start(id: string, secret = SECRET, incarnation = `${id}.1`): Promise<TestVm> {
+    const vm = new TestVm();
+    vm.links = await createPeerLinks({
       id,
       incarnation,
       secret,
@@ -31,45 +31,48 @@
       port: 0,
       timers: backgroundTimers,
       format: peerMessageFormat,
-      onReady: (peer) => end.note(() => end.ready.push(peer)),
-      onMessage: (_, message) => end.note(() => end.messages.push(message)),
-      onLinkLost: (peer) => end.note(() => end.lost.push(peer)),
+      onReady: (peer) => vm.record(() => vm.ready.push(peer)),
+      onMessage: (_, message) => vm.record(() => vm.messages.push(message)),
+      onLinkLost: (peer) => vm.record(() => vm.lost.push(peer)),
       onMessageDropped: () => undefined,
     });
-    return end;
+    return vm;
   }
 
   address(id: string) {
     return { id, host: '127.0.0.1', port: this.links.port };
   }
 
-  async until(holds: () => boolean): Promise<void> {
-    while (!holds()) {
-      await new Promise<void>((resolve) => this.waiting.push(resolve));
+  async waitUntil(condition: () => boolean): Promise<void> {
+    while (!condition()) {
+      await new Promise<void>((resolve) => this.waiters.push(resolve));
     }
   }
 
-  private note(change: () => void): void {
+  private record(change: () => void): void {
     change();
-    this.waiting.splice(0).forEach((wake) => wake());
+    this.waiters.splice(0).forEach((wake) => wake());
   }
 }
 
 test('two VMs with the same secret exchange typed messages', async () => {
-  const [a, b] = [await End.start('vm-a'), await End.start('vm-b')];
+  const [a, b] = [await TestVm.start('vm-a'), await TestVm.start('vm-b')];
   a.links.open([b.address('vm-b')]);
-  await a.until(() => a.ready.length === 1);
-  await b.until(() => b.ready.length === 1);
+  await a.waitUntil(() => a.ready.length === 1);
+  await b.waitUntil(() => b.ready.length === 1);
   assert.ok(a.links.send('vm-b', { kind: 'want-changes', after: 3 }));
-  await b.until(() => b.messages.length === 1);
+  await b.waitUntil(() => b.messages.length === 1);
   assert.equal(b.messages, [{ kind: 'want-changes', after: 3 }]);
   await a.links.close();
-  await b.until(() => b.lost.length === 1);
+  await b.waitUntil(() => b.lost.length === 1);
   await b.links.close();
 });
 
-test('a VM with another secret is not let in, from either end', async () => {
-  const [a, stranger] = [await End.start('vm-a'), await End.start('vm-x', 'another-secret-of-vms')];
+test('a VM with another secret is rejected at either end', async () => {
+  const [a, stranger] = [
+    await TestVm.start('vm-a'),
+    await TestVm.start('vm-x', 'another-secret-of-vms'),
+  ];
   const socket = new WebSocket(`ws://127.0.0.1:${a.links.port}`);
   await new Promise((resolve) => socket.once('message', resolve));
   const closed = new Promise((resolve) => socket.once('close', resolve));
@@ -85,12 +88,12 @@
   await stranger.links.close();
 });
 
-test('when both open a link at the same time, one remains and works both ways', async () => {
-  const [a, b] = [await End.start('vm-a'), await End.start('vm-b')];
+test('when both VMs open a link at the same time, one remains and works in both directions', async () => {
+  const [a, b] = [await TestVm.start('vm-a'), await TestVm.start('vm-b')];
   a.links.open([b.address('vm-b')]);
   b.links.open([a.address('vm-a')]);
-  await a.until(() => a.ready.length >= 1);
-  await b.until(() => b.ready.length >= 1);
+  await a.waitUntil(() => a.ready.length >= 1);
+  await b.waitUntil(() => b.ready.length >= 1);
   const exchange = async (): Promise<void> => {
     while (a.messages.length === 0 || b.messages.length === 0) {
       a.links.send('vm-b', { kind: 'want-list' });
@@ -104,20 +107,20 @@
   await b.links.close();
 });
 
-test('a new start of a peer replaces the link of the old one', async () => {
-  const a = await End.start('vm-a');
-  const old = await End.start('vm-b', SECRET, 'vm-b.1');
-  old.links.open([a.address('vm-a')]);
-  await a.until(() => a.ready.length === 1);
-  const fresh = await End.start('vm-b', SECRET, 'vm-b.2');
-  fresh.links.open([a.address('vm-a')]);
-  await a.until(() => a.ready.length === 2);
-  await old.until(() => old.lost.length === 1);
+test('a new incarnation of a peer replaces the link of the old one', async () => {
+  const a = await TestVm.start('vm-a');
+  const first = await TestVm.start('vm-b', SECRET, 'vm-b.1');
+  first.links.open([a.address('vm-a')]);
+  await a.waitUntil(() => a.ready.length === 1);
+  const restarted = await TestVm.start('vm-b', SECRET, 'vm-b.2');
+  restarted.links.open([a.address('vm-a')]);
+  await a.waitUntil(() => a.ready.length === 2);
+  await first.waitUntil(() => first.lost.length === 1);
   assert.equal(a.links.listLinked(), ['vm-b']);
-  await Promise.all([a.links.close(), old.links.close(), fresh.links.close()]);
+  await Promise.all([a.links.close(), first.links.close(), restarted.links.close()]);
 });
 
-test('what is no message of the protocol is not decoded', () => {
+test('bytes that are not a message of the protocol are not decoded', () => {
   assert.is(decodeMessage(Buffer.from('garbage')), undefined);
   assert.is(
     decodeMessage(encodeMessage({ kind: 'nonsense' } as unknown as PeerMessage)),
--- a/packages/peer-links/src/peer-links.ts
+++ b/packages/peer-links/src/peer-links.ts
@@ -1,4 +1,3 @@
-/** All links of one VM: accepts peers, opens links to chosen ones, opens them again when they break. */
 import type { Timers, VmId } from '@limelead/types';
 import { createServer, type IncomingMessage } from 'node:http';
 import { WebSocket, WebSocketServer } from 'ws';
@@ -7,25 +6,25 @@
 import answerMisdirected from './misdirected.js';
 import PeerLink, { type PeerLinkEvents } from './peer-link.js';
 
-/** Largest message: an item of the store, 1 MiB at most, with what is told beside it. */
+/** Maximum size of a message: an item of the store, at most 1 MiB, with other fields. */
 const MAX_MESSAGE_BYTES = 2 * 1_048_576;
-/** Time for a connection and the switch to messages, at a peer that many others meet as well. */
+/** Timeout of a connection and its upgrade to WebSocket, which allows for a busy peer. */
 const HANDSHAKE_TIMEOUT_MS = 1_000;
 
-/** Where a peer listens. */
+/** Address at which a peer listens. */
 export interface PeerAddress {
   id: VmId;
   host: string;
   port: number;
 }
 
-/** What the links need. */
+/** Settings and event handlers of the links. */
 export interface PeerLinksOptions<Message> {
   id: VmId;
   incarnation: string;
   secret: string;
   host: string;
-  /** 0 takes any free port. */
+  /** 0 selects any free port. */
   port: number;
   timers: Timers;
   format: MessageFormat<Message>;
@@ -33,20 +32,20 @@
   onMessage(peer: VmId, message: Message): void;
   onLinkLost(peer: VmId): void;
   onMessageDropped(): void;
-  /** A plain request came to the peers' address; it was told that it was not run. */
+  /** Called when a plain HTTP request arrives at the address for peers; it is not executed. */
   onMisdirected?(message: IncomingMessage): void;
 }
 
-/** The links of one VM. */
+/** All links of one VM. */
 export interface PeerLinks<Message> {
   /** Port on which peers are accepted. */
   port: number;
-  /** Opens links to those peers to which there is none. */
+  /** Opens links to those of the peers that are not linked. */
   open(peers: PeerAddress[]): void;
   send(peer: VmId, message: Message): boolean;
-  /** Sends one message to several peers, all that are linked unless they are named; encoded once. */
+  /** Sends one message, encoded once, to the given peers or to all linked peers. */
   broadcast(message: Message, peers?: readonly VmId[]): void;
-  /** Ends a link; it may be opened again. */
+  /** Closes the link to a peer; it may be opened again. */
   disconnect(peer: VmId): void;
   listLinked(): VmId[];
   /** Peers whose link this VM opened. */
@@ -54,7 +53,7 @@
   close(): Promise<void>;
 }
 
-/** Starts to accept peers. */
+/** Starts to accept links from peers. */
 export default async function createPeerLinks<Message>(
   options: PeerLinksOptions<Message>,
 ): Promise<PeerLinks<Message>> {
@@ -71,32 +70,32 @@
     server.once('error', reject);
     http.listen({ host: options.host, port: options.port }, resolve);
   });
-  const ready = new Map<VmId, PeerLink<Message>>();
-  const opening = new Set<VmId>();
-  const all = new Set<PeerLink<Message>>();
+  const readyLinks = new Map<VmId, PeerLink<Message>>();
+  const openingPeers = new Set<VmId>();
+  const allLinks = new Set<PeerLink<Message>>();
   let isClosed = false;
 
   const events: PeerLinkEvents<Message> = {
     onReady(link) {
-      opening.delete(link.peerId);
-      const existing = ready.get(link.peerId);
-      if (existing !== undefined && !replaces(options.id, link, existing)) {
+      openingPeers.delete(link.peerId);
+      const existing = readyLinks.get(link.peerId);
+      if (existing !== undefined && !shouldReplace(options.id, link, existing)) {
         link.close();
         return;
       }
-      ready.set(link.peerId, link);
+      readyLinks.set(link.peerId, link);
       existing?.close();
       options.onReady(link.peerId);
     },
     onMessage(link, message) {
-      if (ready.get(link.peerId) === link) {
+      if (readyLinks.get(link.peerId) === link) {
         options.onMessage(link.peerId, message);
       }
     },
     onClosed(link) {
-      all.delete(link);
-      if (ready.get(link.peerId) === link) {
-        ready.delete(link.peerId);
+      allLinks.delete(link);
+      if (readyLinks.get(link.peerId) === link) {
+        readyLinks.delete(link.peerId);
         options.onLinkLost(link.peerId);
       }
     },
@@ -105,48 +104,49 @@
 
   const createLink = (socket: WebSocket, end: 'opener' | 'acceptor'): void => {
     const { id, incarnation, secret, timers, format } = options;
-    all.add(new PeerLink({ socket, end, id, incarnation, secret, timers, events, format }));
+    allLinks.add(new PeerLink({ socket, end, id, incarnation, secret, timers, events, format }));
   };
 
   server.on('connection', (socket) => createLink(socket, 'acceptor'));
 
   function open(peers: PeerAddress[]): void {
     for (const { id, host, port } of peers) {
-      if (isClosed || id === options.id || ready.has(id) || opening.has(id)) {
+      if (isClosed || id === options.id || readyLinks.has(id) || openingPeers.has(id)) {
         continue;
       }
-      opening.add(id);
+      openingPeers.add(id);
       const socket = new WebSocket(`ws://${host}:${port}`, {
         maxPayload: MAX_MESSAGE_BYTES,
         perMessageDeflate: false,
         handshakeTimeout: HANDSHAKE_TIMEOUT_MS,
         createConnection: () => connectWithTimeout({ host, port }, options.timers),
       });
-      socket.once('close', () => opening.delete(id));
+      socket.once('close', () => openingPeers.delete(id));
       createLink(socket, 'opener');
     }
   }
 
   return {
     open,
-    port: portOf(server),
+    port: readPort(server),
     send(peer, message) {
-      const link = ready.get(peer);
+      const link = readyLinks.get(peer);
       link?.send(message);
       return link !== undefined;
     },
-    broadcast(message, peers = [...ready.keys()]) {
+    broadcast(message, peers = [...readyLinks.keys()]) {
       if (peers.length > 0) {
         const bytes = options.format.encode(message);
-        peers.forEach((peer) => ready.get(peer)?.send(message, bytes));
+        peers.forEach((peer) => readyLinks.get(peer)?.send(message, bytes));
       }
     },
-    disconnect: (peer) => ready.get(peer)?.close(),
-    listLinked: () => [...ready.keys()],
-    listOpened: () => [...ready].filter(([, { end }]) => end === 'opener').map(([peer]) => peer),
+    disconnect: (peer) => readyLinks.get(peer)?.close(),
+    listLinked: () => [...readyLinks.keys()],
+    listOpened: () =>
+      [...readyLinks].filter(([, { end }]) => end === 'opener').map(([peer]) => peer),
     async close() {
       isClosed = true;
-      all.forEach((link) => link.close());
+      allLinks.forEach((link) => link.close());
       server.close();
       http.closeAllConnections();
       await new Promise<void>((resolve) => http.close(() => resolve()));
@@ -155,10 +155,11 @@
 }
 
 /**
- * Two VMs may open links to each other at the same time. Both keep the one
- * that the smaller id opened; a new incarnation always replaces an old link.
+ * Decides which of two links to a peer remains. Two VMs may open links to each other at the same
+ * time; both keep the one that the smaller id opened. A new incarnation always replaces an old
+ * link.
  */
-function replaces<Message>(
+function shouldReplace<Message>(
   self: VmId,
   candidate: PeerLink<Message>,
   existing: PeerLink<Message>,
@@ -171,7 +172,7 @@
   return openerOf(candidate) === smaller;
 }
 
-function portOf(server: WebSocketServer): number {
+function readPort(server: WebSocketServer): number {
   const address = server.address();
   return typeof address === 'object' && address !== null ? address.port : 0;
 }
--- a/packages/track-members/src/index.test.ts
+++ b/packages/track-members/src/index.test.ts
@@ -75,7 +75,7 @@
   };
   assert.is(state(3_000), 'alive');
   assert.is(state(4_000), 'suspect');
-  assert.is(table.listAvailable(4_000).length, 0);
+  assert.is(table.present(4_000).length, 0);
   table.applyHeartbeat(heartbeat, 4_100);
   assert.is(state(4_200), 'alive');
   assert.is(table.findByIncarnation('vm-2.a')?.id, 'vm-2');
--- a/packages/track-members/src/member-table.ts
+++ b/packages/track-members/src/member-table.ts
@@ -50,7 +50,7 @@
   findByIncarnation(incarnation: string): Member | undefined;
   list(): Member[];
   /** Peers that are not leaving or suspect; includes peers without any heartbeat so far. */
-  listAvailable(now: Millis): Member[];
+  present(now: Millis): Member[];
 }
 
 export default function createMemberTable(self: VmId): MemberTable {
@@ -111,7 +111,7 @@
     findByIncarnation: (incarnation) =>
       [...members.values()].find((member) => member.incarnation === incarnation),
     list: () => [...members.values()],
-    listAvailable: (now) =>
+    present: (now) =>
       [...members.values()].filter(
         (member) =>
           !member.leaving &&
