--- a/packages/share-evidence/src/leaving-messages.ts
+++ b/packages/share-evidence/src/leaving-messages.ts
@@ -8,15 +8,15 @@
 /** An optional field of the message of lost targets; older releases ignore it. */
 export const leavingUpdateCodec = t.array(t.type({ target: t.string, heardAgoMs: t.number }));
 
-type LeavingUpdate = t.TypeOf<typeof leavingUpdateCodec>;
+type LeavingUpdateMessage = t.TypeOf<typeof leavingUpdateCodec>;
 
-export function encodeLeavingUpdate(facts: LeavingFact[], now: Millis): LeavingUpdate {
+export function encodeLeavingUpdate(facts: LeavingFact[], now: Millis): LeavingUpdateMessage {
   return facts.map(({ target, heardAtMs }) => ({
     target,
     heardAgoMs: Math.round(now - heardAtMs),
   }));
 }
 
-export function decodeLeavingUpdate(update: LeavingUpdate, now: Millis): LeavingFact[] {
+export function decodeLeavingUpdate(update: LeavingUpdateMessage, now: Millis): LeavingFact[] {
   return update.map(({ target, heardAgoMs }) => ({ target, heardAtMs: now - heardAgoMs }));
 }
--- a/packages/share-evidence/src/permit-codecs.ts
+++ b/packages/share-evidence/src/permit-codecs.ts
@@ -45,9 +45,9 @@
   target: t.string,
 });
 
-type LimitUpdate = t.TypeOf<typeof limitUpdateCodec>;
+type LimitUpdateMessage = t.TypeOf<typeof limitUpdateCodec>;
 
-export function encodeLimitUpdate(facts: LimitFact[], now: Millis): LimitUpdate {
+export function encodeLimitUpdate(facts: LimitFact[], now: Millis): LimitUpdateMessage {
   return facts.map(({ target, perSecond, askedAtMs, mark }) => ({
     target,
     perSecond: perSecond ?? null,
@@ -56,7 +56,7 @@
   }));
 }
 
-export function decodeLimitUpdate(update: LimitUpdate, now: Millis): LimitFact[] {
+export function decodeLimitUpdate(update: LimitUpdateMessage, now: Millis): LimitFact[] {
   return update.map(({ target, perSecond, askedAgoMs, mark }) => ({
     target,
     perSecond: perSecond ?? undefined,
