--- a/packages/daemon/src/peer-conversation.ts
+++ b/packages/daemon/src/peer-conversation.ts
@@ -63,8 +63,8 @@
       format: peerMessageFormat,
       onReady: (peer) => this.onReady(peer),
       onMessage: (peer, message) => this.onMessage(peer, message),
-      onLost: (peer) => this.onLost(peer),
-      onDropped: () => metrics.count('limelead_peer_messages_dropped_total'),
+      onLinkLost: (peer) => this.onLost(peer),
+      onMessageDropped: () => metrics.count('limelead_peer_messages_dropped_total'),
     });
     configuration.onAdvance((_, source) => this.spreadConfiguration(source));
     const { heartbeatMs } = settings.timing;
@@ -98,7 +98,7 @@
   /** Asks the VM that holds a claim what became of its call. */
   askHolder(holder: string, organisation: string, requestId: string): Promise<RememberedCall> {
     const peer = this.context.members.findByIncarnation(holder)?.id;
-    if (peer === undefined || this.links?.linked().includes(peer) !== true) {
+    if (peer === undefined || this.links?.listLinked().includes(peer) !== true) {
       return Promise.resolve({ kind: 'unknown' });
     }
     return this.callQueries.ask((query) =>
@@ -108,7 +108,7 @@
 
   /** Asks linked peers to cancel a generation; says whether one of them had it. */
   async cancelElsewhere(organisation: string, requestId: string): Promise<boolean> {
-    const peers = this.links?.linked() ?? [];
+    const peers = this.links?.listLinked() ?? [];
     const answers = peers.map((peer) =>
       this.cancelQueries.ask((query) =>
         this.links?.send(peer, { kind: 'cancel-query', query, organisation, requestId }),
@@ -126,16 +126,16 @@
   private async beat(): Promise<void> {
     const { members, clock, settings } = this.context;
     this.links?.broadcast(this.createHeartbeat());
-    const present = members.all().filter(({ leaving, port }) => !leaving && port > 0);
+    const present = members.list().filter(({ leaving, port }) => !leaving && port > 0);
     const chosen = chooseLinks(
       settings.id,
       present.map(({ id }) => id),
     );
     this.links?.open(present.filter(({ id }) => chosen.includes(id)));
-    for (const peer of this.links?.linked() ?? []) {
+    for (const peer of this.links?.listLinked() ?? []) {
       const member = members.find(peer);
       if (member !== undefined && members.stateOf(member, clock.now()) === 'suspect') {
-        this.links?.drop(peer);
+        this.links?.disconnect(peer);
       }
     }
   }
@@ -165,7 +165,7 @@
   }
 
   private onLost(peer: VmId): void {
-    this.context.members.noteLost(peer);
+    this.context.members.onLinkLost(peer);
     this.demands.delete(peer);
     this.assembler.forget(peer);
     this.noteMembership(peer, 'lost');
@@ -285,7 +285,7 @@
     const { targets, members, clock } = this.context;
     const now = clock.now();
     targets.applyList(list, now - ageMs);
-    members.applyList(list, now);
+    members.applyVmList(list, now);
   }
 
   private onBreaker(peer: VmId, { target, openForMs }: PeerMessageOf<'breaker'>): void {
--- a/packages/gateway/src/create-exchange.ts
+++ b/packages/gateway/src/create-exchange.ts
@@ -5,7 +5,7 @@
 import type { TargetGate } from '@limelead/forward-request';
 import type { SendLimiter } from '@limelead/permit-sends';
 import type { RequestGuard } from '@limelead/quarantine-requests';
-import { EvidenceExchange, type PeerId, type PeerReport } from '@limelead/share-evidence';
+import { PeerExchange, type PeerId, type PeerReport } from '@limelead/share-evidence';
 import type { RetryBudgets } from '@limelead/spend-retries';
 import type { Backpressure } from '@limelead/track-backpressure';
 import type { TargetDirectory } from '@limelead/track-service-targets';
@@ -44,7 +44,7 @@
 /** Creates the exchange with peers; undefined if this VM has no peer address. */
 export default function createExchange(
   dependencies: ExchangeDependencies,
-): EvidenceExchange | undefined {
+): PeerExchange | undefined {
   const { settings, clock, log, directory, locality, storeView } = dependencies;
   const { follower, engineLoad, retryBudgets } = dependencies;
   const { failureDomain, peers, seeds } = settings;
@@ -54,7 +54,7 @@
   const id = formatAddress(peers);
   const { gate, permits } = dependencies;
   const scheduler = new TargetScheduler({ self: id, clock, directory, locality, gate, permits });
-  return new EvidenceExchange({
+  return new PeerExchange({
     ...peers,
     id,
     incarnation: randomUUID(),
@@ -67,33 +67,33 @@
     timers: systemTimers,
     random: systemRandom,
     log,
-    readKnowledge: () => ({
+    readSyncState: () => ({
       revision: storeView.revision,
       configuration: storeView.routes?.version ?? 0,
       configurationBytes: storeView.configurationBytes,
-      isInTouch: follower.isReceivingChanges,
-      isStoreAway: follower.isStoreUnavailable,
+      isStoreAnswering: follower.isReceivingChanges,
+      hasStoreCallFailed: follower.isStoreUnavailable,
     }),
-    readMarks: () => storeView.listFingerprints(),
-    onStranger: dependencies.onPeerOfOtherStore,
+    readStoreMarks: () => storeView.listFingerprints(),
+    onForeignPeer: dependencies.onPeerOfOtherStore,
     onFault: dependencies.onFault,
     onMisdirected: dependencies.onMisdirected,
-    readUpdate: (since) => storeView.createUpdate(since),
+    readStoreUpdate: (since) => storeView.createUpdate(since),
     readLoad: () => engineLoad.read(),
-    onLoad: (peer, load) => directory.onPeerLoad(peer, load),
+    onPeerLoad: (peer, load) => directory.onPeerLoad(peer, load),
     adviseTarget: (peer, question) => scheduler.advise(peer, question),
-    onLost: (target, loss) => directory.onPeerLoss(target, loss),
-    readGuardNews: () => dependencies.guard.createSnapshot(),
-    onGuardNews: (news, peer) => dependencies.guard.onPeerUpdate(news, peer),
+    onTargetLost: (target, loss) => directory.onPeerLoss(target, loss),
+    readQuarantineState: () => dependencies.guard.createSnapshot(),
+    onQuarantineUpdate: (news, peer) => dependencies.guard.onPeerUpdate(news, peer),
     readLimits: () => dependencies.permits.listLimits(),
     onLimits: (facts, peer) => dependencies.permits.onPeerUpdate(peer, facts),
     readLeaving: () => dependencies.backpressure.listLeaving(),
     onLeaving: (facts, peer) => dependencies.backpressure.onPeerUpdate(peer, facts),
-    onPermits: (message, peer) => dependencies.permits.onMessage(peer, message),
+    onPermitMessage: (message, peer) => dependencies.permits.onMessage(peer, message),
     onPermitPeerLost: (peer) => dependencies.permits.onPeerLost(peer),
-    lendRepeats: (service, wanted) => retryBudgets.lend(service, wanted),
-    onRepeats: dependencies.onBorrowedRetries,
+    lendRetries: (service, wanted) => retryBudgets.lend(service, wanted),
+    onRetriesBorrowed: dependencies.onBorrowedRetries,
     onReport: dependencies.onReport,
-    onUpdate: (update, peer) => storeView.applyPeerUpdate(update, peer),
+    onStoreUpdate: (update, peer) => storeView.applyPeerUpdate(update, peer),
   });
 }
--- a/packages/gateway/src/create-permits.ts
+++ b/packages/gateway/src/create-permits.ts
@@ -22,8 +22,8 @@
       get self() {
         return readFleet()?.self ?? LOCAL_GRANTOR;
       },
-      countVms: () => readFleet()?.vmCount ?? 1,
-      countReachableVms: () => readFleet()?.reachedCount ?? 1,
+      countVms: () => readFleet()?.totalVmCount ?? 1,
+      countReachableVms: () => readFleet()?.reachableCount ?? 1,
       chooseGrantor: (service) => {
         const fleet = readFleet();
         return fleet === undefined ? LOCAL_GRANTOR : fleet.chooseGrantor(service);
--- a/packages/gateway/src/duty-component.ts
+++ b/packages/gateway/src/duty-component.ts
@@ -75,7 +75,7 @@
     random,
     ttlMs: leaseMs,
     readCandidateRank: readCandidateIndex,
-    readIsolatedSinceMs: () => context.readExchange()?.cutOffSinceMs,
+    readIsolatedSinceMs: () => context.readExchange()?.isolatedSinceMs,
     isHeldInStore: () => (storeView.revision > 0 ? storeView.has(key) : undefined),
     onFault: (step, { reason, sent, message }) =>
       log.write('duty-call-failed', { step, reason, sent, message }),
--- a/packages/gateway/src/fleet-component.ts
+++ b/packages/gateway/src/fleet-component.ts
@@ -2,7 +2,7 @@
 import type { DecisionLog } from '@limelead/decision-log';
 import type { TargetGate, TrafficObserver } from '@limelead/forward-request';
 import type { Metrics } from '@limelead/metrics';
-import type { EvidenceExchange, PeerId, PeerReport } from '@limelead/share-evidence';
+import type { PeerExchange, PeerId, PeerReport } from '@limelead/share-evidence';
 import type { TargetDirectory } from '@limelead/track-service-targets';
 import type { Clock, Millis, Random, Timers } from '@limelead/types';
 import type { GatewayPlatform } from './gateway.js';
@@ -24,7 +24,7 @@
   /** Time since the store last confirmed this VM's view. */
   readStoreViewAgeMs(): Millis;
   /** The exchange with peers; undefined while the gateway is constructed, and without a peer address. */
-  readExchange(): EvidenceExchange | undefined;
+  readExchange(): PeerExchange | undefined;
 }
 
 /** A component that the gateway starts, informs and stops. */
--- a/packages/gateway/src/follower-events.ts
+++ b/packages/gateway/src/follower-events.ts
@@ -3,7 +3,7 @@
 import { describeThrown } from '@limelead/errors';
 import type { StoreFollowerEvents } from '@limelead/follow-store';
 import type { Metrics } from '@limelead/metrics';
-import type { EvidenceExchange } from '@limelead/share-evidence';
+import type { PeerExchange } from '@limelead/share-evidence';
 import type { Millis } from '@limelead/types';
 import type StoreView from './store-view.js';
 
@@ -13,7 +13,7 @@
   metrics: Metrics;
   storeView: StoreView;
   /** Undefined if this VM has no peer address. */
-  readExchange(): EvidenceExchange | undefined;
+  readExchange(): PeerExchange | undefined;
   /** Time since the store last confirmed this VM's view. */
   readStoreViewAgeMs(): Millis;
 }
@@ -31,12 +31,12 @@
       logSkipped(list.skipped);
       log.write('store-listed', { items: list.items.length, revision: list.revision });
       storeView.applyList(list);
-      readExchange()?.noteStoreAnswered();
+      readExchange()?.onStoreAnswered();
     },
     onChanges(changes) {
       logSkipped(changes.skipped);
       storeView.applyChanges(changes);
-      readExchange()?.noteStoreAnswered();
+      readExchange()?.onStoreAnswered();
     },
     onRevisionDecreased({ known, revision }) {
       log.write('store-behind', { known, revision });
@@ -63,7 +63,7 @@
       storeView.onStoreRegained();
     },
     onFollowingChanged(isFollowing) {
-      log.write('store-following', { isFollowing, vms: readExchange()?.vmCount });
+      log.write('store-following', { isFollowing, vms: readExchange()?.totalVmCount });
     },
   };
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -22,7 +22,7 @@
 import type { ConditionalStore, DutyPlatform } from '@limelead/ports';
 import createMetrics, { type Metrics } from '@limelead/metrics';
 import type { SendLimiter } from '@limelead/permit-sends';
-import type { EvidenceExchange } from '@limelead/share-evidence';
+import type { PeerExchange } from '@limelead/share-evidence';
 import { RetryBudgets } from '@limelead/spend-retries';
 import { TargetConnections } from '@limelead/target-connections';
 import {
@@ -90,7 +90,7 @@
   private readonly storeView: StoreView;
   private readonly follower: StoreFollower;
   /** Undefined if this VM has no peer address. */
-  private readonly exchange: EvidenceExchange | undefined;
+  private readonly exchange: PeerExchange | undefined;
   private readonly frontDoor: HttpFrontDoor;
   private readonly pace: SlownessTracker;
   private readonly engineLoad: EngineLoad;
@@ -114,23 +114,23 @@
       limits: settings.retryBudget,
       clock: steadyClock,
       countVms: () => this.countVms(),
-      onLow: (service) => this.exchange?.wantRepeats(service),
+      onLow: (service) => this.exchange?.borrowRetries(service),
     });
     this.directory = new TargetDirectory(steadyClock, {
       onNotice: (notice) => this.onTargetNotice(notice),
-      onLost: (id, loss) => this.exchange?.noteLost(id, loss),
+      onLost: (id, loss) => this.exchange?.publishLoss(id, loss),
       onLoad: (tracked) => this.engineLoad.onTargetLoadChange(tracked),
       hasAnnouncedLeaving: (id) => this.backpressure.isLeaving(id),
     });
     this.pace = new SlownessTracker((id, slowness) => {
       this.directory.recordSlowness(id, slowness);
-      this.exchange?.noteLoad();
+      this.exchange?.onLoadChanged();
     });
     this.engineLoad = new EngineLoad({
       directory: this.directory,
       pace: this.pace,
       isEngine: (service) => this.storeView.routes?.findService(service)?.engine !== undefined,
-      onChange: () => this.exchange?.noteLoad(),
+      onChange: () => this.exchange?.onLoadChanged(),
     });
     this.connections = new TargetConnections({
       clock: steadyClock,
@@ -147,7 +147,7 @@
       dialect: platform.storeDialect,
       readAgeMs: () => this.storeViewAgeMs,
       onConfiguration: (table) => this.frontDoor.applyLimits(table.limits),
-      onReset: () => this.exchange?.forgetStore(),
+      onReset: () => this.exchange?.onStoreReplaced(),
       onChange: () => this.onStoreViewChange(),
     });
     const partContext: FleetComponentContext = {
@@ -343,7 +343,7 @@
         permits,
       }),
       requestAdvice: (request, receive) =>
-        this.exchange?.askTarget(request, receive) ?? noTargetAdvice(request, receive),
+        this.exchange?.requestTargetAdvice(request, receive) ?? noTargetAdvice(request, receive),
       silence: new SilenceMonitor({ ...shared, connections, dialect, log }),
       prefill: new PrefillEstimator(),
       slowness: this.pace,
@@ -367,12 +367,12 @@
       clock: steadyClock,
       timers: systemTimers,
       random: systemRandom,
-      countFollowers: () => Math.max(1, this.exchange?.followerCount ?? 0),
-      mustFollow: () => this.exchange?.mustFollow ?? true,
-      followsForPeers: () => this.exchange?.followsForOthers ?? false,
+      countFollowers: () => Math.max(1, this.exchange?.storeFollowerCount ?? 0),
+      mustFollow: () => this.exchange?.mustFollowStore ?? true,
+      followsForPeers: () => this.exchange?.isStoreFollower ?? false,
       readRevision: () => this.storeView.revision,
-      peersRetry: () => this.exchange?.othersTry ?? false,
-      startupWaitMs: () => this.exchange?.startWaitMs ?? 0,
+      peersRetry: () => this.exchange?.delegatesStoreRetries ?? false,
+      startupWaitMs: () => this.exchange?.firstWatchDelayMs ?? 0,
       events: createFollowerEvents({
         log: this.log,
         metrics: this.metrics,
@@ -394,12 +394,12 @@
 
   private onStoreViewChange(): void {
     this.components.forEach((part) => part.onStoreViewChange?.());
-    this.exchange?.noteKnowledge();
+    this.exchange?.onSyncStateChanged();
     this.frontDoor.onStoreViewChange();
   }
 
   private countVms(): number {
-    return Math.max(MIN_VMS, this.exchange?.vmCount ?? 0);
+    return Math.max(MIN_VMS, this.exchange?.totalVmCount ?? 0);
   }
 
   private onBorrowedRetries(service: string, repeats: number): void {
--- a/packages/gateway/src/roll-out-component.ts
+++ b/packages/gateway/src/roll-out-component.ts
@@ -174,7 +174,7 @@
 
   /** The highest number of VMs seen so far: isolated VMs keep their share of the slack. */
   private get vmCount(): number {
-    this.maxVmCount = Math.max(this.maxVmCount, this.context.readExchange()?.vmCount ?? 1);
+    this.maxVmCount = Math.max(this.maxVmCount, this.context.readExchange()?.totalVmCount ?? 1);
     return this.maxVmCount;
   }
 
--- a/packages/gateway/src/target-scheduler.ts
+++ b/packages/gateway/src/target-scheduler.ts
@@ -10,10 +10,10 @@
 import type { Locality } from '@limelead/locality';
 import type { SendPermits, TargetGate } from '@limelead/forward-request';
 import {
-  choosePart,
+  choosePartition,
   type PeerId,
-  type TargetAnswer,
-  type TargetQuestion,
+  type SchedulerAnswer,
+  type SchedulerRequest,
 } from '@limelead/share-evidence';
 import type { TargetDirectory, TrackedServiceTarget } from '@limelead/track-service-targets';
 import type { Clock } from '@limelead/types';
@@ -34,12 +34,12 @@
   constructor(private readonly options: TargetSchedulerOptions) {}
 
   /** Returns the best target for a peer's request; undefined if none has a free slot. */
-  advise(peer: PeerId, question: TargetQuestion): TargetAnswer | undefined {
+  advise(peer: PeerId, question: SchedulerRequest): SchedulerAnswer | undefined {
     const { self, clock, directory, locality } = this.options;
     const { service, number, part, parts } = question;
     const now = clock.now();
     const targets = this.listCandidates(service).filter(
-      ({ target }) => parts <= 1 || choosePart(target.id, parts) === part,
+      ({ target }) => parts <= 1 || choosePartition(target.id, parts) === part,
     );
     const chosen = chooseServiceTarget(targets, {
       ...question,
@@ -77,7 +77,7 @@
   /** The replica may be at a target of any part, since replica load is only an estimate. */
   private chooseReplicaTarget(
     running: TrackedServiceTarget,
-    { service, affinityKey }: TargetQuestion,
+    { service, affinityKey }: SchedulerRequest,
   ): string | undefined {
     const { clock, directory } = this.options;
     return chooseReplicaTarget(this.listAdvisable(service), {
--- a/packages/gateway/src/usage-component.ts
+++ b/packages/gateway/src/usage-component.ts
@@ -12,7 +12,7 @@
   type WindowCounts,
 } from '@limelead/meter-usage';
 import type { DutyPlatform } from '@limelead/ports';
-import type { EvidenceExchange, PeerId } from '@limelead/share-evidence';
+import type { PeerExchange, PeerId } from '@limelead/share-evidence';
 import { randomUUID } from 'node:crypto';
 import type { DutyComponent } from './duty-component.js';
 import type { FleetComponent, FleetComponentContext } from './fleet-component.js';
@@ -70,7 +70,7 @@
       usageTable.recordCounts(incarnation, counter.listWindows(), firstOwnWindow());
       return usageTable.sum(window);
     },
-    isIsolated: (heldSinceMs) => heldSinceMs < (readExchange()?.cutOffSinceMs ?? -Infinity),
+    isIsolated: (heldSinceMs) => heldSinceMs < (readExchange()?.isolatedSinceMs ?? -Infinity),
     readCountedFrom() {
       return Math.min(firstOwnWindow(), usageTable.countedFrom ?? Infinity);
     },
@@ -134,7 +134,7 @@
 
 /** The linked duty candidates as receivers of usage. */
 function listReceivers(
-  exchange: EvidenceExchange | undefined,
+  exchange: PeerExchange | undefined,
   send: (peer: PeerId, windows: WindowCounts[]) => void,
 ): UsageSubscriber[] {
   return (exchange?.linkedCandidates ?? []).map(({ peer, linkedAtMs }) => ({
