--- a/packages/forward-request/src/cached-prompt-finder.ts
+++ b/packages/forward-request/src/cached-prompt-finder.ts
@@ -40,7 +40,7 @@
 
   constructor(private readonly options: CachedPromptFinderOptions) {}
 
-  /** Returns the id of the target that caches the prompt, or undefined if none answers so in time. */
+  /** Returns the id of the target that caches the prompt, or undefined if none reports it in time. */
   async find(service: string, affinityKey: string): Promise<string | undefined> {
     const { backpressure, clock, directory, log } = this.options;
     const askedAtMs = clock.now();
@@ -77,7 +77,7 @@
   private async send(target: ServiceTarget): Promise<ReadonlySet<string>> {
     const { connections, dialect, timers } = this.options;
     const options = { connections, timers, timeoutMs: ANSWER_TIMEOUT_MS };
-    const body = await queryTarget(options, target, dialect.composeCachedPromptsQuery(target));
+    const body = await queryTarget(options, target, dialect.composeCacheQuery(target));
     return body === undefined ? NO_PROMPTS : dialect.readCachedPrompts(body);
   }
 
--- a/packages/forward-request/src/dialect.ts
+++ b/packages/forward-request/src/dialect.ts
@@ -57,7 +57,7 @@
   /** Decodes the answer to a probe; undefined if it does not list runs. */
   readProbe(body: Buffer): ProbeResult | undefined;
   /** Composes a query for the sessions whose prompts the target caches. */
-  composeCachedPromptsQuery(target: ServiceTarget): TargetCall;
+  composeCacheQuery(target: ServiceTarget): TargetCall;
   /** Decodes the affinity keys of the sessions whose prompts the target caches. */
   readCachedPrompts(body: Buffer): ReadonlySet<string>;
 }
--- a/packages/forward-request/src/forward-stream.ts
+++ b/packages/forward-request/src/forward-stream.ts
@@ -290,7 +290,7 @@
     }
   }
 
-  /** Records the time to the first piece; it trains the prefill estimate if the prompt was read. */
+  /** Records the time to the first piece; it updates the prefill estimate if the prompt was read. */
   private recordFirstPiece(live: LiveAttempt): void {
     if (live.firstPieceAfterMs !== undefined) {
       return;
--- a/packages/forward-request/src/forwarding.fixture.ts
+++ b/packages/forward-request/src/forwarding.fixture.ts
@@ -66,7 +66,7 @@
     headers: ['host', 'test'],
     body: Buffer.alloc(0),
   }),
-  composeCachedPromptsQuery: () => ({
+  composeCacheQuery: () => ({
     method: 'GET',
     path: '/kept',
     headers: ['host', 'test'],
--- a/packages/http-front-door/src/http-front-door.test.ts
+++ b/packages/http-front-door/src/http-front-door.test.ts
@@ -64,7 +64,7 @@
   }),
   composeProbe: () => ({ method: 'GET', path: '/', headers: [], body: Buffer.alloc(0) }),
   readProbe: () => undefined,
-  composeCachedPromptsQuery: () => ({
+  composeCacheQuery: () => ({
     method: 'GET',
     path: '/',
     headers: [],
--- a/packages/measure/src/experiments/front-door.ts
+++ b/packages/measure/src/experiments/front-door.ts
@@ -241,7 +241,7 @@
   }),
   composeProbe: () => ({ method: 'GET', path: '/call/1', headers: [], body: Buffer.alloc(0) }),
   readProbe: () => undefined,
-  composeCachedPromptsQuery: () => ({
+  composeCacheQuery: () => ({
     method: 'GET',
     path: '/call/1',
     headers: [],
