--- a/packages/forward-request/src/attempt-budget.ts
+++ b/packages/forward-request/src/attempt-budget.ts
@@ -43,7 +43,7 @@
 
   /** Records an attempt and returns the function that refunds it. */
   recordAttempt(): RefundAttempt {
-    const wasPaid = this.hasSpentRetry;
+    const spentRetry = this.hasSpentRetry;
     this.hasSpentRetry = false;
     this.arrivedAttempts += 1;
     this.attempts += 1;
@@ -52,7 +52,7 @@
     }
     return () => {
       this.arrivedAttempts -= 1;
-      if (wasPaid) {
+      if (spentRetry) {
         this.retryBudget.refund(this.context.clock.now());
       }
     };
