--- a/packages/forward-request/src/slot-queue.ts
+++ b/packages/forward-request/src/slot-queue.ts
@@ -154,7 +154,7 @@
     const { directory, gate, permits } = this.options;
     gate.noteSent(tracked.target);
     permits.recordSend(tracked.target.id, tracked.target.service);
-    return { tracked, copyTo, release: directory.startRequest(tracked.target.id) };
+    return { tracked, copyTo, release: directory.begin(tracked.target.id) };
   }
 
   private serveWaiters(): void {
