--- a/packages/permit-sends/src/limit-table.ts
+++ b/packages/permit-sends/src/limit-table.ts
@@ -30,7 +30,7 @@
   /** Requests a second of the targets that have a limit. */
   private readonly rates = new Map<string, number>();
 
-  /** Requests a second that a target takes; undefined without a limit. */
+  /** Requests a second that a target accepts; undefined without a limit. */
   getRate(target: string): number | undefined {
     return this.rates.get(target);
   }
--- a/packages/permit-sends/src/target-limits.ts
+++ b/packages/permit-sends/src/target-limits.ts
@@ -51,7 +51,7 @@
     metrics.gauge('limelead_limited_targets', () => this.table.limitedTargets.size);
   }
 
-  /** Requests a second that a target takes from all VMs together; undefined without a limit. */
+  /** Requests a second that a target accepts from all VMs together; undefined without a limit. */
   getRate(target: string): number | undefined {
     return this.table.getRate(target);
   }
--- a/packages/quarantine-requests/src/crash-table.ts
+++ b/packages/quarantine-requests/src/crash-table.ts
@@ -28,7 +28,7 @@
  */
 const REFUTED_CRASH_TTL_MS = 30_000;
 /**
- * Clearances of a request within this time of each other are taken for the same one, in
+ * Clearances of a request within this time of each other count as the same one, in
  * milliseconds.
  */
 const SAME_CLEARANCE_MS = 1_000;
--- a/packages/quarantine-requests/src/trial-queue.ts
+++ b/packages/quarantine-requests/src/trial-queue.ts
@@ -9,7 +9,7 @@
 import type { TrialNotice } from './quarantine-update.js';
 
 /**
- * A trial without a notice of its end is taken for ended after this time, in milliseconds: its VM
+ * A trial without a notice of its end counts as ended after this time, in milliseconds: its VM
  * may have failed. Longer than a target takes to read the longest prompts.
  */
 const TRIAL_TTL_MS = 6_000;
--- a/packages/types/src/configuration.ts
+++ b/packages/types/src/configuration.ts
@@ -57,7 +57,7 @@
    * delivers.
    */
   hedge: boolean;
-  /** Whether the silent target is first asked if the generation still runs. */
+  /** Whether the silent target is first asked whether the generation still runs. */
   probeFirst: boolean;
 }
 
