--- a/packages/daemon/src/create-context.ts
+++ b/packages/daemon/src/create-context.ts
@@ -14,7 +14,7 @@
 import type { Settings } from '@limelead/read-settings';
 import createHandleSigner from '@limelead/resume-handle';
 import { createCallRunner } from '@limelead/run-call';
-import { createGapTable } from '@limelead/run-generation';
+import { createTokenGapTable } from '@limelead/run-generation';
 import { createConfigurationStore } from '@limelead/store-configuration';
 import { createMemberTable } from '@limelead/track-members';
 import { createTargetTable } from '@limelead/track-targets';
@@ -76,7 +76,7 @@
     bus,
     outside,
     targets,
-    gaps: createGapTable(),
+    gaps: createTokenGapTable(),
     members,
     configuration: new ConfigurationHolder(),
     configurationStore: createConfigurationStore(outside.store, clock, timers),
--- a/packages/daemon/src/services/generation-service.ts
+++ b/packages/daemon/src/services/generation-service.ts
@@ -159,7 +159,7 @@
 function expectWait(context: VmContext, request: GenerationRequest): number {
   const { targets, clock, gaps } = context;
   const version = currentVersion(context, request.service);
-  const meanAnswerTokens = gaps.readAnswerTokens();
+  const meanAnswerTokens = gaps.readMeanAnswerTokens();
   const waits = targets
     .listUsableEngines(clock.now(), version)
     .map((target) => estimateQueueMs(target, meanAnswerTokens));
--- a/packages/daemon/src/vm-context.ts
+++ b/packages/daemon/src/vm-context.ts
@@ -8,7 +8,7 @@
 import type { RecoveryPacer } from '@limelead/pace-recoveries';
 import type { Settings } from '@limelead/read-settings';
 import type { HandleSigner } from '@limelead/resume-handle';
-import type { GapTable } from '@limelead/run-generation';
+import type { TokenGapTable } from '@limelead/run-generation';
 import type { CallRunner } from '@limelead/run-call';
 import type { ConfigurationStore } from '@limelead/store-configuration';
 import type { MemberTable } from '@limelead/track-members';
@@ -50,7 +50,7 @@
   bus: EventBus;
   outside: OutsideSystems;
   targets: TargetTable;
-  gaps: GapTable;
+  gaps: TokenGapTable;
   members: MemberTable;
   configuration: ConfigurationHolder;
   configurationStore: ConfigurationStore;
--- a/packages/run-generation/src/attempt-reader.ts
+++ b/packages/run-generation/src/attempt-reader.ts
@@ -12,10 +12,10 @@
 } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
 import type { GenerationDependencies } from './dependencies.js';
-import type Mailbox from './mailbox.js';
+import type EventQueue from './event-queue.js';
 
 /** Which attempt is read, and where. */
-export interface AttemptPlace {
+export interface AttemptContext {
   number: number;
   targetId: TargetId;
   generationId: string;
@@ -42,9 +42,9 @@
   private lastMessageAtMs: number;
 
   constructor(
-    readonly place: AttemptPlace,
+    readonly context: AttemptContext,
     private readonly dependencies: GenerationDependencies,
-    private readonly mailbox: Pick<Mailbox<SessionEvent>, 'post' | 'deliver'>,
+    private readonly events: Pick<EventQueue<SessionEvent>, 'enqueue' | 'enqueueAndWait'>,
   ) {
     this.startedAtMs = dependencies.clock.now();
     this.lastMessageAtMs = this.startedAtMs;
@@ -53,9 +53,9 @@
   /** Opens the stream and reads it to its end. Never rejects. */
   async run(open: (signal: AbortSignal) => PortCall<EngineStream>): Promise<void> {
     const { targets, clock } = this.dependencies;
-    targets.recordRequestSent(this.place.targetId, clock.now());
-    targets.addPendingPrefill(this.place.targetId, this.place.inputTokens);
-    this.watchSilence();
+    targets.recordRequestSent(this.context.targetId, clock.now());
+    targets.addPendingPrefill(this.context.targetId, this.context.inputTokens);
+    this.restartSilenceTimer();
     const opened = await open(this.abort.signal)();
     if (E.isLeft(opened)) {
       this.reportFault(opened.left);
@@ -70,11 +70,13 @@
   }
 
   /** Starts the silence bound anew. */
-  watchSilence(): void {
+  restartSilenceTimer(): void {
     this.cancelSilenceTimer();
     if (!this.isClosed) {
       const { timers } = this.dependencies;
-      this.cancelSilenceTimer = timers.after(this.silenceBoundMs(), () => this.reportSilence());
+      this.cancelSilenceTimer = timers.after(this.computeSilenceTimeoutMs(), () =>
+        this.reportSilence(),
+      );
     }
   }
 
@@ -88,19 +90,19 @@
     this.abort.abort();
     this.stream?.close();
     this.endPrefill();
-    this.dependencies.targets.recordRequestDone(this.place.targetId);
+    this.dependencies.targets.recordRequestDone(this.context.targetId);
   }
 
   private endPrefill(): void {
     if (this.isPrefilling) {
       this.isPrefilling = false;
-      this.dependencies.targets.addPendingPrefill(this.place.targetId, -this.place.inputTokens);
+      this.dependencies.targets.addPendingPrefill(this.context.targetId, -this.context.inputTokens);
     }
   }
 
   private async readToEnd(stream: EngineStream): Promise<void> {
     for (;;) {
-      this.watchSilence();
+      this.restartSilenceTimer();
       const message = await stream.read();
       this.cancelSilenceTimer();
       if (this.isClosed) {
@@ -119,42 +121,42 @@
   }
 
   private async report(message: EngineMessage): Promise<void> {
-    const { number: attempt, targetId, prefixHashes } = this.place;
+    const { number: attempt, targetId, prefixHashes } = this.context;
     const { targets } = this.dependencies;
     switch (message.kind) {
       case 'accepted':
         targets.recordPrompt(targetId, prefixHashes);
-        return this.mailbox.deliver({
+        return this.events.enqueueAndWait({
           kind: 'opened',
           attempt,
           promptTokens: message.promptTokens,
         });
       case 'tokens':
-        this.noteTokens();
-        return this.mailbox.deliver({ ...message, attempt });
+        this.recordTokens();
+        return this.events.enqueueAndWait({ ...message, attempt });
       case 'end':
-        return this.mailbox.deliver({ ...message, kind: 'ended', attempt });
+        return this.events.enqueueAndWait({ ...message, kind: 'ended', attempt });
     }
   }
 
-  private noteTokens(): void {
+  private recordTokens(): void {
     const { clock, gaps, targets } = this.dependencies;
     const now = clock.now();
     if (this.hasTokens) {
-      gaps.note(this.place.targetId, now - this.lastMessageAtMs);
+      gaps.recordGap(this.context.targetId, now - this.lastMessageAtMs);
     } else {
-      targets.recordSuccess(this.place.targetId);
+      targets.recordSuccess(this.context.targetId);
       this.endPrefill();
-      gaps.noteLateness(now - this.startedAtMs - this.place.expectedFirstTokenMs);
+      gaps.recordLateness(now - this.startedAtMs - this.context.expectedFirstTokenMs);
     }
     this.hasTokens = true;
     this.lastMessageAtMs = now;
   }
 
-  private silenceBoundMs(): number {
-    const { policy, expectedFirstTokenMs, paceGapMs, targetId } = this.place;
+  private computeSilenceTimeoutMs(): number {
+    const { policy, expectedFirstTokenMs, paceGapMs, targetId } = this.context;
     const bound = this.hasTokens
-      ? computeSilenceTimeout(this.dependencies.gaps.read(targetId), policy)
+      ? computeSilenceTimeout(this.dependencies.gaps.readGap(targetId), policy)
       : computeFirstTokenTimeout(
           expectedFirstTokenMs,
           this.dependencies.gaps.readLateness(),
@@ -164,8 +166,8 @@
   }
 
   private reportSilence(): void {
-    this.noteTargetFailure();
-    this.mailbox.post({ kind: 'silent', attempt: this.place.number });
+    this.recordTargetFailure();
+    this.events.enqueue({ kind: 'silent', attempt: this.context.number });
   }
 
   private reportFault(fault: PortFault): void {
@@ -173,25 +175,25 @@
       return;
     }
     if (fault.reason !== 'gone') {
-      this.noteTargetFailure();
+      this.recordTargetFailure();
     }
-    this.reportBreak(CAUSE_OF_FAULT[fault.reason]);
+    this.reportBreak(BREAK_CAUSE_BY_FAULT[fault.reason]);
   }
 
   private reportBreak(cause: BreakCause): void {
     this.close();
-    this.mailbox.post({ kind: 'broken', attempt: this.place.number, cause });
+    this.events.enqueue({ kind: 'broken', attempt: this.context.number, cause });
   }
 
-  private noteTargetFailure(): void {
+  private recordTargetFailure(): void {
     const { targets, clock, onBreakerOpened } = this.dependencies;
-    if (targets.recordFailure(this.place.targetId, clock.now())) {
-      onBreakerOpened(this.place.targetId);
+    if (targets.recordFailure(this.context.targetId, clock.now())) {
+      onBreakerOpened(this.context.targetId);
     }
   }
 }
 
-const CAUSE_OF_FAULT: Readonly<Record<PortFault['reason'], BreakCause>> = {
+const BREAK_CAUSE_BY_FAULT: Readonly<Record<PortFault['reason'], BreakCause>> = {
   unreachable: 'refused',
   refused: 'refused',
   invalid: 'refused',
--- a/packages/run-generation/src/cancel-at-target.ts
+++ b/packages/run-generation/src/cancel-with-retries.ts
@@ -8,7 +8,7 @@
 const RETRY_DELAYS_MS = [0, 500, 2_000, 8_000, 30_000] as const;
 
 /** Tries until the target answered or is gone. The engine ignores it under a newer attempt. */
-export default async function cancelAtTarget(
+export default async function cancelWithRetries(
   dependencies: Pick<GenerationDependencies, 'timers' | 'metrics'>,
   engine: ModelEngine,
   generationId: string,
--- a/packages/run-generation/src/dependencies.ts
+++ b/packages/run-generation/src/dependencies.ts
@@ -6,7 +6,7 @@
 import type { TargetTable } from '@limelead/track-targets';
 import type { RecoveryPacer } from '@limelead/pace-recoveries';
 import type { Clock, ModelVersion, Random, ResumePoint, Timers } from '@limelead/types';
-import type { GapTable } from './gap-table.js';
+import type { TokenGapTable } from './token-gap-table.js';
 
 /** Shared by all generations of one VM. */
 export interface GenerationDependencies {
@@ -16,7 +16,7 @@
   metrics: Metrics;
   bus: EventBus;
   targets: TargetTable;
-  gaps: GapTable;
+  gaps: TokenGapTable;
   connector: TargetConnector;
   pacer: RecoveryPacer;
   chooseTarget: ChooseTarget;
--- a/packages/run-generation/src/generation.test.ts
+++ b/packages/run-generation/src/generation.test.ts
@@ -10,7 +10,7 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import Generation, { createGapTable, type GenerationDependencies } from './index.js';
+import Generation, { createTokenGapTable, type GenerationDependencies } from './index.js';
 
 const VERSION = { model: 'm', adapter: '', version: '1' };
 const REQUEST: GenerationRequest = {
@@ -108,7 +108,7 @@
     metrics: createMetrics(),
     bus: createEventBus('vm-1', time.clock),
     targets,
-    gaps: createGapTable(),
+    gaps: createTokenGapTable(),
     connector: {
       engine: (_, port) => engines[port]?.port as ModelEngine,
       plainService: () => {
--- a/packages/run-generation/src/generation.ts
+++ b/packages/run-generation/src/generation.ts
@@ -9,18 +9,18 @@
 } from '@limelead/generation-session';
 import type { TrackedTarget } from '@limelead/track-targets';
 import type { AnswerMessage, CancelTimer, GenerationRequest } from '@limelead/types';
-import AttemptReader, { type AttemptPlace } from './attempt-reader.js';
-import cancelAtTarget from './cancel-at-target.js';
+import AttemptReader, { type AttemptContext } from './attempt-reader.js';
+import cancelWithRetries from './cancel-with-retries.js';
 import type { GenerationDependencies, GenerationStart } from './dependencies.js';
-import Mailbox from './mailbox.js';
+import EventQueue from './event-queue.js';
 import recordObservation from './record-observation.js';
 
 const CHARACTERS_PER_TOKEN = 4;
 const MAX_SEED = 2 ** 32;
 /** Milliseconds for which a recovery holds its place at most. */
-const LONGEST_RECOVERY_MS = 1_000;
+const MAX_RECOVERY_SLOT_MS = 1_000;
 /** Milliseconds without a message after which the caller is told that this VM still lives. */
-const KEEP_ALIVE_MS = 500;
+const KEEP_ALIVE_INTERVAL_MS = 500;
 
 /** An event of the session, or the time for a sign of life. */
 type GenerationEvent = SessionEvent | { kind: 'keep-alive' };
@@ -29,10 +29,10 @@
 
 /** Runs one generation on this VM. */
 export default class Generation {
-  private readonly mailbox = new Mailbox<GenerationEvent>();
+  private readonly events = new EventQueue<GenerationEvent>();
   private readonly readers = new Map<number, AttemptReader>();
   /** Places of recoveries that have not delivered yet, by attempt. */
-  private readonly releases = new Map<number, () => void>();
+  private readonly recoverySlotReleases = new Map<number, () => void>();
   private readonly prefixHashes: string[];
   private readonly delivered: string[];
   private readonly startedAtMs: number;
@@ -56,17 +56,17 @@
     const prefix = `${request.organisation}.${request.requestId}.${incarnation}`;
     this.state = createSession(request, prefix, this.startedAtMs);
     const { resume, tries } = start;
-    this.mailbox.post({ kind: 'begin', resume, tries, delivered: this.delivered.length });
+    this.events.enqueue({ kind: 'begin', resume, tries, delivered: this.delivered.length });
   }
 
   /** The caller cancelled the generation. */
   cancel(): void {
-    this.mailbox.post({ kind: 'cancelled' });
+    this.events.enqueue({ kind: 'cancelled' });
   }
 
   /** This VM is stopping; a resumable caller is asked to go on elsewhere. */
   drain(): void {
-    this.mailbox.post({ kind: 'drain' });
+    this.events.enqueue({ kind: 'drain' });
   }
 
   /**
@@ -82,22 +82,24 @@
     const graceMs = this.request.resumable ? abandonedGraceMs : 0;
     const readers = [...this.readers.values()];
     readers.forEach((reader) => reader.close());
-    timers.after(graceMs, () => readers.forEach((reader) => this.cancelPlace(reader.place)));
-    this.mailbox.post({ kind: 'cancelled' });
+    timers.after(graceMs, () =>
+      readers.forEach((reader) => this.cancelGenerationAt(reader.context)),
+    );
+    this.events.enqueue({ kind: 'cancelled' });
   }
 
   /** The answer. Throws a LimeleadError where the generation is given up. */
   async *messages(): AsyncGenerator<AnswerMessage> {
-    this.watchDeadline();
+    this.startDeadlineTimer();
     this.scheduleKeepAlive();
     try {
       while (this.state.phase !== 'done') {
-        yield* this.advance(await this.mailbox.take());
+        yield* this.advance(await this.events.dequeue());
       }
     } finally {
       this.cancelDeadline();
       this.cancelKeepAlive();
-      this.releasePlaces();
+      this.releaseRecoverySlots();
       this.abandon();
     }
     if (this.failure !== undefined) {
@@ -115,15 +117,15 @@
     this.state = state;
     for (const command of commands) {
       if (command.kind === 'send') {
-        this.noteSent(command.message);
+        this.recordSent(command.message);
         yield command.message;
       } else {
-        this.carryOut(command);
+        this.execute(command);
       }
     }
   }
 
-  private carryOut(command: Exclude<SessionCommand, { kind: 'send' }>): void {
+  private execute(command: Exclude<SessionCommand, { kind: 'send' }>): void {
     switch (command.kind) {
       case 'choose-target':
         return this.chooseTarget(command);
@@ -134,7 +136,7 @@
       case 'probe':
         return void this.probe(command.attempt);
       case 'watch-silence':
-        return this.readers.get(command.attempt)?.watchSilence();
+        return this.readers.get(command.attempt)?.restartSilenceTimer();
       case 'cancel-attempt':
         return this.cancelAttempt(command.attempt);
       case 'detach-attempt':
@@ -144,7 +146,7 @@
       case 'wait-for-retry':
         return this.waitForRetry(command);
       case 'fail':
-        return this.noteFailure(command.error, command.message);
+        return this.recordFailure(command.error, command.message);
       case 'observe':
         return recordObservation(this.dependencies, this.request.requestId, command.detail);
     }
@@ -155,18 +157,18 @@
     if (command.attempt === 1) {
       this.chooseTargetNow(command);
     } else {
-      void this.chooseTargetInTurn(command);
+      void this.chooseTargetWithSlot(command);
     }
   }
 
-  private async chooseTargetInTurn(command: CommandOf<'choose-target'>): Promise<void> {
+  private async chooseTargetWithSlot(command: CommandOf<'choose-target'>): Promise<void> {
     const { pacer, timers } = this.dependencies;
     const { attempt } = command;
     const release = await pacer.acquire(this.request.priority.rank);
-    this.releases.get(attempt)?.();
-    this.releases.set(attempt, release);
+    this.recoverySlotReleases.get(attempt)?.();
+    this.recoverySlotReleases.set(attempt, release);
     // A recovery that neither delivers nor breaks must not keep its place for ever.
-    timers.after(LONGEST_RECOVERY_MS, release);
+    timers.after(MAX_RECOVERY_SLOT_MS, release);
     if (this.state.phase === 'done') {
       release();
     } else {
@@ -180,13 +182,13 @@
     const version = command.modelVersion ?? currentVersion(this.request.service);
     const now = clock.now();
     const usable = version === undefined ? [] : targets.listUsableEngines(now, version);
-    const routing = this.describeRouting(command.exclude);
+    const routing = this.createRoutingCriteria(command.exclude);
     const choice = this.dependencies.chooseTarget(usable, routing, random);
     if (version === undefined || choice === undefined) {
       const isLive = version !== undefined && targets.hasVersion(version, now);
       const error: ErrorKind = isLive ? 'no-target' : 'version-not-live';
-      this.releases.get(attempt)?.();
-      this.mailbox.post({ kind: 'no-target', attempt, error });
+      this.recoverySlotReleases.get(attempt)?.();
+      this.events.enqueue({ kind: 'no-target', attempt, error });
       return;
     }
     const { target, considered } = choice;
@@ -199,17 +201,17 @@
       considered,
     });
     const binding = { modelVersion: version, seed: this.drawSeed() };
-    this.mailbox.post({ kind: 'target-chosen', attempt, targetId: target.id, binding });
+    this.events.enqueue({ kind: 'target-chosen', attempt, targetId: target.id, binding });
   }
 
-  private describeRouting(exclude: string[]): RoutingCriteria {
+  private createRoutingCriteria(exclude: string[]): RoutingCriteria {
     const promptTokens = Math.ceil(this.request.prompt.length / CHARACTERS_PER_TOKEN);
     return {
       prefixHashes: this.prefixHashes,
       inputTokens: promptTokens + this.delivered.length,
       failureDomain: this.dependencies.failureDomain,
       exclude,
-      meanAnswerTokens: this.dependencies.gaps.readAnswerTokens(),
+      meanAnswerTokens: this.dependencies.gaps.readMeanAnswerTokens(),
       now: this.dependencies.clock.now(),
     };
   }
@@ -218,13 +220,13 @@
     const { attempt, targetId, generationId, binding, prefixLength } = command;
     const target = this.dependencies.targets.find(targetId);
     if (target === undefined) {
-      this.mailbox.post({ kind: 'broken', attempt, cause: 'target-gone' });
+      this.events.enqueue({ kind: 'broken', attempt, cause: 'target-gone' });
       return;
     }
     const reader = this.createReader(attempt, target, generationId, true);
     const { prompt, maxTokens, priority, paceTokensPerSecond } = this.request;
     void reader.run((signal) =>
-      reader.place.engine.start(
+      reader.context.engine.start(
         {
           generationId,
           attempt,
@@ -245,12 +247,12 @@
     const { attempt, targetId, generationId, fromOffset } = command;
     const target = this.dependencies.targets.find(targetId);
     if (target === undefined) {
-      this.mailbox.post({ kind: 'broken', attempt, cause: 'target-gone' });
+      this.events.enqueue({ kind: 'broken', attempt, cause: 'target-gone' });
       return;
     }
     const reader = this.createReader(attempt, target, generationId, false);
     void reader.run((signal) =>
-      reader.place.engine.attach({ generationId, attempt, fromOffset }, signal),
+      reader.context.engine.attach({ generationId, attempt, fromOffset }, signal),
     );
   }
 
@@ -262,9 +264,9 @@
   ): AttemptReader {
     const { connector } = this.dependencies;
     const { priority, paceTokensPerSecond } = this.request;
-    const routing = this.describeRouting([]);
+    const routing = this.createRoutingCriteria([]);
     const { costMs, cachedShare } = estimateCost(target, routing);
-    const place: AttemptPlace = {
+    const place: AttemptContext = {
       number,
       targetId: target.id,
       generationId,
@@ -275,16 +277,16 @@
       paceGapMs: paceTokensPerSecond > 0 ? 1000 / paceTokensPerSecond : 0,
       prefixHashes: this.prefixHashes,
     };
-    const reader = new AttemptReader(place, this.dependencies, this.mailbox);
+    const reader = new AttemptReader(place, this.dependencies, this.events);
     this.readers.set(number, reader);
     return reader;
   }
 
   private async probe(attempt: number): Promise<void> {
-    const place = this.readers.get(attempt)?.place;
+    const place = this.readers.get(attempt)?.context;
     const answer = await place?.engine.probe(place.generationId)();
     const running = answer?._tag === 'Right' && answer.right;
-    this.mailbox.post({ kind: 'probed', attempt, running });
+    this.events.enqueue({ kind: 'probed', attempt, running });
   }
 
   private cancelAttempt(attempt: number): void {
@@ -294,24 +296,24 @@
     }
     reader.close();
     this.readers.delete(attempt);
-    this.releases.get(attempt)?.();
-    this.cancelPlace(reader.place);
+    this.recoverySlotReleases.get(attempt)?.();
+    this.cancelGenerationAt(reader.context);
   }
 
-  private releasePlaces(): void {
-    this.releases.forEach((release) => release());
-    this.releases.clear();
+  private releaseRecoverySlots(): void {
+    this.recoverySlotReleases.forEach((release) => release());
+    this.recoverySlotReleases.clear();
   }
 
-  private cancelPlace(place: AttemptPlace): void {
-    void cancelAtTarget(this.dependencies, place.engine, place.generationId, place.number);
+  private cancelGenerationAt(place: AttemptContext): void {
+    void cancelWithRetries(this.dependencies, place.engine, place.generationId, place.number);
   }
 
   private cancelForeign(command: CommandOf<'cancel-foreign'>): void {
     const target = this.dependencies.targets.find(command.targetId);
     if (target !== undefined && !this.isAbandoned) {
       const engine = this.dependencies.connector.engine(target.host, target.port);
-      void cancelAtTarget(this.dependencies, engine, command.generationId, command.attempt);
+      void cancelWithRetries(this.dependencies, engine, command.generationId, command.attempt);
     }
   }
 
@@ -319,16 +321,18 @@
     const { timers, random } = this.dependencies;
     // Full jitter between half and all of the delay keeps broken streams from coming back in step.
     const delayMs = command.delayMs * (0.5 + random.next() / 2);
-    timers.after(delayMs, () => this.mailbox.post({ kind: 'retry-due', attempt: command.attempt }));
+    timers.after(delayMs, () =>
+      this.events.enqueue({ kind: 'retry-due', attempt: command.attempt }),
+    );
   }
 
-  private watchDeadline(): void {
+  private startDeadlineTimer(): void {
     const { deadlineAtMs } = this.request;
     if (deadlineAtMs !== undefined) {
       const { timers, clock } = this.dependencies;
       const leftMs = Math.max(0, deadlineAtMs - clock.now());
       this.cancelDeadline = timers.after(leftMs, () =>
-        this.mailbox.post({ kind: 'deadline-passed' }),
+        this.events.enqueue({ kind: 'deadline-passed' }),
       );
     }
   }
@@ -336,24 +340,24 @@
   /** One timer serves many messages: it only looks when the last one was sent. */
   private scheduleKeepAlive(): void {
     const { timers, clock } = this.dependencies;
-    const dueInMs = this.lastSentMs + KEEP_ALIVE_MS - clock.now();
-    this.cancelKeepAlive = timers.after(Math.max(dueInMs, KEEP_ALIVE_MS / 2), () => {
-      if (clock.now() - this.lastSentMs >= KEEP_ALIVE_MS) {
-        this.mailbox.post({ kind: 'keep-alive' });
+    const dueInMs = this.lastSentMs + KEEP_ALIVE_INTERVAL_MS - clock.now();
+    this.cancelKeepAlive = timers.after(Math.max(dueInMs, KEEP_ALIVE_INTERVAL_MS / 2), () => {
+      if (clock.now() - this.lastSentMs >= KEEP_ALIVE_INTERVAL_MS) {
+        this.events.enqueue({ kind: 'keep-alive' });
       }
       this.scheduleKeepAlive();
     });
   }
 
-  private noteSent(message: AnswerMessage): void {
+  private recordSent(message: AnswerMessage): void {
     this.lastSentMs = this.dependencies.clock.now();
     if (message.kind === 'finished') {
-      this.dependencies.gaps.noteAnswerTokens(message.length);
+      this.dependencies.gaps.recordAnswerTokens(message.length);
     }
     if (message.kind !== 'tokens') {
       return;
     }
-    this.releasePlaces();
+    this.releaseRecoverySlots();
     const { metrics, clock } = this.dependencies;
     if (this.delivered.length === 0) {
       metrics.recordMs('limelead_first_token_ms', clock.now() - this.startedAtMs);
@@ -362,7 +366,7 @@
     this.delivered.push(...message.tokens);
   }
 
-  private noteFailure(error: ErrorKind, message: string): void {
+  private recordFailure(error: ErrorKind, message: string): void {
     this.failure = new LimeleadError(error, message);
   }
 
