--- a/packages/run-generation/src/attempt-reader.ts
+++ b/packages/run-generation/src/attempt-reader.ts
@@ -1,4 +1,4 @@
-/** Reads one attempt's stream and turns it into events of the session. */
+/** Reads the stream of one attempt and converts it to session events. */
 import type { PortFault } from '@limelead/errors';
 import type { EngineStream, ModelEngine, PortCall } from '@limelead/ports';
 import type { SessionEvent } from '@limelead/generation-session';
@@ -14,23 +14,23 @@
 import type { GenerationDependencies } from './dependencies.js';
 import type EventQueue from './event-queue.js';
 
-/** Which attempt is read, and where. */
+/** Attempt to read, its target and its timing parameters. */
 export interface AttemptContext {
   number: number;
   targetId: TargetId;
   generationId: string;
   engine: ModelEngine;
   policy: RecoveryPolicy;
-  /** Milliseconds until the first token, as the router expected. */
+  /** Expected time to the first token. */
   expectedFirstTokenMs: number;
-  /** Input tokens that the target has to process before it. */
+  /** Input tokens that the target has to process before the first token. */
   inputTokens: number;
-  /** Milliseconds between tokens that the caller's own pace asks for. */
+  /** Milliseconds between tokens at the pace that the caller requested; 0 if unlimited. */
   paceGapMs: number;
   prefixHashes: string[];
 }
 
-/** One attempt's reader. */
+/** Reads one attempt, watches for silence and records the target's health and load. */
 export default class AttemptReader {
   private readonly abort = new AbortController();
   private stream: EngineStream | undefined;
@@ -69,7 +69,7 @@
     await this.readToEnd(opened.right);
   }
 
-  /** Starts the silence bound anew. */
+  /** Restarts the silence timeout. */
   restartSilenceTimer(): void {
     this.cancelSilenceTimer();
     if (!this.isClosed) {
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Stops reading; the generation goes on at the engine. */
+  /** Stops reading without cancelling the generation at the engine. */
   close(): void {
     if (this.isClosed) {
       return;
@@ -155,14 +155,14 @@
 
   private computeSilenceTimeoutMs(): number {
     const { policy, expectedFirstTokenMs, paceGapMs, targetId } = this.context;
-    const bound = this.hasTokens
+    const timeoutMs = this.hasTokens
       ? computeSilenceTimeout(this.dependencies.gaps.readGap(targetId), policy)
       : computeFirstTokenTimeout(
           expectedFirstTokenMs,
           this.dependencies.gaps.readLateness(),
           policy,
         );
-    return bound + paceGapMs;
+    return timeoutMs + paceGapMs;
   }
 
   private reportSilence(): void {
--- a/packages/run-generation/src/cancel-with-retries.ts
+++ b/packages/run-generation/src/cancel-with-retries.ts
@@ -1,13 +1,16 @@
-/** Cancels a generation at its target, again and again while the target does not answer. */
+/** Cancels a generation at its target, with retries. */
 import type { ModelEngine } from '@limelead/ports';
 import { delay } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
 import type { GenerationDependencies } from './dependencies.js';
 
-/** Milliseconds between tries; a paused engine that wakes within their sum stops working. */
+/** Delays before the attempts. A paused engine that resumes within their sum is still cancelled. */
 const RETRY_DELAYS_MS = [0, 500, 2_000, 8_000, 30_000] as const;
 
-/** Tries until the target answered or is gone. The engine ignores it under a newer attempt. */
+/**
+ * Sends the cancellation until the target answers, no longer knows the generation or the
+ * retries are used up. The engine ignores it if a newer attempt reads the generation.
+ */
 export default async function cancelWithRetries(
   dependencies: Pick<GenerationDependencies, 'timers' | 'metrics'>,
   engine: ModelEngine,
@@ -15,9 +18,9 @@
   attempt: number,
 ): Promise<void> {
   const { timers, metrics } = dependencies;
-  for (const waitMs of RETRY_DELAYS_MS) {
-    if (waitMs > 0) {
-      await delay(timers, waitMs);
+  for (const delayMs of RETRY_DELAYS_MS) {
+    if (delayMs > 0) {
+      await delay(timers, delayMs);
     }
     const outcome = await engine.cancel(generationId, attempt)();
     if (E.isRight(outcome) || outcome.left.reason === 'gone') {
--- a/packages/run-generation/src/dependencies.ts
+++ b/packages/run-generation/src/dependencies.ts
@@ -1,4 +1,4 @@
-/** What a generation needs from its VM. */
+/** Dependencies and parameters of a generation. */
 import type { ChooseTarget } from '@limelead/choose-target';
 import type { Metrics } from '@limelead/metrics';
 import type { EventBus } from '@limelead/observe-events';
@@ -21,22 +21,22 @@
   pacer: RecoveryPacer;
   chooseTarget: ChooseTarget;
   failureDomain: string;
-  /** Unique to this start of this VM's process. */
+  /** Id of this run of the VM's process. */
   incarnation: string;
-  /** Version with which new answers of a service begin. */
+  /** Returns the version that produces new answers of a service. */
   currentVersion(service: string): ModelVersion | undefined;
-  /** Milliseconds to keep a generation running whose resumable caller's link was lost. */
+  /** How long a generation keeps running after the connection of its resumable caller is lost. */
   abandonedGraceMs: number;
-  /** A target's breaker opened; peers want to know. */
+  /** Called when the breaker of a target opens. */
   onBreakerOpened(target: string): void;
 }
 
-/** How a generation begins on this VM. */
+/** Initial state of a generation on this VM. */
 export interface GenerationStart {
-  /** Where the answer stood on another VM. */
+  /** Resume point of an answer that began on another VM. */
   resume?: ResumePoint;
-  /** How often the caller already presented that point. */
+  /** Number of times that the caller already presented this resume point. */
   tries: number;
-  /** Tokens that the caller already has. */
+  /** Tokens that the caller already received. */
   delivered: string[];
 }
--- a/packages/run-generation/src/generation.test.ts
+++ b/packages/run-generation/src/generation.test.ts
@@ -36,7 +36,7 @@
   resumable: true,
 };
 
-/** An engine whose stream is fed by the test. */
+/** Engine whose stream messages are supplied by the test. */
 class FakeEngine {
   readonly started: StartOrder[] = [];
   readonly cancelled: string[] = [];
@@ -59,9 +59,9 @@
     this.wake();
   }
 
-  private open(note: () => void): PortCall<EngineStream> {
+  private open(onOpen: () => void): PortCall<EngineStream> {
     return async () => {
-      note();
+      onOpen();
       this.feed({ kind: 'accepted', cachedPromptTokens: 0, promptTokens: 3 });
       return E.right({ read: () => this.read(), close: () => this.close() });
     };
@@ -100,11 +100,11 @@
     const now = time.clock.now();
     targets.applyReport(id, { ...report, prefillTokensPerSecond: 1e6, loaded: [VERSION] }, now);
   }
-  let drawn = 0;
+  let randomValue = 0;
   const dependencies: GenerationDependencies = {
     clock: time.clock,
     timers: time.timers,
-    random: { next: () => (drawn = (drawn + 0.37) % 1) },
+    random: { next: () => (randomValue = (randomValue + 0.37) % 1) },
     metrics: createMetrics(),
     bus: createEventBus('vm-1', time.clock),
     targets,
@@ -127,7 +127,7 @@
   return { time, engines, dependencies };
 }
 
-/** Collects the messages of a generation as they come. */
+/** Collects the messages of a generation. */
 function collect(generation: Generation) {
   const messages: AnswerMessage[] = [];
   const ended = (async () => {
@@ -135,9 +135,9 @@
       for await (const message of generation.messages()) {
         messages.push(message);
       }
-      return 'whole';
+      return 'complete';
     } catch (thrown) {
-      return thrown instanceof LimeleadError ? thrown.kind : 'unforeseen';
+      return thrown instanceof LimeleadError ? thrown.kind : 'unexpected';
     }
   })();
   const tokens = () =>
@@ -154,18 +154,18 @@
   return new Generation(dependencies, { ...REQUEST, ...change }, { tries: 0, delivered: [] });
 }
 
-function engineThatStarted(engines: FakeEngine[], order = 0): FakeEngine {
+function findStartedEngine(engines: FakeEngine[], index = 0): FakeEngine {
   const started = engines.filter((engine) => engine.started.length > 0);
-  const engine = started[order];
+  const engine = started[index];
   assert.ok(engine, 'expected an engine to be started');
   return engine;
 }
 
-test('a caller that stops reading stops the reading from the engine', async () => {
+test('back pressure from the caller stops reading from the engine', async () => {
   const { engines, dependencies } = createSystem(1);
   const messages = begin(dependencies).messages();
   assert.is(await nextKind(messages), 'started');
-  const engine = engineThatStarted(engines);
+  const engine = findStartedEngine(engines);
   for (let offset = 0; offset < 50; offset += 1) {
     engine.feed({ kind: 'tokens', offset, tokens: ['t'] });
   }
@@ -178,11 +178,11 @@
   await messages.return(undefined);
 });
 
-test('a silent engine is hedged, and the loser is cancelled', async () => {
+test('a silent engine is hedged and the losing attempt is cancelled', async () => {
   const { time, engines, dependencies } = createSystem(2);
   const answer = collect(begin(dependencies));
   await time.advance(1);
-  const first = engineThatStarted(engines);
+  const first = findStartedEngine(engines);
   first.feed({ kind: 'tokens', offset: 0, tokens: ['a'] });
   await time.advance(1_000);
   const second = engines.find((engine) => engine !== first);
@@ -193,11 +193,11 @@
   first.feed({ kind: 'tokens', offset: 1, tokens: ['X'] });
   second?.feed({ kind: 'end', length: 2, reason: 'stop' });
   await time.advance(10);
-  assert.is(await answer.ended, 'whole');
+  assert.is(await answer.ended, 'complete');
   assert.equal(answer.tokens(), ['a', 'b']);
 });
 
-test('a caller hears a sign of life while the engine is slow', async () => {
+test('keep-alives are sent while the engine is slow', async () => {
   const { time, dependencies } = createSystem(1);
   const generation = begin(dependencies);
   const answer = collect(generation);
@@ -208,19 +208,19 @@
   assert.is(await answer.ended, 'cancelled');
 });
 
-test('cancelling reaches the engine at once', async () => {
+test('a cancellation is sent to the engine at once', async () => {
   const { time, engines, dependencies } = createSystem(1);
   const generation = begin(dependencies);
   const answer = collect(generation);
   await time.advance(1);
   generation.cancel();
   await time.advance(1);
-  const engine = engineThatStarted(engines);
+  const engine = findStartedEngine(engines);
   assert.equal(engine.cancelled, [engine.started[0]?.generationId]);
   assert.is(await answer.ended, 'cancelled');
 });
 
-test('a resumable caller that is lost keeps its generation for the grace, another does not', async () => {
+test('after a lost connection only a resumable generation runs on for the grace period', async () => {
   for (const resumable of [true, false]) {
     const { time, engines, dependencies } = createSystem(1);
     const generation = begin(dependencies, { resumable });
@@ -228,7 +228,7 @@
     await time.advance(1);
     generation.abandon();
     await time.advance(4_000);
-    const engine = engineThatStarted(engines);
+    const engine = findStartedEngine(engines);
     assert.is(engine.cancelled.length, resumable ? 0 : 1);
     await time.advance(2_000);
     assert.is(engine.cancelled.length, 1);
@@ -236,31 +236,31 @@
   }
 });
 
-test('past its deadline a generation is cancelled and its caller is told', async () => {
+test('a generation past its deadline is cancelled and fails with deadline-passed', async () => {
   const { time, engines, dependencies } = createSystem(1);
   const deadlineAtMs = time.clock.now() + 50;
   const answer = collect(begin(dependencies, { deadlineAtMs }));
   await time.advance(60);
   assert.is(await answer.ended, 'deadline-passed');
-  assert.is(engineThatStarted(engines).cancelled.length, 1);
+  assert.is(findStartedEngine(engines).cancelled.length, 1);
 });
 
-test('without any target the caller is told at once that nothing was run', async () => {
+test('without any target the generation fails at once', async () => {
   const { dependencies } = createSystem(0);
   const answer = collect(begin(dependencies));
   assert.is(await answer.ended, 'version-not-live');
 });
 
-test('a stopping VM hands a resumable answer over and leaves the engine alone', async () => {
+test('a draining VM hands over a resumable answer without cancelling it at the engine', async () => {
   const { time, engines, dependencies } = createSystem(1);
   const generation = begin(dependencies);
   const answer = collect(generation);
   await time.advance(1);
   generation.drain();
-  assert.is(await answer.ended, 'whole');
+  assert.is(await answer.ended, 'complete');
   assert.is(answer.messages.at(-1)?.kind, 'handover');
   await time.advance(60_000);
-  assert.equal(engineThatStarted(engines).cancelled, []);
+  assert.equal(findStartedEngine(engines).cancelled, []);
 });
 
 test.run();
--- a/packages/run-generation/src/generation.ts
+++ b/packages/run-generation/src/generation.ts
@@ -1,4 +1,4 @@
-/** One running generation: feeds events to the session and carries out its commands. */
+/** Runs one generation: passes events to its session and executes the resulting commands. */
 import { estimateCost, type RoutingCriteria } from '@limelead/choose-target';
 import { LimeleadError, type ErrorKind } from '@limelead/errors';
 import advanceSession, {
@@ -17,12 +17,12 @@
 
 const CHARACTERS_PER_TOKEN = 4;
 const MAX_SEED = 2 ** 32;
-/** Milliseconds for which a recovery holds its place at most. */
+/** Longest time that a recovery holds its slot. */
 const MAX_RECOVERY_SLOT_MS = 1_000;
-/** Milliseconds without a message after which the caller is told that this VM still lives. */
+/** Time without a message after which a keep-alive is sent to the caller. */
 const KEEP_ALIVE_INTERVAL_MS = 500;
 
-/** An event of the session, or the time for a sign of life. */
+/** Event of the session, or a due keep-alive. */
 type GenerationEvent = SessionEvent | { kind: 'keep-alive' };
 
 type CommandOf<Kind extends SessionCommand['kind']> = Extract<SessionCommand, { kind: Kind }>;
@@ -31,7 +31,7 @@
 export default class Generation {
   private readonly events = new EventQueue<GenerationEvent>();
   private readonly readers = new Map<number, AttemptReader>();
-  /** Places of recoveries that have not delivered yet, by attempt. */
+  /** Release functions of the slots of recoveries that have not delivered yet, by attempt. */
   private readonly recoverySlotReleases = new Map<number, () => void>();
   private readonly prefixHashes: string[];
   private readonly delivered: string[];
@@ -59,19 +59,19 @@
     this.events.enqueue({ kind: 'begin', resume, tries, delivered: this.delivered.length });
   }
 
-  /** The caller cancelled the generation. */
+  /** Cancels the generation on behalf of the caller. */
   cancel(): void {
     this.events.enqueue({ kind: 'cancelled' });
   }
 
-  /** This VM is stopping; a resumable caller is asked to go on elsewhere. */
+  /** Asks a resumable caller to resume through another VM, because this VM is draining. */
   drain(): void {
     this.events.enqueue({ kind: 'drain' });
   }
 
   /**
-   * The caller's link is lost. A resumable caller may be back through another
-   * VM within seconds, so the engine goes on for a while; this VM reads no more.
+   * Stops reading after the connection to the caller is lost. The generation of a resumable
+   * caller runs on for a grace period, in which the caller may resume through another VM.
    */
   abandon(): void {
     if (this.state.phase === 'done' || this.isAbandoned) {
@@ -88,7 +88,7 @@
     this.events.enqueue({ kind: 'cancelled' });
   }
 
-  /** The answer. Throws a LimeleadError where the generation is given up. */
+  /** Yields the messages of the answer. Throws a LimeleadError if the generation fails. */
   async *messages(): AsyncGenerator<AnswerMessage> {
     this.startDeadlineTimer();
     this.scheduleKeepAlive();
@@ -152,7 +152,7 @@
     }
   }
 
-  /** A first attempt goes at once; a recovery waits for its place. */
+  /** Chooses a target at once for the first attempt; recoveries wait for a slot. */
   private chooseTarget(command: CommandOf<'choose-target'>): void {
     if (command.attempt === 1) {
       this.chooseTargetNow(command);
@@ -167,7 +167,7 @@
     const release = await pacer.acquire(this.request.priority.rank);
     this.recoverySlotReleases.get(attempt)?.();
     this.recoverySlotReleases.set(attempt, release);
-    // A recovery that neither delivers nor breaks must not keep its place for ever.
+    // A recovery that neither delivers nor breaks must not hold its slot indefinitely.
     timers.after(MAX_RECOVERY_SLOT_MS, release);
     if (this.state.phase === 'done') {
       release();
@@ -266,7 +266,7 @@
     const { priority, paceTokensPerSecond } = this.request;
     const routing = this.createRoutingCriteria([]);
     const { costMs, cachedShare } = estimateCost(target, routing);
-    const place: AttemptContext = {
+    const context: AttemptContext = {
       number,
       targetId: target.id,
       generationId,
@@ -277,14 +277,14 @@
       paceGapMs: paceTokensPerSecond > 0 ? 1000 / paceTokensPerSecond : 0,
       prefixHashes: this.prefixHashes,
     };
-    const reader = new AttemptReader(place, this.dependencies, this.events);
+    const reader = new AttemptReader(context, this.dependencies, this.events);
     this.readers.set(number, reader);
     return reader;
   }
 
   private async probe(attempt: number): Promise<void> {
-    const place = this.readers.get(attempt)?.context;
-    const answer = await place?.engine.probe(place.generationId)();
+    const context = this.readers.get(attempt)?.context;
+    const answer = await context?.engine.probe(context.generationId)();
     const running = answer?._tag === 'Right' && answer.right;
     this.events.enqueue({ kind: 'probed', attempt, running });
   }
@@ -305,8 +305,8 @@
     this.recoverySlotReleases.clear();
   }
 
-  private cancelGenerationAt(place: AttemptContext): void {
-    void cancelWithRetries(this.dependencies, place.engine, place.generationId, place.number);
+  private cancelGenerationAt(context: AttemptContext): void {
+    void cancelWithRetries(this.dependencies, context.engine, context.generationId, context.number);
   }
 
   private cancelForeign(command: CommandOf<'cancel-foreign'>): void {
@@ -319,7 +319,7 @@
 
   private waitForRetry(command: CommandOf<'wait-for-retry'>): void {
     const { timers, random } = this.dependencies;
-    // Full jitter between half and all of the delay keeps broken streams from coming back in step.
+    // Jitter between half and all of the delay prevents synchronised retries of broken streams.
     const delayMs = command.delayMs * (0.5 + random.next() / 2);
     timers.after(delayMs, () =>
       this.events.enqueue({ kind: 'retry-due', attempt: command.attempt }),
@@ -337,7 +337,7 @@
     }
   }
 
-  /** One timer serves many messages: it only looks when the last one was sent. */
+  /** Sends keep-alives from one timer that checks the time of the last message. */
   private scheduleKeepAlive(): void {
     const { timers, clock } = this.dependencies;
     const dueInMs = this.lastSentMs + KEEP_ALIVE_INTERVAL_MS - clock.now();
--- a/packages/run-generation/src/record-observation.ts
+++ b/packages/run-generation/src/record-observation.ts
@@ -1,8 +1,8 @@
-/** Counts what a session observed and publishes it to those who watch. */
+/** Counts observed events of a session in the metrics and publishes them on the event bus. */
 import type { EventDetail } from '@limelead/types';
 import type { GenerationDependencies } from './dependencies.js';
 
-/** Counts first; the event is built only when somebody watches. */
+/** Records one observed event; it is built for the bus only if there are subscribers. */
 export default function recordObservation(
   dependencies: Pick<GenerationDependencies, 'metrics' | 'bus'>,
   requestId: string,
