--- a/packages/daemon/src/create-context.ts
+++ b/packages/daemon/src/create-context.ts
@@ -94,7 +94,7 @@
       targets,
       connector: outside.connector,
       claimer: createCallClaimer({ store: outside.store, clock, timers, random, incarnation }),
-      askHolder: (holder, organisation, requestId) =>
+      queryHolder: (holder, organisation, requestId) =>
         peers.askHolder(holder, organisation, requestId),
     }),
     isDraining,
--- a/packages/daemon/src/peer-conversation.ts
+++ b/packages/daemon/src/peer-conversation.ts
@@ -1,5 +1,5 @@
 /** What this VM says to its peers, and what it makes of what they say. */
-import type { RememberedCall } from '@limelead/run-call';
+import type { RecordedOutcome } from '@limelead/run-call';
 import {
   createPeerLinks,
   peerMessageFormat,
@@ -31,7 +31,7 @@
   private readonly evidence = new BreakerEvidence();
   private readonly assembler = new SnapshotAssembler();
   private readonly demands = new Map<VmId, DemandReports>();
-  private readonly callQueries: PendingQueries<RememberedCall>;
+  private readonly callQueries: PendingQueries<RecordedOutcome>;
   private readonly cancelQueries: PendingQueries<boolean>;
   private links: PeerLinks<PeerMessage> | undefined;
   private loop: Loop | undefined;
@@ -39,7 +39,7 @@
 
   constructor(private readonly context: VmContext) {
     const { timers } = context;
-    this.callQueries = new PendingQueries<RememberedCall>(timers, CALL_QUERY_TIMEOUT_MS, {
+    this.callQueries = new PendingQueries<RecordedOutcome>(timers, CALL_QUERY_TIMEOUT_MS, {
       kind: 'unknown',
     });
     this.cancelQueries = new PendingQueries(timers, CANCEL_QUERY_TIMEOUT_MS, false);
@@ -96,7 +96,7 @@
   }
 
   /** Asks the VM that holds a claim what became of its call. */
-  askHolder(holder: string, organisation: string, requestId: string): Promise<RememberedCall> {
+  askHolder(holder: string, organisation: string, requestId: string): Promise<RecordedOutcome> {
     const peer = this.context.members.findByIncarnation(holder)?.id;
     if (peer === undefined || this.links?.linked().includes(peer) !== true) {
       return Promise.resolve({ kind: 'unknown' });
@@ -202,7 +202,7 @@
       case 'cancel-reply':
         return this.cancelQueries.settle(message.query, message.cancelled);
       case 'call-reply':
-        return this.callQueries.settle(message.query, message.outcome as RememberedCall);
+        return this.callQueries.settle(message.query, message.outcome as RecordedOutcome);
     }
   }
 
@@ -301,8 +301,8 @@
 
   private async onCallQuery(peer: VmId, query: PeerMessageOf<'call-query'>): Promise<void> {
     const { callRunner } = this.context;
-    const recalled = callRunner.recall(query.organisation, query.requestId);
-    const outcome: RememberedCall = (await recalled) ?? { kind: 'unknown' };
+    const recalled = callRunner.findOutcome(query.organisation, query.requestId);
+    const outcome: RecordedOutcome = (await recalled) ?? { kind: 'unknown' };
     this.links?.send(peer, { kind: 'call-reply', query: query.query, outcome });
   }
 
--- a/packages/run-call/src/call-runner.test.ts
+++ b/packages/run-call/src/call-runner.test.ts
@@ -59,8 +59,8 @@
           random: systemRandom,
           incarnation,
         }),
-        askHolder: async (holder, organisation, requestId) =>
-          (await runners[holder === 'vm-1' ? 0 : 1]?.recall(organisation, requestId)) ?? {
+        queryHolder: async (holder, organisation, requestId) =>
+          (await runners[holder === 'vm-1' ? 0 : 1]?.findOutcome(organisation, requestId)) ?? {
             kind: 'unknown',
           },
       }),
--- a/packages/run-call/src/call-runner.ts
+++ b/packages/run-call/src/call-runner.ts
@@ -7,10 +7,10 @@
 import type { TargetTable, TrackedTarget } from '@limelead/track-targets';
 import type { Clock, Millis, Random } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
-import CallRecords, { type RememberedCall } from './call-records.js';
+import CallOutcomeTable, { type RecordedOutcome } from './call-outcome-table.js';
 
 /** Targets tried for one call at most. */
-const MAX_TRIES = 3;
+const MAX_TARGETS_PER_CALL = 3;
 
 /** A checked call. */
 export interface CallRequest {
@@ -32,7 +32,7 @@
 }
 
 /** What the runner needs from its VM. */
-export interface CallDependencies {
+export interface CallRunnerDependencies {
   clock: Clock;
   random: Random;
   metrics: Metrics;
@@ -41,7 +41,7 @@
   connector: TargetConnector;
   claimer: CallClaimer;
   /** Asks the VM that holds a claim what became of the call; 'unknown' where it can't be asked. */
-  askHolder(holder: string, organisation: string, requestId: string): Promise<RememberedCall>;
+  queryHolder(holder: string, organisation: string, requestId: string): Promise<RecordedOutcome>;
 }
 
 /** Runs calls. */
@@ -49,27 +49,27 @@
   /** Rejects with a LimeleadError. */
   run(request: CallRequest): Promise<CallResult>;
   /** What became of a call that this VM has taken on; undefined where it has not. */
-  recall(organisation: string, requestId: string): Promise<RememberedCall> | undefined;
+  findOutcome(organisation: string, requestId: string): Promise<RecordedOutcome> | undefined;
 }
 
 /** Creates the runner of one VM. */
-export default function createCallRunner(dependencies: CallDependencies): CallRunner {
-  const records = new CallRecords(dependencies.clock);
+export default function createCallRunner(dependencies: CallRunnerDependencies): CallRunner {
+  const records = new CallOutcomeTable(dependencies.clock);
 
   return {
     run: (request) =>
       request.repeatable
         ? runRepeatable(dependencies, request)
-        : runOnce(dependencies, records, request),
-    recall: (organisation, requestId) => records.find(recordKey(organisation, requestId)),
+        : runAtMostOnce(dependencies, records, request),
+    findOutcome: (organisation, requestId) => records.find(toRecordKey(organisation, requestId)),
   };
 }
 
 async function runRepeatable(
-  dependencies: CallDependencies,
+  dependencies: CallRunnerDependencies,
   request: CallRequest,
 ): Promise<CallResult> {
-  const outcome = await tryTargets(dependencies, request, () => true);
+  const outcome = await sendWithRetries(dependencies, request, () => true);
   if (outcome.kind === 'answered') {
     return { answer: outcome.answer, replayed: false };
   }
@@ -78,25 +78,25 @@
     : new LimeleadError('no-target', 'the call broke on every target', { execution: 'unknown' });
 }
 
-async function runOnce(
-  dependencies: CallDependencies,
-  records: CallRecords,
+async function runAtMostOnce(
+  dependencies: CallRunnerDependencies,
+  records: CallOutcomeTable,
   request: CallRequest,
 ): Promise<CallResult> {
   const { organisation, requestId, notAfterMs } = request;
-  const key = recordKey(organisation, requestId);
+  const key = toRecordKey(organisation, requestId);
   const earlier = records.find(key);
   if (earlier !== undefined) {
-    return answerFrom(await earlier, true);
+    return toCallResult(await earlier, true);
   }
   // The record is made before the first await, so that a second try here finds it.
   const outcome = claimAndSend(dependencies, request);
   const remembered = outcome.then(
-    ({ remembered }) => remembered,
-    (): RememberedCall => ({ kind: 'not-sent' }),
+    ({ recorded }) => recorded,
+    (): RecordedOutcome => ({ kind: 'not-sent' }),
   );
   records.add(key, notAfterMs, remembered);
-  const { remembered: own, replayed } = await outcome.catch((thrown: unknown) => {
+  const { recorded: own, replayed } = await outcome.catch((thrown: unknown) => {
     records.forget(key);
     throw thrown;
   });
@@ -104,17 +104,17 @@
   if (own.kind === 'not-sent') {
     records.forget(key);
   }
-  return answerFrom(own, replayed);
+  return toCallResult(own, replayed);
 }
 
 interface ClaimedOutcome {
-  remembered: RememberedCall;
+  recorded: RecordedOutcome;
   replayed: boolean;
 }
 
 /** Rejects only where this VM has not sent the call and will not. */
 async function claimAndSend(
-  dependencies: CallDependencies,
+  dependencies: CallRunnerDependencies,
   request: CallRequest,
 ): Promise<ClaimedOutcome> {
   const { organisation, requestId } = request;
@@ -123,12 +123,12 @@
   dependencies.bus.publish(requestId, () => ({ kind: 'callClaimed', outcome: claimed.kind }));
   switch (claimed.kind) {
     case 'granted': {
-      const sent = await tryTargets(dependencies, request, (fault) => fault.sent === 'no');
-      return { remembered: sent, replayed: false };
+      const sent = await sendWithRetries(dependencies, request, (fault) => fault.sent === 'no');
+      return { recorded: sent, replayed: false };
     }
     case 'held-by-other': {
-      const remembered = await dependencies.askHolder(claimed.holder, organisation, requestId);
-      return { remembered, replayed: true };
+      const remembered = await dependencies.queryHolder(claimed.holder, organisation, requestId);
+      return { recorded: remembered, replayed: true };
     }
     case 'expired':
       throw new LimeleadError('call-expired', 'the call must no longer be started');
@@ -137,7 +137,7 @@
   }
 }
 
-function answerFrom(remembered: RememberedCall, replayed: boolean): CallResult {
+function toCallResult(remembered: RecordedOutcome, replayed: boolean): CallResult {
   switch (remembered.kind) {
     case 'answered':
       return { answer: remembered.answer, replayed };
@@ -149,19 +149,19 @@
 }
 
 /** Sends to one target after another while `mayGoOn` allows it. */
-async function tryTargets(
-  dependencies: CallDependencies,
+async function sendWithRetries(
+  dependencies: CallRunnerDependencies,
   request: CallRequest,
   mayGoOn: (fault: PortFault) => boolean,
-): Promise<RememberedCall> {
+): Promise<RecordedOutcome> {
   const { targets, clock } = dependencies;
   const tried: string[] = [];
-  let outcome: RememberedCall = { kind: 'not-sent' };
-  while (tried.length < MAX_TRIES) {
+  let outcome: RecordedOutcome = { kind: 'not-sent' };
+  while (tried.length < MAX_TARGETS_PER_CALL) {
     const usable = targets
       .listUsablePlain(request.service, clock.now())
       .filter((target) => !tried.includes(target.id));
-    const target = drawLeastBusy(usable, dependencies.random);
+    const target = chooseLeastLoaded(usable, dependencies.random);
     if (target === undefined) {
       break;
     }
@@ -181,7 +181,7 @@
 }
 
 async function sendTo(
-  dependencies: CallDependencies,
+  dependencies: CallRunnerDependencies,
   target: TrackedTarget,
   request: CallRequest,
 ): Promise<E.Either<PortFault, PlainAnswer>> {
@@ -201,7 +201,7 @@
   return sent;
 }
 
-function drawLeastBusy(targets: TrackedTarget[], random: Random): TrackedTarget | undefined {
+function chooseLeastLoaded(targets: TrackedTarget[], random: Random): TrackedTarget | undefined {
   const start = Math.floor(random.next() * targets.length);
   const rotated = [...targets.slice(start), ...targets.slice(0, start)];
   return rotated.reduce<TrackedTarget | undefined>(
@@ -210,6 +210,6 @@
   );
 }
 
-function recordKey(organisation: string, requestId: string): string {
+function toRecordKey(organisation: string, requestId: string): string {
   return JSON.stringify([organisation, requestId]);
 }
