--- a/packages/run-call/src/call-outcome-table.ts
+++ b/packages/run-call/src/call-outcome-table.ts
@@ -1,16 +1,16 @@
-/** What this VM knows of the calls that it was permitted to send. */
+/** Outcomes of the non-repeatable calls that this VM received. */
 import { LimeleadError } from '@limelead/errors';
 import type { PlainAnswer } from '@limelead/ports';
 import type { Clock, Millis } from '@limelead/types';
 
-/** Records kept at most; more are refused, because forgetting one early could run a call twice. */
+/** Further calls are refused, because evicting a record early could run its call twice. */
 const MAX_RECORDS = 20_000;
-/** Bytes of answers kept for retries; beyond it answers are forgotten, but not that they ran. */
+/** Limit on answer bodies retained for retries. Beyond it a call is recorded without its answer. */
 const MAX_RETAINED_BYTES = 32 * 1024 * 1024;
 const RETENTION_AFTER_DEADLINE_MS = 60_000;
 const SWEEP_INTERVAL_MS = 10_000;
 
-/** What a retry through another VM is told. */
+/** Recorded outcome of a call, also returned to VMs that receive a retry of it. */
 export type RecordedOutcome =
   { kind: 'answered'; answer: PlainAnswer } | { kind: 'not-sent' } | { kind: 'unknown' };
 
@@ -20,7 +20,7 @@
   bytes: number;
 }
 
-/** Records of one incarnation. */
+/** Call outcomes of one incarnation of a VM. */
 export default class CallOutcomeTable {
   private readonly records = new Map<string, CallRecord>();
   private retainedBytes = 0;
@@ -28,32 +28,35 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** The outcome of a call that this VM has taken on, once it is known. */
+  /** Returns the pending or known outcome of a call; undefined if this VM has no record of it. */
   find(call: string): Promise<RecordedOutcome> | undefined {
     return this.records.get(call)?.outcome;
   }
 
-  /** Takes a call on. Throws where there is no room for another record. */
+  /** Records a call before it is claimed. Throws a LimeleadError if the table is full. */
   add(call: string, notAfterMs: Millis, outcome: Promise<RecordedOutcome>): void {
     this.removeExpired();
     if (this.records.size >= MAX_RECORDS) {
-      throw new LimeleadError('overloaded', 'too many calls that are not repeatable');
+      throw new LimeleadError(
+        'overloaded',
+        'too many non-repeatable calls are recorded on this VM',
+      );
     }
     const record: CallRecord = { notAfterMs, outcome, bytes: 0 };
     this.records.set(call, record);
-    void outcome.then((remembered) => this.recordAnswerSize(call, record, remembered));
+    void outcome.then((recorded) => this.recordAnswerSize(call, record, recorded));
   }
 
-  /** Forgets a call that was never sent, so that the caller may try again here. */
+  /** Removes a call that was not sent, so that the caller can retry it here. */
   forget(call: string): void {
     this.records.delete(call);
   }
 
-  private recordAnswerSize(call: string, record: CallRecord, remembered: RecordedOutcome): void {
-    if (remembered.kind !== 'answered' || this.records.get(call) !== record) {
+  private recordAnswerSize(call: string, record: CallRecord, recorded: RecordedOutcome): void {
+    if (recorded.kind !== 'answered' || this.records.get(call) !== record) {
       return;
     }
-    const bytes = remembered.answer.body.length;
+    const bytes = recorded.answer.body.length;
     if (this.retainedBytes + bytes > MAX_RETAINED_BYTES) {
       record.outcome = Promise.resolve({ kind: 'unknown' });
       return;
--- a/packages/run-call/src/call-runner.test.ts
+++ b/packages/run-call/src/call-runner.test.ts
@@ -1,4 +1,4 @@
-/** The at-most-once promise over real sockets: several VMs' runners, one service that counts its runs. */
+/** A non-repeatable call must run at most once, across several VMs and over real sockets. */
 import { createCallClaimer } from '@limelead/claim-call';
 import { LimeleadError } from '@limelead/errors';
 import { createHttpTargetConnector, createHttpTransport } from '@limelead/http-adapters';
@@ -103,7 +103,7 @@
   return runner;
 }
 
-test('a retry through another VM gets the kept answer, and the call runs once', () =>
+test('a retry through another VM returns the recorded answer without a second run', () =>
   withSystem(async (system) => {
     const first = await runnerOf(system, 0).run(CALL);
     const second = await runnerOf(system, 1).run(CALL);
@@ -113,7 +113,7 @@
     assert.is(system.runs(), 1);
   }));
 
-test('two VMs that get the call at the same time run it once, and both have the answer', () =>
+test('concurrent retries through two VMs run the call once and return its answer', () =>
   withSystem(async (system) => {
     system.services.forEach((service) => service.takeMs(50));
     const both = await Promise.all([
@@ -128,7 +128,7 @@
     assert.is(system.runs(), 1);
   }));
 
-test('a lost reply is an unknown outcome, here and through any other VM; nothing runs again', () =>
+test('a call whose reply was lost has an unknown outcome on every VM and is not run again', () =>
   withSystem(async (system) => {
     system.services.forEach((service) => service.loseReplies(1));
     assert.is(await kindOf(runnerOf(system, 0).run(CALL)), 'outcome-unknown/unknown');
@@ -137,7 +137,7 @@
     assert.is(system.runs(), 1);
   }));
 
-test('a target that takes no connection never got the call, so another one may', () =>
+test('a call is retried at another target after a refused connection', () =>
   withSystem(async (system) => {
     await system.services[0]?.die();
     for (let index = 0; index < 6; index += 1) {
@@ -147,7 +147,7 @@
     }
   }));
 
-test('while the store is out the call is not run, and the caller may try again', () =>
+test('during a store outage the call is not run and can be retried later', () =>
   withSystem(async (system) => {
     system.faults.isOut = true;
     assert.is(await kindOf(runnerOf(system, 0).run(CALL)), 'store-unavailable/not-run');
@@ -157,7 +157,7 @@
     assert.is(system.runs(), 1);
   }));
 
-test('when every target is down the call is not run, and the claim does not block a retry', () =>
+test('with every target down the call is not run and its claim does not block a retry', () =>
   withSystem(async (system) => {
     await Promise.all(system.services.map((service) => service.die()));
     assert.is(await kindOf(runnerOf(system, 0).run(CALL)), 'no-target/not-run');
@@ -166,14 +166,14 @@
     assert.is(system.runs(), 1);
   }));
 
-test('past its last moment a call is refused as not run', () =>
+test('a call past its latest start time is refused as not run', () =>
   withSystem(async (system) => {
     const call = { ...CALL, notAfterMs: systemClock.now() - 1 };
     assert.is(await kindOf(runnerOf(system, 0).run(call)), 'call-expired/not-run');
     assert.is(system.runs(), 0);
   }));
 
-test('the naive runner, without a claim, runs a retried call twice', () =>
+test('without a claim a call retried through another VM runs twice', () =>
   withSystem(async (system) => {
     const call = { ...CALL, repeatable: true };
     await runnerOf(system, 0).run(call);
--- a/packages/run-call/src/call-runner.ts
+++ b/packages/run-call/src/call-runner.ts
@@ -9,10 +9,9 @@
 import * as E from 'fp-ts/lib/Either.js';
 import CallOutcomeTable, { type RecordedOutcome } from './call-outcome-table.js';
 
-/** Targets tried for one call at most. */
 const MAX_TARGETS_PER_CALL = 3;
 
-/** A checked call. */
+/** Validated call to a plain service. */
 export interface CallRequest {
   organisation: string;
   requestId: string;
@@ -24,14 +23,14 @@
   timeoutMs: number;
 }
 
-/** The answer of a call. */
+/** Answer of a call. */
 export interface CallResult {
   answer: PlainAnswer;
-  /** True where this is the kept answer of an earlier run. */
+  /** True if this is the recorded answer of an earlier run. */
   replayed: boolean;
 }
 
-/** What the runner needs from its VM. */
+/** Dependencies of a call runner. */
 export interface CallRunnerDependencies {
   clock: Clock;
   random: Random;
@@ -40,19 +39,19 @@
   targets: TargetTable;
   connector: TargetConnector;
   claimer: CallClaimer;
-  /** Asks the VM that holds a claim what became of the call; 'unknown' where it can't be asked. */
+  /** Queries the VM that holds a claim for the call's outcome; 'unknown' if the query fails. */
   queryHolder(holder: string, organisation: string, requestId: string): Promise<RecordedOutcome>;
 }
 
-/** Runs calls. */
+/** Runs calls to plain services; non-repeatable calls run at most once. */
 export interface CallRunner {
-  /** Rejects with a LimeleadError. */
+  /** Runs a call, or returns its recorded answer. Rejects with a LimeleadError. */
   run(request: CallRequest): Promise<CallResult>;
-  /** What became of a call that this VM has taken on; undefined where it has not. */
+  /** Finds the outcome of a call recorded on this VM; undefined if there is no record. */
   findOutcome(organisation: string, requestId: string): Promise<RecordedOutcome> | undefined;
 }
 
-/** Creates the runner of one VM. */
+/** Creates the call runner of one VM. */
 export default function createCallRunner(dependencies: CallRunnerDependencies): CallRunner {
   const records = new CallOutcomeTable(dependencies.clock);
 
@@ -74,8 +73,10 @@
     return { answer: outcome.answer, replayed: false };
   }
   throw outcome.kind === 'not-sent'
-    ? new LimeleadError('no-target', 'no target takes the call now')
-    : new LimeleadError('no-target', 'the call broke on every target', { execution: 'unknown' });
+    ? new LimeleadError('no-target', 'no target currently accepts the call')
+    : new LimeleadError('no-target', 'the call failed at every target that was attempted', {
+        execution: 'unknown',
+      });
 }
 
 async function runAtMostOnce(
@@ -89,18 +90,18 @@
   if (earlier !== undefined) {
     return toCallResult(await earlier, true);
   }
-  // The record is made before the first await, so that a second try here finds it.
+  // Recorded before the first await, so that a concurrent retry on this VM finds it.
   const outcome = claimAndSend(dependencies, request);
-  const remembered = outcome.then(
+  const recorded = outcome.then(
     ({ recorded }) => recorded,
     (): RecordedOutcome => ({ kind: 'not-sent' }),
   );
-  records.add(key, notAfterMs, remembered);
+  records.add(key, notAfterMs, recorded);
   const { recorded: own, replayed } = await outcome.catch((thrown: unknown) => {
     records.forget(key);
     throw thrown;
   });
-  // Only what was certainly not sent is forgotten: an unknown outcome has to stay one.
+  // A record is removed only if the call was certainly not sent; an unknown outcome must persist.
   if (own.kind === 'not-sent') {
     records.forget(key);
   }
@@ -112,7 +113,7 @@
   replayed: boolean;
 }
 
-/** Rejects only where this VM has not sent the call and will not. */
+/** Claims and sends a call. Rejects only if this VM did not send the call and will not. */
 async function claimAndSend(
   dependencies: CallRunnerDependencies,
   request: CallRequest,
@@ -127,45 +128,45 @@
       return { recorded: sent, replayed: false };
     }
     case 'held-by-other': {
-      const remembered = await dependencies.queryHolder(claimed.holder, organisation, requestId);
-      return { recorded: remembered, replayed: true };
+      const recorded = await dependencies.queryHolder(claimed.holder, organisation, requestId);
+      return { recorded, replayed: true };
     }
     case 'expired':
-      throw new LimeleadError('call-expired', 'the call must no longer be started');
+      throw new LimeleadError('call-expired', 'the latest start time of the call has passed');
     case 'unavailable':
-      throw new LimeleadError('store-unavailable', 'the call can not be claimed now');
+      throw new LimeleadError('store-unavailable', 'the call cannot be claimed at present');
   }
 }
 
-function toCallResult(remembered: RecordedOutcome, replayed: boolean): CallResult {
-  switch (remembered.kind) {
+function toCallResult(outcome: RecordedOutcome, replayed: boolean): CallResult {
+  switch (outcome.kind) {
     case 'answered':
-      return { answer: remembered.answer, replayed };
+      return { answer: outcome.answer, replayed };
     case 'not-sent':
-      throw new LimeleadError('no-target', 'no target takes the call now');
+      throw new LimeleadError('no-target', 'no target currently accepts the call');
     case 'unknown':
-      throw new LimeleadError('outcome-unknown', 'the call was sent and its answer is not known');
+      throw new LimeleadError('outcome-unknown', 'the call was sent and its outcome is unknown');
   }
 }
 
-/** Sends to one target after another while `mayGoOn` allows it. */
+/** Sends a call to up to MAX_TARGETS_PER_CALL targets in turn, as long as `canRetry` allows it. */
 async function sendWithRetries(
   dependencies: CallRunnerDependencies,
   request: CallRequest,
-  mayGoOn: (fault: PortFault) => boolean,
+  canRetry: (fault: PortFault) => boolean,
 ): Promise<RecordedOutcome> {
   const { targets, clock } = dependencies;
-  const tried: string[] = [];
+  const attempted: string[] = [];
   let outcome: RecordedOutcome = { kind: 'not-sent' };
-  while (tried.length < MAX_TARGETS_PER_CALL) {
+  while (attempted.length < MAX_TARGETS_PER_CALL) {
     const usable = targets
       .listUsablePlain(request.service, clock.now())
-      .filter((target) => !tried.includes(target.id));
+      .filter((target) => !attempted.includes(target.id));
     const target = chooseLeastLoaded(usable, dependencies.random);
     if (target === undefined) {
       break;
     }
-    tried.push(target.id);
+    attempted.push(target.id);
     const sent = await sendTo(dependencies, target, request);
     if (E.isRight(sent)) {
       return { kind: 'answered', answer: sent.right };
@@ -173,7 +174,7 @@
     if (sent.left.sent === 'maybe') {
       outcome = { kind: 'unknown' };
     }
-    if (!mayGoOn(sent.left)) {
+    if (!canRetry(sent.left)) {
       break;
     }
   }
--- a/packages/run-call/src/index.ts
+++ b/packages/run-call/src/index.ts
@@ -1,4 +1,4 @@
-/** Runs calls to plain services; those that are not repeatable only under a claim, and once. */
+/** Runs calls to plain services; non-repeatable calls run under a claim, at most once. */
 export { default as createCallRunner } from './call-runner.js';
 export type { CallRunnerDependencies, CallRequest, CallResult, CallRunner } from './call-runner.js';
 export type { RecordedOutcome } from './call-outcome-table.js';
