--- a/packages/claim-call/src/bucket.ts
+++ b/packages/claim-call/src/bucket.ts
@@ -11,9 +11,9 @@
  * Claims are kept this long after the last moment at which their call may be
  * started. It has to exceed the difference between any two VMs' clocks.
  */
-export const CLAIM_MARGIN_MS = 30_000;
+export const CLAIM_RETENTION_MS = 30_000;
 
-const KEY_BYTES = 16;
+const CLAIM_KEY_BYTES = 16;
 
 /** One claim: who alone may send the call, and until when it may be started. */
 export interface Claim {
@@ -32,15 +32,15 @@
 });
 
 /** The name under which a call is claimed. */
-export function claimKey(organisation: string, requestId: string): string {
+export function deriveClaimKey(organisation: string, requestId: string): string {
   const hash = createHash('sha256')
     .update(JSON.stringify([organisation, requestId]))
     .digest();
-  return hash.subarray(0, KEY_BYTES).toString('base64url');
+  return hash.subarray(0, CLAIM_KEY_BYTES).toString('base64url');
 }
 
 /** Key of the bucket that holds a call's claim. */
-export function bucketKey(call: string): string {
+export function deriveBucketKey(call: string): string {
   const index = Buffer.from(call, 'base64url').readUInt16BE(0) % BUCKET_COUNT;
   return `limelead/claims/${index}`;
 }
@@ -59,7 +59,7 @@
 }
 
 /** What a bucket becomes when some calls are claimed. */
-export interface BucketPlan {
+export interface BucketUpdate {
   bucket: Bucket;
   /** The holder of each wanted call, in the order of `wanted`. */
   holders: string[];
@@ -68,8 +68,8 @@
 }
 
 /** Pure decision: adds the wanted claims that nobody holds, and drops those that are long over. */
-export function planClaims(bucket: Bucket, wanted: Claim[], now: Millis): BucketPlan {
-  const kept = bucket.claims.filter((claim) => now <= claim.notAfterMs + CLAIM_MARGIN_MS);
+export function planClaims(bucket: Bucket, wanted: Claim[], now: Millis): BucketUpdate {
+  const kept = bucket.claims.filter((claim) => now <= claim.notAfterMs + CLAIM_RETENTION_MS);
   const holders = new Map(kept.map((claim) => [claim.call, claim.holder]));
   const added: Claim[] = [];
   for (const claim of wanted) {
--- a/packages/claim-call/src/call-claimer.test.ts
+++ b/packages/claim-call/src/call-claimer.test.ts
@@ -7,7 +7,7 @@
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { CLAIM_MARGIN_MS, planClaims } from './bucket.js';
+import { CLAIM_RETENTION_MS, planClaims } from './bucket.js';
 import { createCallClaimer, type ClaimOutcome } from './index.js';
 
 function createSystem(vms: number, faults?: StoreFaults) {
@@ -86,7 +86,7 @@
   const bucket = planClaims(
     { claims: [{ call: 'c', holder: 'vm-0', notAfterMs: 1_000 }] },
     [{ call: 'c', holder: 'vm-1', notAfterMs: 1_000 }],
-    1_000 + CLAIM_MARGIN_MS,
+    1_000 + CLAIM_RETENTION_MS,
   );
   assert.equal(bucket.holders, ['vm-0']);
 });
--- a/packages/claim-call/src/call-claimer.ts
+++ b/packages/claim-call/src/call-claimer.ts
@@ -3,10 +3,10 @@
 import type { KeyValueStore, StoredValue } from '@limelead/ports';
 import { delay, type Clock, type Millis, type Random, type Timers } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
-import { bucketKey, claimKey, decodeBucket, planClaims, type Claim } from './bucket.js';
+import { deriveBucketKey, deriveClaimKey, decodeBucket, planClaims, type Claim } from './bucket.js';
 
-const MAX_TRIES = 6;
-const FIRST_RETRY_DELAY_MS = 20;
+const MAX_WRITE_ATTEMPTS = 6;
+const INITIAL_RETRY_DELAY_MS = 20;
 
 /** What a call is known by. A retry has to carry the same. */
 export interface CallIdentity {
@@ -41,11 +41,11 @@
   pending: PendingClaim[];
   isFlushing: boolean;
   /** The value as last seen, so that most claims need no read. */
-  known?: StoredValue;
+  lastSeen?: StoredValue;
 }
 
 /** What a claimer needs. */
-export interface ClaimerDependencies {
+export interface CallClaimerDependencies {
   store: KeyValueStore;
   clock: Clock;
   timers: Timers;
@@ -55,7 +55,7 @@
 }
 
 /** Creates a claimer. */
-export default function createCallClaimer(dependencies: ClaimerDependencies): CallClaimer {
+export default function createCallClaimer(dependencies: CallClaimerDependencies): CallClaimer {
   const { store, clock, timers, random, incarnation } = dependencies;
   const queues = new Map<string, BucketQueue>();
 
@@ -63,8 +63,8 @@
     if (clock.now() > notAfterMs) {
       return Promise.resolve({ kind: 'expired' });
     }
-    const call = claimKey(organisation, requestId);
-    const key = bucketKey(call);
+    const call = deriveClaimKey(organisation, requestId);
+    const key = deriveBucketKey(call);
     const queue = queues.get(key) ?? { pending: [], isFlushing: false };
     queues.set(key, queue);
     return new Promise((resolve) => {
@@ -95,7 +95,7 @@
     batch: PendingClaim[],
   ): Promise<string[] | undefined> {
     const wanted = batch.map((pending) => pending.claim);
-    for (let tries = 0; tries < MAX_TRIES; tries += 1) {
+    for (let tries = 0; tries < MAX_WRITE_ATTEMPTS; tries += 1) {
       const outcome = await tryWrite(key, queue, wanted);
       if (E.isRight(outcome)) {
         if (outcome.right !== undefined) {
@@ -104,8 +104,8 @@
         continue;
       }
       // A lost reply may hide a write that took effect: read before the next try.
-      queue.known = undefined;
-      await delay(timers, FIRST_RETRY_DELAY_MS * 2 ** tries * (0.5 + random.next() / 2));
+      queue.lastSeen = undefined;
+      await delay(timers, INITIAL_RETRY_DELAY_MS * 2 ** tries * (0.5 + random.next() / 2));
     }
     return undefined;
   }
@@ -116,7 +116,7 @@
     wanted: Claim[],
   ): Promise<E.Either<PortFault, string[] | undefined>> {
     const stored: E.Either<PortFault, StoredValue> =
-      queue.known === undefined ? await store.get(key)() : E.right(queue.known);
+      queue.lastSeen === undefined ? await store.get(key)() : E.right(queue.lastSeen);
     if (E.isLeft(stored)) {
       return stored;
     }
@@ -126,7 +126,7 @@
     }
     const plan = planClaims(bucket, wanted, clock.now());
     if (!plan.isChanged) {
-      queue.known = stored.right;
+      queue.lastSeen = stored.right;
       return E.right(plan.holders);
     }
     const value = JSON.stringify(plan.bucket);
@@ -135,10 +135,10 @@
       return swapped;
     }
     if (swapped.right.kind === 'mismatch') {
-      queue.known = swapped.right.current;
+      queue.lastSeen = swapped.right.current;
       return E.right(undefined);
     }
-    queue.known = { version: swapped.right.version, value };
+    queue.lastSeen = { version: swapped.right.version, value };
     return E.right(plan.holders);
   }
 
