--- a/packages/claim-call/src/bucket.ts
+++ b/packages/claim-call/src/bucket.ts
@@ -1,28 +1,28 @@
-/** Buckets of claims, as plain data. */
+/** Buckets of claims as stored in the key-value store. */
 import type { Millis } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
 import * as t from 'io-ts';
 import { createHash } from 'node:crypto';
 
-/** Buckets over which claims are spread; each is one value of the platform's service. */
+/** Number of buckets that claims are distributed over; each bucket is one value in the store. */
 export const BUCKET_COUNT = 16;
 
 /**
- * Claims are kept this long after the last moment at which their call may be
- * started. It has to exceed the difference between any two VMs' clocks.
+ * How long claims are retained after the latest start time of their call.
+ * Must exceed the clock skew between any two VMs.
  */
 export const CLAIM_RETENTION_MS = 30_000;
 
 const CLAIM_KEY_BYTES = 16;
 
-/** One claim: who alone may send the call, and until when it may be started. */
+/** Exclusive right of one holder to send a call until its latest start time. */
 export interface Claim {
   call: string;
   holder: string;
   notAfterMs: Millis;
 }
 
-/** The value of one bucket. */
+/** Stored value of one bucket. */
 export interface Bucket {
   claims: Claim[];
 }
@@ -31,7 +31,7 @@
   claims: t.array(t.type({ call: t.string, holder: t.string, notAfterMs: t.number })),
 });
 
-/** The name under which a call is claimed. */
+/** Derives the key that identifies a call in its claim. */
 export function deriveClaimKey(organisation: string, requestId: string): string {
   const hash = createHash('sha256')
     .update(JSON.stringify([organisation, requestId]))
@@ -39,13 +39,13 @@
   return hash.subarray(0, CLAIM_KEY_BYTES).toString('base64url');
 }
 
-/** Key of the bucket that holds a call's claim. */
+/** Derives the store key of the bucket that holds a call's claim. */
 export function deriveBucketKey(call: string): string {
   const index = Buffer.from(call, 'base64url').readUInt16BE(0) % BUCKET_COUNT;
   return `limelead/claims/${index}`;
 }
 
-/** Reads a bucket; undefined where the value does not hold. */
+/** Decodes a bucket; undefined if the value is malformed. */
 export function decodeBucket(value: string): Bucket | undefined {
   if (value === '') {
     return { claims: [] };
@@ -58,16 +58,16 @@
   }
 }
 
-/** What a bucket becomes when some calls are claimed. */
+/** Result of claiming calls in a bucket. */
 export interface BucketUpdate {
   bucket: Bucket;
-  /** The holder of each wanted call, in the order of `wanted`. */
+  /** Holder of each wanted call, in the order of `wanted`. */
   holders: string[];
-  /** False where every wanted call was already held. */
+  /** False if every wanted call was already claimed. */
   isChanged: boolean;
 }
 
-/** Pure decision: adds the wanted claims that nobody holds, and drops those that are long over. */
+/** Adds the wanted claims of calls without a holder, and removes expired claims. Pure. */
 export function planClaims(bucket: Bucket, wanted: Claim[], now: Millis): BucketUpdate {
   const kept = bucket.claims.filter((claim) => now <= claim.notAfterMs + CLAIM_RETENTION_MS);
   const holders = new Map(kept.map((claim) => [claim.call, claim.holder]));
--- a/packages/claim-call/src/call-claimer.test.ts
+++ b/packages/claim-call/src/call-claimer.test.ts
@@ -32,7 +32,7 @@
   return { time, state, claim, notAfterMs };
 }
 
-test('of all VMs that claim a call at the same time, one is permitted', async () => {
+test('exactly one of several concurrent claims of a call is granted', async () => {
   const { time, claim } = createSystem(7);
   const claims = Array.from({ length: 7 }, (_, vm) => claim(vm, 'booking-1'));
   await time.advance(1_000);
@@ -41,7 +41,7 @@
   assert.is(outcomes.filter(({ kind }) => kind === 'held-by-other').length, 6);
 });
 
-test('a claim whose reply was lost is found again, and still only one is permitted', async () => {
+test('a claim whose reply was lost is read back and granted to its holder only', async () => {
   let losses = 1;
   const faults: StoreFaults = { isOut: false, onSwap: () => (losses-- > 0 ? 'reply-lost' : 'ok') };
   const { time, claim } = createSystem(2, faults);
@@ -53,14 +53,14 @@
   assert.equal(await second, { kind: 'held-by-other', holder: 'vm-0' });
 });
 
-test('while the service is out nothing is permitted, and the caller is told soon', async () => {
+test('during a store outage a claim soon ends as unavailable', async () => {
   const { time, claim } = createSystem(1, { isOut: true, onSwap: () => 'ok' });
   const claimed = claim(0, 'booking-1');
   await time.advance(5_000);
   assert.is((await claimed).kind, 'unavailable');
 });
 
-test('a VM that is paused past the last moment is not permitted when it wakes', async () => {
+test('a claim is not granted to a VM that was paused past the latest start time', async () => {
   let wasPaused = false;
   const faults: StoreFaults = {
     isOut: false,
@@ -78,7 +78,7 @@
   assert.is((await claimed).kind, 'expired');
 });
 
-test('a claim is kept beyond its last moment, for clocks that differ', async () => {
+test('a claim is retained past its latest start time to allow for clock skew', async () => {
   const { time, claim } = createSystem(2);
   const first = claim(0, 'booking-1');
   await time.advance(100);
@@ -91,7 +91,7 @@
   assert.equal(bucket.holders, ['vm-0']);
 });
 
-test('claims that come together share a write', async () => {
+test('concurrent claims of one bucket share a write', async () => {
   const { time, claim, state } = createSystem(1);
   const claims = Array.from({ length: 200 }, (_, index) => claim(0, `booking-${index}`));
   await time.advance(1_000);
@@ -101,10 +101,10 @@
     { length: 16 },
     (_, bucket) => state.get(`limelead/claims/${bucket}`).version,
   );
-  assert.is(Math.max(...writes), 16, 'sixteen buckets took sixteen writes');
+  assert.is(Math.max(...writes), 16, 'sixteen buckets take one write each');
 });
 
-test('differential: against a plain map, under lost replies and outages', async () => {
+test('random lost replies and failed writes never grant a call to two VMs', async () => {
   const step = fc.record({
     vm: fc.nat(2),
     call: fc.nat(5),
@@ -121,11 +121,11 @@
         outcome: await claim(vm, `booking-${call}`),
       }));
       await time.advance(10_000);
-      const permitted = new Map<number, number>();
+      const granted = new Map<number, number>();
       for (const { vm, call, outcome } of await Promise.all(claims)) {
         if (outcome.kind === 'granted') {
-          assert.is(permitted.get(call) ?? vm, vm, 'a second VM was permitted');
-          permitted.set(call, vm);
+          assert.is(granted.get(call) ?? vm, vm, 'the call was granted to a second VM');
+          granted.set(call, vm);
         }
       }
     }),
--- a/packages/claim-call/src/call-claimer.ts
+++ b/packages/claim-call/src/call-claimer.ts
@@ -1,4 +1,4 @@
-/** Claims calls in the platform's service; claims of one bucket that come together share a write. */
+/** Claims calls in the key-value store. Concurrent claims of one bucket share a write. */
 import { PortFault } from '@limelead/errors';
 import type { KeyValueStore, StoredValue } from '@limelead/ports';
 import { delay, type Clock, type Millis, type Random, type Timers } from '@limelead/types';
@@ -8,7 +8,7 @@
 const MAX_WRITE_ATTEMPTS = 6;
 const INITIAL_RETRY_DELAY_MS = 20;
 
-/** What a call is known by. A retry has to carry the same. */
+/** Identity of a call; the same for all its retries. */
 export interface CallIdentity {
   organisation: string;
   requestId: string;
@@ -16,18 +16,18 @@
   notAfterMs: Millis;
 }
 
-/** What became of a claim. */
+/** Outcome of a claim. */
 export type ClaimOutcome =
-  /** This process alone may send the call. */
+  /** This process has the exclusive right to send the call. */
   | { kind: 'granted' }
-  /** Another process alone may send it. */
+  /** Another process has the exclusive right to send it. */
   | { kind: 'held-by-other'; holder: string }
-  /** The call must no longer be started. */
+  /** The latest start time of the call has passed. */
   | { kind: 'expired' }
-  /** The service does not answer; the call must not be sent now. */
+  /** The claim could not be written; the call must not be sent now. */
   | { kind: 'unavailable' };
 
-/** Claims calls for one incarnation of one VM. */
+/** Claims calls for one incarnation of a VM. */
 export interface CallClaimer {
   claim(identity: CallIdentity): Promise<ClaimOutcome>;
 }
@@ -40,21 +40,21 @@
 interface BucketQueue {
   pending: PendingClaim[];
   isFlushing: boolean;
-  /** The value as last seen, so that most claims need no read. */
+  /** Value as last read or written, so that most claims need no read. */
   lastSeen?: StoredValue;
 }
 
-/** What a claimer needs. */
+/** Dependencies of a call claimer. */
 export interface CallClaimerDependencies {
   store: KeyValueStore;
   clock: Clock;
   timers: Timers;
   random: Random;
-  /** Unique to this start of this VM's process. */
+  /** Id of this run of the VM's process. */
   incarnation: string;
 }
 
-/** Creates a claimer. */
+/** Creates a call claimer. */
 export default function createCallClaimer(dependencies: CallClaimerDependencies): CallClaimer {
   const { store, clock, timers, random, incarnation } = dependencies;
   const queues = new Map<string, BucketQueue>();
@@ -77,40 +77,42 @@
 
   async function flush(key: string, queue: BucketQueue): Promise<void> {
     queue.isFlushing = true;
-    // One turn of the loop lets claims that arrive together share the write.
+    // Deferred by one event loop iteration, so that concurrent claims share the write.
     await new Promise((resolve) => setImmediate(resolve));
     while (queue.pending.length > 0) {
       const batch = queue.pending;
       queue.pending = [];
       const holders = await writeBatch(key, queue, batch);
-      batch.forEach(({ claim, resolve }, index) => resolve(judge(claim, holders?.[index])));
+      batch.forEach(({ claim, resolve }, index) =>
+        resolve(determineOutcome(claim, holders?.[index])),
+      );
     }
     queue.isFlushing = false;
   }
 
-  /** Gives the holder of each claim, or undefined where the service does not answer. */
+  /** Returns the holder of each claim, or undefined if all attempts to write failed. */
   async function writeBatch(
     key: string,
     queue: BucketQueue,
     batch: PendingClaim[],
   ): Promise<string[] | undefined> {
     const wanted = batch.map((pending) => pending.claim);
-    for (let tries = 0; tries < MAX_WRITE_ATTEMPTS; tries += 1) {
-      const outcome = await tryWrite(key, queue, wanted);
+    for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt += 1) {
+      const outcome = await attemptWrite(key, queue, wanted);
       if (E.isRight(outcome)) {
         if (outcome.right !== undefined) {
           return outcome.right;
         }
         continue;
       }
-      // A lost reply may hide a write that took effect: read before the next try.
+      // A write whose reply was lost may have taken effect, so the next attempt reads first.
       queue.lastSeen = undefined;
-      await delay(timers, INITIAL_RETRY_DELAY_MS * 2 ** tries * (0.5 + random.next() / 2));
+      await delay(timers, INITIAL_RETRY_DELAY_MS * 2 ** attempt * (0.5 + random.next() / 2));
     }
     return undefined;
   }
 
-  async function tryWrite(
+  async function attemptWrite(
     key: string,
     queue: BucketQueue,
     wanted: Claim[],
@@ -122,14 +124,14 @@
     }
     const bucket = decodeBucket(stored.right.value);
     if (bucket === undefined) {
-      return E.left(new PortFault('invalid', 'no', `the claims in ${key} do not hold`));
+      return E.left(new PortFault('invalid', 'no', `the claims in ${key} are malformed`));
     }
-    const plan = planClaims(bucket, wanted, clock.now());
-    if (!plan.isChanged) {
+    const update = planClaims(bucket, wanted, clock.now());
+    if (!update.isChanged) {
       queue.lastSeen = stored.right;
-      return E.right(plan.holders);
+      return E.right(update.holders);
     }
-    const value = JSON.stringify(plan.bucket);
+    const value = JSON.stringify(update.bucket);
     const swapped = await store.compareAndSwap(key, stored.right.version, value)();
     if (E.isLeft(swapped)) {
       return swapped;
@@ -139,17 +141,17 @@
       return E.right(undefined);
     }
     queue.lastSeen = { version: swapped.right.version, value };
-    return E.right(plan.holders);
+    return E.right(update.holders);
   }
 
-  function judge(claim: Claim, holder: string | undefined): ClaimOutcome {
+  function determineOutcome(claim: Claim, holder: string | undefined): ClaimOutcome {
     if (holder === undefined) {
       return { kind: 'unavailable' };
     }
     if (holder !== incarnation) {
       return { kind: 'held-by-other', holder };
     }
-    // Checked after the write: a claim that was dropped as long over may have been made again.
+    // Checked after the write, because an expired claim may have been removed and claimed again.
     return clock.now() > claim.notAfterMs ? { kind: 'expired' } : { kind: 'granted' };
   }
 
--- a/packages/claim-call/src/index.ts
+++ b/packages/claim-call/src/index.ts
@@ -1,3 +1,3 @@
-/** Permanent claims by compare-and-swap, so that a call that is not repeatable runs at most once. */
+/** Permanent claims by compare-and-swap, so that a non-repeatable call runs at most once. */
 export { default as createCallClaimer } from './call-claimer.js';
 export type { CallClaimer, ClaimOutcome, CallIdentity } from './call-claimer.js';
