--- a/packages/assemble-recovery-plan/src/index.test.ts
+++ b/packages/assemble-recovery-plan/src/index.test.ts
@@ -4,10 +4,10 @@
 import assembleRecoveryPlan, {
   computeRetryDelayMs,
   MAX_BREAKS,
-  type BreakSituation,
+  type RecoveryContext,
 } from './index.js';
 
-const situation: BreakSituation = {
+const situation: RecoveryContext = {
   cause: 'link-broken',
   deliveredTokens: 10,
   promptTokens: 100,
@@ -17,7 +17,7 @@
   breakCount: 1,
 };
 
-const situations = fc.record<BreakSituation>({
+const situations = fc.record<RecoveryContext>({
   cause: fc.constantFrom(
     'silence',
     'link-broken',
@@ -72,7 +72,7 @@
 });
 
 test('a target that says it runs is believed only so often', () => {
-  const silent: BreakSituation = { ...situation, cause: 'silence', probe: 'running' };
+  const silent: RecoveryContext = { ...situation, cause: 'silence', probe: 'running' };
   assert.is(assembleRecoveryPlan(silent).strategy, 'wait');
   assert.is(assembleRecoveryPlan({ ...silent, consecutiveWaits: 3 }).strategy, 'recompute');
 });
--- a/packages/assemble-recovery-plan/src/index.ts
+++ b/packages/assemble-recovery-plan/src/index.ts
@@ -12,7 +12,7 @@
 const MAX_RETRY_DELAY_MS = 1000;
 
 /** What is known when a stream broke or fell silent. */
-export interface BreakSituation {
+export interface RecoveryContext {
   cause: BreakCause;
   /** Tokens the caller already has. */
   deliveredTokens: number;
@@ -44,7 +44,7 @@
   | { strategy: 'fail'; reason: string };
 
 /** Assembles the plan for a break, cheapest way first. */
-export default function assembleRecoveryPlan(situation: BreakSituation): RecoveryPlan {
+export default function assembleRecoveryPlan(situation: RecoveryContext): RecoveryPlan {
   if (situation.breakCount > MAX_BREAKS) {
     return { strategy: 'fail', reason: `broke ${situation.breakCount} times` };
   }
@@ -67,7 +67,7 @@
   return Math.min(doubled, MAX_RETRY_DELAY_MS);
 }
 
-function planForSilence(situation: BreakSituation): RecoveryPlan {
+function planForSilence(situation: RecoveryContext): RecoveryPlan {
   const { policy, probe } = situation;
   if (policy.probeFirst && probe === undefined) {
     return { strategy: 'probe', reason: 'silent; asking is cheaper than recomputing' };
@@ -79,7 +79,7 @@
 }
 
 function planOnNewTarget(
-  situation: BreakSituation,
+  situation: RecoveryContext,
   keepOld: boolean,
   reason: string,
 ): RecoveryPlan {
