--- a/packages/assemble-recovery-plan/src/index.test.ts
+++ b/packages/assemble-recovery-plan/src/index.test.ts
@@ -7,7 +7,7 @@
   type RecoveryContext,
 } from './index.js';
 
-const situation: RecoveryContext = {
+const brokenStream: RecoveryContext = {
   cause: 'link-broken',
   deliveredTokens: 10,
   promptTokens: 100,
@@ -17,7 +17,7 @@
   breakCount: 1,
 };
 
-const situations = fc.record<RecoveryContext>({
+const contexts = fc.record<RecoveryContext>({
   cause: fc.constantFrom(
     'silence',
     'link-broken',
@@ -41,44 +41,46 @@
   breakCount: fc.nat(20),
 });
 
-test('attaching comes first where the engine may live, because it computes nothing again', () => {
-  assert.is(assembleRecoveryPlan(situation).strategy, 'attach');
-  assert.is(assembleRecoveryPlan({ ...situation, cause: 'refused' }).strategy, 'recompute');
+test('attaching is preferred if the engine may still run the generation', () => {
+  assert.is(assembleRecoveryPlan(brokenStream).strategy, 'attach');
+  assert.is(assembleRecoveryPlan({ ...brokenStream, cause: 'refused' }).strategy, 'recompute');
 });
 
-test('a restart is planned exactly where nothing was delivered', () => {
+test('a restart is planned only if nothing was delivered, a recomputation only otherwise', () => {
   fc.assert(
-    fc.property(situations, (drawn) => {
-      const { strategy } = assembleRecoveryPlan(drawn);
-      assert.not(strategy === 'restart' && drawn.deliveredTokens > 0);
-      assert.not(strategy === 'recompute' && drawn.deliveredTokens === 0);
+    fc.property(contexts, (context) => {
+      const { strategy } = assembleRecoveryPlan(context);
+      assert.not(strategy === 'restart' && context.deliveredTokens > 0);
+      assert.not(strategy === 'recompute' && context.deliveredTokens === 0);
     }),
     { seed: 1 },
   );
 });
 
-test('attaching is never planned twice without a token in between', () => {
+test('attaching is not planned again before another token is delivered', () => {
   fc.assert(
-    fc.property(situations, (drawn) => {
-      assert.is.not(assembleRecoveryPlan({ ...drawn, attachAttempted: true }).strategy, 'attach');
+    fc.property(contexts, (context) => {
+      assert.is.not(assembleRecoveryPlan({ ...context, attachAttempted: true }).strategy, 'attach');
     }),
     { seed: 2 },
   );
 });
 
-test('every generation is given up at some time', () => {
-  const plan = assembleRecoveryPlan({ ...situation, breakCount: MAX_BREAKS + 1 });
+test('a generation fails after too many breaks', () => {
+  const plan = assembleRecoveryPlan({ ...brokenStream, breakCount: MAX_BREAKS + 1 });
   assert.is(plan.strategy, 'fail');
 });
 
-test('a target that says it runs is believed only so often', () => {
-  const silent: RecoveryContext = { ...situation, cause: 'silence', probe: 'running' };
+test('the waits for a silent target that reports running are limited', () => {
+  const silent: RecoveryContext = { ...brokenStream, cause: 'silence', probe: 'running' };
   assert.is(assembleRecoveryPlan(silent).strategy, 'wait');
   assert.is(assembleRecoveryPlan({ ...silent, consecutiveWaits: 3 }).strategy, 'recompute');
 });
 
-test('the delay between tries grows and stays bounded', () => {
-  const delays = Array.from({ length: 20 }, (_, tries) => computeRetryDelayMs(tries));
+test('the retry delay grows up to its maximum', () => {
+  const delays = Array.from({ length: 20 }, (_, failedSelections) =>
+    computeRetryDelayMs(failedSelections),
+  );
   assert.equal(
     delays,
     [...delays].sort((a, b) => a - b),
--- a/packages/assemble-recovery-plan/src/index.ts
+++ b/packages/assemble-recovery-plan/src/index.ts
@@ -1,98 +1,98 @@
-/** Pure decision: how a broken or silent stream is continued. */
+/** Plans how to continue a broken or silent stream. Pure. */
 import type { BreakCause, RecoveryPolicy } from '@limelead/types';
 
-/** Breaks of one generation after which it is given up. */
+/** Number of breaks after which a generation fails. */
 export const MAX_BREAKS = 16;
 
-/** A target that says it runs, but sends nothing, is believed this often. */
+/** Longest series of waits for a target that sends nothing although its probe reports running. */
 const MAX_CONSECUTIVE_WAITS = 3;
 
-/** First delay before another try at finding a target, in milliseconds; doubles with each. */
+/** Delay before the first retry of a target selection; doubles with each retry. */
 const INITIAL_RETRY_DELAY_MS = 50;
 const MAX_RETRY_DELAY_MS = 1000;
 
-/** What is known when a stream broke or fell silent. */
+/** State of a generation when its stream broke or fell silent. */
 export interface RecoveryContext {
   cause: BreakCause;
-  /** Tokens the caller already has. */
+  /** Tokens already delivered to the caller. */
   deliveredTokens: number;
-  /** Prompt tokens that a recomputation has to process again, as far as known. */
+  /** Prompt tokens to process again in a recomputation; 0 if unknown. */
   promptTokens: number;
   policy: RecoveryPolicy;
-  /** True where attaching again was already tried since the last token. */
+  /** True if an attach was already attempted since the last token. */
   attachAttempted: boolean;
-  /** What a probe of the silent target said, where one was made. */
+  /** Result of probing the silent target; undefined before the probe. */
   probe?: 'running' | 'not-running';
-  /** Silences already sat out on the target's word. */
+  /** Silence timeouts already extended since the last token. */
   consecutiveWaits: number;
-  /** Breaks of this generation so far, this one included. */
+  /** Breaks of this generation, including the present one. */
   breakCount: number;
 }
 
-/** A plan for one break, as plain data. */
+/** Plan for one break or silence. */
 export type RecoveryPlan =
-  /** Ask the silent target whether the generation still runs. */
+  /** Probe whether the generation still runs at the silent target. */
   | { strategy: 'probe'; reason: string }
-  /** Leave everything as it is for another silence bound. */
+  /** Wait for another silence timeout. */
   | { strategy: 'wait'; reason: string }
-  /** Read the running generation again from the same target; nothing is computed again. */
+  /** Attach to the running generation at the same target; nothing is recomputed. */
   | { strategy: 'attach'; reason: string; repeatedTokens: 0 }
-  /** Another target continues behind the delivered tokens. */
+  /** Continue after the delivered tokens at another target. */
   | { strategy: 'recompute'; reason: string; keepSilentAttempt: boolean; repeatedTokens: number }
-  /** Nothing was delivered: begin anew with another seed. */
+  /** Restart with another seed, because nothing was delivered. */
   | { strategy: 'restart'; reason: string; keepSilentAttempt: boolean; repeatedTokens: number }
   | { strategy: 'fail'; reason: string };
 
-/** Assembles the plan for a break, cheapest way first. */
-export default function assembleRecoveryPlan(situation: RecoveryContext): RecoveryPlan {
-  if (situation.breakCount > MAX_BREAKS) {
-    return { strategy: 'fail', reason: `broke ${situation.breakCount} times` };
+/** Plans the cheapest applicable recovery. */
+export default function assembleRecoveryPlan(context: RecoveryContext): RecoveryPlan {
+  if (context.breakCount > MAX_BREAKS) {
+    return { strategy: 'fail', reason: `broke ${context.breakCount} times` };
   }
-  if (situation.cause === 'silence') {
-    return planForSilence(situation);
+  if (context.cause === 'silence') {
+    return planForSilence(context);
   }
-  if (canStillBeRunning(situation.cause) && !situation.attachAttempted) {
+  if (canStillBeRunning(context.cause) && !context.attachAttempted) {
     return {
       strategy: 'attach',
       reason: 'the engine may still run the generation',
       repeatedTokens: 0,
     };
   }
-  return planOnNewTarget(situation, false, describeTargetLoss(situation.cause));
+  return planOnNewTarget(context, false, describeTargetLoss(context.cause));
 }
 
-/** Milliseconds until the next try at finding a target, before jitter. */
-export function computeRetryDelayMs(failedTries: number): number {
-  const doubled = INITIAL_RETRY_DELAY_MS * 2 ** Math.min(failedTries, 10);
+/** Returns the delay before the next target selection, without jitter. */
+export function computeRetryDelayMs(failedSelections: number): number {
+  const doubled = INITIAL_RETRY_DELAY_MS * 2 ** Math.min(failedSelections, 10);
   return Math.min(doubled, MAX_RETRY_DELAY_MS);
 }
 
-function planForSilence(situation: RecoveryContext): RecoveryPlan {
-  const { policy, probe } = situation;
+function planForSilence(context: RecoveryContext): RecoveryPlan {
+  const { policy, probe } = context;
   if (policy.probeFirst && probe === undefined) {
     return { strategy: 'probe', reason: 'silent; asking is cheaper than recomputing' };
   }
-  if (probe === 'running' && situation.consecutiveWaits < MAX_CONSECUTIVE_WAITS) {
+  if (probe === 'running' && context.consecutiveWaits < MAX_CONSECUTIVE_WAITS) {
     return { strategy: 'wait', reason: 'silent, but the target says that it still runs' };
   }
-  return planOnNewTarget(situation, policy.hedge, 'silent for longer than its gaps explain');
+  return planOnNewTarget(context, policy.hedge, 'silent for longer than its gaps explain');
 }
 
 function planOnNewTarget(
-  situation: RecoveryContext,
-  keepOld: boolean,
+  context: RecoveryContext,
+  keepSilentAttempt: boolean,
   reason: string,
 ): RecoveryPlan {
-  if (situation.deliveredTokens === 0) {
+  if (context.deliveredTokens === 0) {
     return {
       strategy: 'restart',
       reason,
-      keepSilentAttempt: keepOld,
-      repeatedTokens: situation.promptTokens,
+      keepSilentAttempt,
+      repeatedTokens: context.promptTokens,
     };
   }
-  const repeatedTokens = situation.promptTokens + situation.deliveredTokens;
-  return { strategy: 'recompute', reason, keepSilentAttempt: keepOld, repeatedTokens };
+  const repeatedTokens = context.promptTokens + context.deliveredTokens;
+  return { strategy: 'recompute', reason, keepSilentAttempt, repeatedTokens };
 }
 
 function canStillBeRunning(cause: BreakCause): boolean {
