--- a/packages/pace-recoveries/src/index.test.ts
+++ b/packages/pace-recoveries/src/index.test.ts
@@ -11,7 +11,7 @@
     order.push(rank);
     release();
   });
-  assert.is(pacer.waiting(), 3);
+  assert.is(pacer.countWaiting(), 3);
   first();
   first();
   await Promise.all(others);
@@ -26,7 +26,7 @@
   places = 2;
   release();
   await both;
-  assert.is(pacer.waiting(), 0);
+  assert.is(pacer.countWaiting(), 0);
 });
 
 test.run();
--- a/packages/pace-recoveries/src/index.ts
+++ b/packages/pace-recoveries/src/index.ts
@@ -5,36 +5,36 @@
  */
 
 /** Gives a place back; calling it again does nothing. */
-export type ReleasePlace = () => void;
+export type ReleaseSlot = () => void;
 
 /** Hands out places. */
 export interface RecoveryPacer {
   /** Resolves with a place; lower ranks first, then in the order of asking. */
-  acquire(rank: number): Promise<ReleasePlace>;
+  acquire(rank: number): Promise<ReleaseSlot>;
   /** Recoveries that wait for a place. */
-  waiting(): number;
+  countWaiting(): number;
 }
 
-interface Waiting {
+interface WaitingRecovery {
   rank: number;
-  grant: () => void;
+  grantSlot: () => void;
 }
 
 /** Creates a pacer; `places` is read anew each time, because targets come and go. */
 export default function createRecoveryPacer(places: () => number): RecoveryPacer {
   let taken = 0;
-  let queue: Waiting[] = [];
+  let queue: WaitingRecovery[] = [];
 
   function grantNext(): void {
     while (queue.length > 0 && taken < places()) {
       const next = queue.reduce((best, waiting) => (waiting.rank < best.rank ? waiting : best));
       queue = queue.filter((waiting) => waiting !== next);
       taken += 1;
-      next.grant();
+      next.grantSlot();
     }
   }
 
-  function createRelease(): ReleasePlace {
+  function createRelease(): ReleaseSlot {
     let isReleased = false;
     return () => {
       if (!isReleased) {
@@ -48,10 +48,10 @@
   return {
     acquire(rank) {
       return new Promise((resolve) => {
-        queue.push({ rank, grant: () => resolve(createRelease()) });
+        queue.push({ rank, grantSlot: () => resolve(createRelease()) });
         grantNext();
       });
     },
-    waiting: () => queue.length,
+    countWaiting: () => queue.length,
   };
 }
