--- a/packages/pace-recoveries/src/index.test.ts
+++ b/packages/pace-recoveries/src/index.test.ts
@@ -2,7 +2,7 @@
 import * as assert from 'uvu/assert';
 import createRecoveryPacer from './index.js';
 
-test('the most urgent goes first, and no more than the places begin', async () => {
+test('slots are limited and granted to the most urgent recovery first', async () => {
   const pacer = createRecoveryPacer(() => 1);
   const order: number[] = [];
   const first = await pacer.acquire(3);
@@ -18,12 +18,12 @@
   assert.equal(order, [0, 1, 2]);
 });
 
-test('places that come later are handed out with the next release', async () => {
-  let places = 1;
-  const pacer = createRecoveryPacer(() => places);
+test('slots added later are granted at the next release', async () => {
+  let slotCount = 1;
+  const pacer = createRecoveryPacer(() => slotCount);
   const release = await pacer.acquire(0);
   const both = Promise.all([pacer.acquire(0), pacer.acquire(0)]);
-  places = 2;
+  slotCount = 2;
   release();
   await both;
   assert.is(pacer.countWaiting(), 0);
--- a/packages/pace-recoveries/src/index.ts
+++ b/packages/pace-recoveries/src/index.ts
@@ -1,17 +1,16 @@
 /**
- * Lets only so many recoveries begin at a time, the most urgent first. After
- * the loss of a failure domain every survivor would otherwise get all the
- * broken streams at once, and the urgent ones would wait behind the rest.
+ * Limits the number of concurrent recoveries, the most urgent first. Otherwise the loss of
+ * a failure domain would send all its broken streams to the remaining targets at once.
  */
 
-/** Gives a place back; calling it again does nothing. */
+/** Releases a slot. Further calls have no effect. */
 export type ReleaseSlot = () => void;
 
-/** Hands out places. */
+/** Grants recovery slots. */
 export interface RecoveryPacer {
-  /** Resolves with a place; lower ranks first, then in the order of asking. */
+  /** Waits for a slot; lower ranks first, then in order of arrival. */
   acquire(rank: number): Promise<ReleaseSlot>;
-  /** Recoveries that wait for a place. */
+  /** Number of recoveries that wait for a slot. */
   countWaiting(): number;
 }
 
@@ -20,16 +19,16 @@
   grantSlot: () => void;
 }
 
-/** Creates a pacer; `places` is read anew each time, because targets come and go. */
-export default function createRecoveryPacer(places: () => number): RecoveryPacer {
-  let taken = 0;
+/** Creates a pacer. `getSlotCount` is called for each grant, because the set of targets changes. */
+export default function createRecoveryPacer(getSlotCount: () => number): RecoveryPacer {
+  let acquired = 0;
   let queue: WaitingRecovery[] = [];
 
-  function grantNext(): void {
-    while (queue.length > 0 && taken < places()) {
+  function grantFreeSlots(): void {
+    while (queue.length > 0 && acquired < getSlotCount()) {
       const next = queue.reduce((best, waiting) => (waiting.rank < best.rank ? waiting : best));
       queue = queue.filter((waiting) => waiting !== next);
-      taken += 1;
+      acquired += 1;
       next.grantSlot();
     }
   }
@@ -39,8 +38,8 @@
     return () => {
       if (!isReleased) {
         isReleased = true;
-        taken -= 1;
-        grantNext();
+        acquired -= 1;
+        grantFreeSlots();
       }
     };
   }
@@ -49,7 +48,7 @@
     acquire(rank) {
       return new Promise((resolve) => {
         queue.push({ rank, grantSlot: () => resolve(createRelease()) });
-        grantNext();
+        grantFreeSlots();
       });
     },
     countWaiting: () => queue.length,
