--- a/packages/resume-handle/src/index.ts
+++ b/packages/resume-handle/src/index.ts
@@ -6,8 +6,8 @@
 import { Packr } from 'msgpackr';
 import { createHash, createHmac, timingSafeEqual } from 'node:crypto';
 
-const MAC_BYTES = 16;
-const DIGEST_BYTES = 12;
+const TRUNCATED_MAC_BYTES = 16;
+const TRUNCATED_DIGEST_BYTES = 12;
 /** Handles longer than this are refused before anything is computed. */
 const MAX_HANDLE_CHARACTERS = 2_048;
 
@@ -50,7 +50,7 @@
   const digests = new WeakMap<HandleSubject, string>();
 
   function digestOf(subject: HandleSubject): string {
-    const known = digests.get(subject) ?? digestRequest(subject);
+    const known = digests.get(subject) ?? computeRequestDigest(subject);
     digests.set(subject, known);
     return known;
   }
@@ -59,19 +59,19 @@
     const { organisation, requestId } = subject;
     const content = { organisation, requestId, requestDigest: digestOf(subject), point };
     const payload = packr.pack(content);
-    return Buffer.concat([macOf(secret, payload), payload]).toString('base64url');
+    return Buffer.concat([computeMac(secret, payload), payload]).toString('base64url');
   }
 
   function verify(handle: string, subject: HandleSubject): E.Either<LimeleadError, ResumePoint> {
-    const payload = openSigned(secret, handle);
-    const content = payload === undefined ? undefined : decodeContent(payload);
+    const payload = verifySignature(secret, handle);
+    const content = payload === undefined ? undefined : decodePayload(payload);
     if (content === undefined) {
-      return refuse('the handle is not one of this system');
+      return rejectHandle('the handle is not one of this system');
     }
     const isOwn =
       content.organisation === subject.organisation && content.requestId === subject.requestId;
     if (!isOwn || content.requestDigest !== digestOf(subject)) {
-      return refuse('the handle belongs to another request');
+      return rejectHandle('the handle belongs to another request');
     }
     return E.right(content.point);
   }
@@ -79,35 +79,38 @@
   return { sign, verify };
 }
 
-function openSigned(secret: string, handle: string): Buffer | undefined {
+function verifySignature(secret: string, handle: string): Buffer | undefined {
   if (handle.length > MAX_HANDLE_CHARACTERS) {
     return undefined;
   }
   const bytes = Buffer.from(handle, 'base64url');
-  if (bytes.length <= MAC_BYTES) {
+  if (bytes.length <= TRUNCATED_MAC_BYTES) {
     return undefined;
   }
-  const payload = bytes.subarray(MAC_BYTES);
-  const isGenuine = timingSafeEqual(bytes.subarray(0, MAC_BYTES), macOf(secret, payload));
+  const payload = bytes.subarray(TRUNCATED_MAC_BYTES);
+  const isGenuine = timingSafeEqual(
+    bytes.subarray(0, TRUNCATED_MAC_BYTES),
+    computeMac(secret, payload),
+  );
   return isGenuine ? payload : undefined;
 }
 
-function decodeContent(payload: Buffer): t.TypeOf<typeof contentCodec> | undefined {
+function decodePayload(payload: Buffer): t.TypeOf<typeof contentCodec> | undefined {
   const decoded = contentCodec.decode(packr.unpack(payload));
   return E.isRight(decoded) ? decoded.right : undefined;
 }
 
-function macOf(secret: string, payload: Uint8Array): Buffer {
-  return createHmac('sha256', secret).update(payload).digest().subarray(0, MAC_BYTES);
+function computeMac(secret: string, payload: Uint8Array): Buffer {
+  return createHmac('sha256', secret).update(payload).digest().subarray(0, TRUNCATED_MAC_BYTES);
 }
 
-function digestRequest({ service, prompt, maxTokens }: HandleSubject): string {
+function computeRequestDigest({ service, prompt, maxTokens }: HandleSubject): string {
   const hash = createHash('sha256')
     .update(JSON.stringify([service, maxTokens]))
     .update(prompt);
-  return hash.digest().subarray(0, DIGEST_BYTES).toString('base64url');
+  return hash.digest().subarray(0, TRUNCATED_DIGEST_BYTES).toString('base64url');
 }
 
-function refuse(message: string): E.Either<LimeleadError, never> {
+function rejectHandle(message: string): E.Either<LimeleadError, never> {
   return E.left(new LimeleadError('handle-invalid', message));
 }
