--- a/packages/resume-handle/src/index.test.ts
+++ b/packages/resume-handle/src/index.test.ts
@@ -21,7 +21,7 @@
 
 const signer = createHandleSigner('a-secret-of-all-vms');
 
-test('a handle signed by one VM is taken by another', () => {
+test('a handle signed by one VM is accepted by another', () => {
   const verified = createHandleSigner('a-secret-of-all-vms').verify(
     signer.sign(SUBJECT, POINT),
     SUBJECT,
@@ -30,7 +30,7 @@
   assert.equal(verified.right, POINT);
 });
 
-test('a handle of another secret, organisation, request or prompt is refused', () => {
+test('a handle with another secret, organisation, request, prompt or length is rejected', () => {
   const handle = signer.sign(SUBJECT, POINT);
   assert.ok(E.isLeft(createHandleSigner('another-secret-of-vms').verify(handle, SUBJECT)));
   for (const other of [
@@ -44,11 +44,11 @@
   }
 });
 
-test('no changed handle is taken, and none throws', () => {
+test('altered handles are rejected without an exception', () => {
   const handle = signer.sign(SUBJECT, POINT);
   fc.assert(
-    fc.property(fc.nat(handle.length - 1), fc.base64String(), (place, noise) => {
-      const changed = handle.slice(0, place) + noise + handle.slice(place + 1);
+    fc.property(fc.nat(handle.length - 1), fc.base64String(), (position, noise) => {
+      const changed = handle.slice(0, position) + noise + handle.slice(position + 1);
       const isSame = Buffer.from(changed, 'base64url').equals(Buffer.from(handle, 'base64url'));
       assert.is(E.isRight(signer.verify(changed, SUBJECT)), isSame);
     }),
--- a/packages/resume-handle/src/index.ts
+++ b/packages/resume-handle/src/index.ts
@@ -1,4 +1,4 @@
-/** Signed handles with which a caller continues an answer through another VM. */
+/** Signed handles that let a caller resume an answer through another VM. */
 import { LimeleadError } from '@limelead/errors';
 import type { GenerationRequest, ResumePoint } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
@@ -8,16 +8,16 @@
 
 const TRUNCATED_MAC_BYTES = 16;
 const TRUNCATED_DIGEST_BYTES = 12;
-/** Handles longer than this are refused before anything is computed. */
+/** Longer handles are rejected before they are decoded. */
 const MAX_HANDLE_CHARACTERS = 2_048;
 
-// Records would share structures between messages; a handle has to stand alone.
+// Records share structures between messages, but a handle must be decodable on its own.
 const packr = new Packr({ useRecords: false });
 
 const contentCodec = t.type({
   organisation: t.string,
   requestId: t.string,
-  /** Ties the handle to service, prompt and length, so that it can't continue another request. */
+  /** Binds the handle to the service, prompt and maximum length of its request. */
   requestDigest: t.string,
   point: t.type({
     binding: t.type({
@@ -31,33 +31,33 @@
   }),
 });
 
-/** The parts of a request that a handle is tied to. */
+/** Fields of a request that a handle is bound to. */
 export type HandleSubject = Pick<
   GenerationRequest,
   'organisation' | 'requestId' | 'service' | 'prompt' | 'maxTokens'
 >;
 
-/** Signs and checks handles with the secret that all VMs share. */
+/** Signs and verifies handles with the secret that all VMs share. */
 export interface HandleSigner {
   sign(subject: HandleSubject, point: ResumePoint): string;
-  /** Gives the resume point of a handle of this very request. */
+  /** Returns the resume point; Left if the handle is invalid or belongs to another request. */
   verify(handle: string, subject: HandleSubject): E.Either<LimeleadError, ResumePoint>;
 }
 
-/** Creates a signer. */
+/** Creates a handle signer. */
 export default function createHandleSigner(secret: string): HandleSigner {
-  // One request signs several handles; hashing a long prompt once is enough.
+  // Several handles are signed per request, so the digest of a long prompt is cached.
   const digests = new WeakMap<HandleSubject, string>();
 
-  function digestOf(subject: HandleSubject): string {
-    const known = digests.get(subject) ?? computeRequestDigest(subject);
-    digests.set(subject, known);
-    return known;
+  function getRequestDigest(subject: HandleSubject): string {
+    const digest = digests.get(subject) ?? computeRequestDigest(subject);
+    digests.set(subject, digest);
+    return digest;
   }
 
   function sign(subject: HandleSubject, point: ResumePoint): string {
     const { organisation, requestId } = subject;
-    const content = { organisation, requestId, requestDigest: digestOf(subject), point };
+    const content = { organisation, requestId, requestDigest: getRequestDigest(subject), point };
     const payload = packr.pack(content);
     return Buffer.concat([computeMac(secret, payload), payload]).toString('base64url');
   }
@@ -66,11 +66,11 @@
     const payload = verifySignature(secret, handle);
     const content = payload === undefined ? undefined : decodePayload(payload);
     if (content === undefined) {
-      return rejectHandle('the handle is not one of this system');
+      return rejectHandle('the handle is malformed or has an invalid signature');
     }
-    const isOwn =
+    const isSameRequest =
       content.organisation === subject.organisation && content.requestId === subject.requestId;
-    if (!isOwn || content.requestDigest !== digestOf(subject)) {
+    if (!isSameRequest || content.requestDigest !== getRequestDigest(subject)) {
       return rejectHandle('the handle belongs to another request');
     }
     return E.right(content.point);
@@ -88,11 +88,11 @@
     return undefined;
   }
   const payload = bytes.subarray(TRUNCATED_MAC_BYTES);
-  const isGenuine = timingSafeEqual(
+  const isValid = timingSafeEqual(
     bytes.subarray(0, TRUNCATED_MAC_BYTES),
     computeMac(secret, payload),
   );
-  return isGenuine ? payload : undefined;
+  return isValid ? payload : undefined;
 }
 
 function decodePayload(payload: Buffer): t.TypeOf<typeof contentCodec> | undefined {
