--- a/packages/forward-request/src/stream-attempt.ts
+++ b/packages/forward-request/src/stream-attempt.ts
@@ -109,7 +109,7 @@
       return;
     }
     const pieces = this.numberPieces(chunk);
-    if (this.splitter.isOverlong) {
+    if (this.splitter.isOversized) {
       this.open?.cancel();
       this.finish(() => this.events.onBroken('a piece is too long'));
     } else if (pieces.length > 0) {
--- a/packages/split-pieces/src/index.test.ts
+++ b/packages/split-pieces/src/index.test.ts
@@ -35,7 +35,7 @@
 test('an event without end is told', () => {
   const splitter = createPieceSplitter();
   splitter.push(Buffer.alloc(1024 * 1024 + 1, 0x61));
-  assert.ok(splitter.isOverlong);
+  assert.ok(splitter.isOversized);
 });
 
 test.run();
--- a/packages/split-pieces/src/index.ts
+++ b/packages/split-pieces/src/index.ts
@@ -9,7 +9,7 @@
 const CARRIAGE_RETURN = 0x0d;
 /** Longest event that is taken; a longer one is no event stream. */
 const MAX_PIECE_BYTES = 1024 * 1024;
-const NUMBER_FIELD = /^id: ?(\d+)\r?$/m;
+const NUMBER_FIELD_PATTERN = /^id: ?(\d+)\r?$/m;
 
 /** One whole event. */
 export interface Piece {
@@ -26,7 +26,7 @@
   /** Bytes of an event that is not whole yet. */
   readonly pendingBytes: number;
   /** True once an event was too long to be one. */
-  readonly isOverlong: boolean;
+  readonly isOversized: boolean;
 }
 
 /** Creates a splitter for one stream. */
@@ -37,7 +37,7 @@
     push(chunk) {
       pending = pending.length === 0 ? chunk : Buffer.concat([pending, chunk]);
       const pieces: Piece[] = [];
-      for (let end = findEnd(pending); end > 0; end = findEnd(pending)) {
+      for (let end = findPieceEnd(pending); end > 0; end = findPieceEnd(pending)) {
         pieces.push(toPiece(pending.subarray(0, end)));
         pending = pending.subarray(end);
       }
@@ -46,32 +46,32 @@
     get pendingBytes() {
       return pending.length;
     },
-    get isOverlong() {
+    get isOversized() {
       return pending.length > MAX_PIECE_BYTES;
     },
   };
 }
 
 function toPiece(bytes: Buffer): Piece {
-  const found = NUMBER_FIELD.exec(bytes.toString('latin1'));
+  const found = NUMBER_FIELD_PATTERN.exec(bytes.toString('latin1'));
   return found === null ? { bytes } : { bytes, number: Number(found[1]) };
 }
 
 /** Offset behind the first blank line, or -1 where none is whole. */
-function findEnd(bytes: Buffer): number {
+function findPieceEnd(bytes: Buffer): number {
   let lineStart = 0;
   for (;;) {
     const lineEnd = bytes.indexOf(LINE_FEED, lineStart);
     if (lineEnd < 0) {
       return -1;
     }
-    if (isBlank(bytes, lineStart, lineEnd)) {
+    if (isBlankLine(bytes, lineStart, lineEnd)) {
       return lineEnd + 1;
     }
     lineStart = lineEnd + 1;
   }
 }
 
-function isBlank(bytes: Buffer, start: number, end: number): boolean {
+function isBlankLine(bytes: Buffer, start: number, end: number): boolean {
   return end === start || (end === start + 1 && bytes[start] === CARRIAGE_RETURN);
 }
