--- a/packages/split-pieces/src/index.test.ts
+++ b/packages/split-pieces/src/index.test.ts
@@ -5,15 +5,15 @@
 
 const STREAM = 'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: note\n\nid: 12\ndata: c\n\n';
 
-test('however the bytes are cut, the same whole pieces come out', () => {
+test('the pieces do not depend on how the stream is split into chunks', () => {
   fc.assert(
     fc.property(fc.array(fc.integer({ min: 1, max: 20 })), (sizes) => {
       const splitter = createPieceSplitter();
       const pieces = [];
-      let rest = Buffer.from(STREAM);
+      let remaining = Buffer.from(STREAM);
       for (const size of [...sizes, STREAM.length]) {
-        pieces.push(...splitter.push(rest.subarray(0, size)));
-        rest = rest.subarray(size);
+        pieces.push(...splitter.push(remaining.subarray(0, size)));
+        remaining = remaining.subarray(size);
       }
       assert.equal(
         pieces.map(({ number }) => number),
@@ -26,13 +26,13 @@
   );
 });
 
-test('an event that was not finished never comes out', () => {
+test('an incomplete event is not returned', () => {
   const splitter = createPieceSplitter();
   assert.equal(splitter.push(Buffer.from('id: 1\ndata: a\n')), []);
   assert.is(splitter.pendingBytes, 14);
 });
 
-test('an event without end is told', () => {
+test('an event beyond the size limit is detected', () => {
   const splitter = createPieceSplitter();
   splitter.push(Buffer.alloc(1024 * 1024 + 1, 0x61));
   assert.ok(splitter.isOversized);
--- a/packages/split-pieces/src/index.ts
+++ b/packages/split-pieces/src/index.ts
@@ -1,31 +1,30 @@
 /**
- * Splits a `text/event-stream` into whole events and reads the number of each.
- * The bytes of an event are passed on as they came; what stands behind the last
- * whole event is kept until the rest of it arrives and is dropped where the
- * stream breaks off.
+ * Splits a `text/event-stream` into complete events and parses the number of each.
+ * The bytes of an event are not modified. Bytes after the last complete event are
+ * buffered until the rest of the event arrives.
  */
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
-/** Longest event that is taken; a longer one is no event stream. */
+/** Limit on the bytes of one event. */
 const MAX_PIECE_BYTES = 1024 * 1024;
 const NUMBER_FIELD_PATTERN = /^id: ?(\d+)\r?$/m;
 
-/** One whole event. */
+/** One complete event. */
 export interface Piece {
-  /** Its number; undefined for a comment or an event without one. */
+  /** Number in the event's `id` field; undefined for a comment or an event without a number. */
   number?: number;
-  /** Its bytes with the blank line behind it. */
+  /** Bytes of the event, including the blank line that ends it. */
   bytes: Buffer;
 }
 
 /** Splits one stream. */
 export interface PieceSplitter {
-  /** Takes bytes and gives the events that are whole by now. */
+  /** Appends bytes and returns the events that they complete. */
   push(chunk: Buffer): Piece[];
-  /** Bytes of an event that is not whole yet. */
+  /** Number of buffered bytes of an incomplete event. */
   readonly pendingBytes: number;
-  /** True once an event was too long to be one. */
+  /** True if the incomplete event exceeds the size limit. */
   readonly isOversized: boolean;
 }
 
@@ -38,7 +37,7 @@
       pending = pending.length === 0 ? chunk : Buffer.concat([pending, chunk]);
       const pieces: Piece[] = [];
       for (let end = findPieceEnd(pending); end > 0; end = findPieceEnd(pending)) {
-        pieces.push(toPiece(pending.subarray(0, end)));
+        pieces.push(parsePiece(pending.subarray(0, end)));
         pending = pending.subarray(end);
       }
       return pieces;
@@ -52,12 +51,12 @@
   };
 }
 
-function toPiece(bytes: Buffer): Piece {
-  const found = NUMBER_FIELD_PATTERN.exec(bytes.toString('latin1'));
-  return found === null ? { bytes } : { bytes, number: Number(found[1]) };
+function parsePiece(bytes: Buffer): Piece {
+  const match = NUMBER_FIELD_PATTERN.exec(bytes.toString('latin1'));
+  return match === null ? { bytes } : { bytes, number: Number(match[1]) };
 }
 
-/** Offset behind the first blank line, or -1 where none is whole. */
+/** Returns the offset after the first blank line, or -1 if there is none. */
 function findPieceEnd(bytes: Buffer): number {
   let lineStart = 0;
   for (;;) {
