--- a/packages/generation-session/src/deliver-tokens.ts
+++ b/packages/generation-session/src/deliver-tokens.ts
@@ -32,7 +32,7 @@
   return chainStep(selected, (next) => deliver(next, attempt, newTokens, now));
 }
 
-/** Drops tokens of an attempt that is no longer live, such as a replaced or hedged one. */
+/** Drops tokens of an attempt that is no longer live, such as a cancelled hedge. */
 export function onStaleTokens(state: SessionState, attempt: number, tokens: string[]): Step {
   return appendCommands(unchanged(state), {
     kind: 'observe',
