--- a/packages/run-call/src/call-runner.ts
+++ b/packages/run-call/src/call-runner.ts
@@ -7,12 +7,11 @@
 import type { TargetTable, TrackedTarget } from '@limelead/track-targets';
 import type { Clock, Millis, Random } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
-import CallRecords, { type RememberedCall } from './call-records.js';
+import CallOutcomeTable, { type RecordedOutcome } from './call-outcome-table.js';
 
-/** Targets tried for one call at most. */
-const MAX_TRIES = 3;
+const MAX_TARGETS_PER_CALL = 3;
 
-/** A checked call. */
+/** Validated call to a plain service. */
 export interface CallRequest {
   organisation: string;
   requestId: string;
@@ -24,15 +23,15 @@
   timeoutMs: number;
 }
 
-/** The answer of a call. */
+/** Answer of a call. */
 export interface CallResult {
   answer: PlainAnswer;
-  /** True where this is the kept answer of an earlier run. */
+  /** True if this is the recorded answer of an earlier run. */
   replayed: boolean;
 }
 
-/** What the runner needs from its VM. */
-export interface CallDependencies {
+/** Dependencies of a call runner. */
+export interface CallRunnerDependencies {
   clock: Clock;
   random: Random;
   metrics: Metrics;
@@ -40,81 +39,83 @@
   targets: TargetTable;
   connector: TargetConnector;
   claimer: CallClaimer;
-  /** Asks the VM that holds a claim what became of the call; 'unknown' where it can't be asked. */
-  askHolder(holder: string, organisation: string, requestId: string): Promise<RememberedCall>;
+  /** Queries the VM that holds a claim for the call's outcome; 'unknown' if the query fails. */
+  queryHolder(holder: string, organisation: string, requestId: string): Promise<RecordedOutcome>;
 }
 
-/** Runs calls. */
+/** Runs calls to plain services; non-repeatable calls run at most once. */
 export interface CallRunner {
-  /** Rejects with a LimeleadError. */
+  /** Runs a call, or returns its recorded answer. Rejects with a LimeleadError. */
   run(request: CallRequest): Promise<CallResult>;
-  /** What became of a call that this VM has taken on; undefined where it has not. */
-  recall(organisation: string, requestId: string): Promise<RememberedCall> | undefined;
+  /** Finds the outcome of a call recorded on this VM; undefined if there is no record. */
+  findOutcome(organisation: string, requestId: string): Promise<RecordedOutcome> | undefined;
 }
 
-/** Creates the runner of one VM. */
-export default function createCallRunner(dependencies: CallDependencies): CallRunner {
-  const records = new CallRecords(dependencies.clock);
+/** Creates the call runner of one VM. */
+export default function createCallRunner(dependencies: CallRunnerDependencies): CallRunner {
+  const records = new CallOutcomeTable(dependencies.clock);
 
   return {
     run: (request) =>
       request.repeatable
         ? runRepeatable(dependencies, request)
-        : runOnce(dependencies, records, request),
-    recall: (organisation, requestId) => records.find(recordKey(organisation, requestId)),
+        : runAtMostOnce(dependencies, records, request),
+    findOutcome: (organisation, requestId) => records.find(toRecordKey(organisation, requestId)),
   };
 }
 
 async function runRepeatable(
-  dependencies: CallDependencies,
+  dependencies: CallRunnerDependencies,
   request: CallRequest,
 ): Promise<CallResult> {
-  const outcome = await tryTargets(dependencies, request, () => true);
+  const outcome = await sendWithRetries(dependencies, request, () => true);
   if (outcome.kind === 'answered') {
     return { answer: outcome.answer, replayed: false };
   }
   throw outcome.kind === 'not-sent'
-    ? new LimeleadError('no-target', 'no target takes the call now')
-    : new LimeleadError('no-target', 'the call broke on every target', { execution: 'unknown' });
+    ? new LimeleadError('no-target', 'no target currently accepts the call')
+    : new LimeleadError('no-target', 'the call failed at every target that was attempted', {
+        execution: 'unknown',
+      });
 }
 
-async function runOnce(
-  dependencies: CallDependencies,
-  records: CallRecords,
+async function runAtMostOnce(
+  dependencies: CallRunnerDependencies,
+  records: CallOutcomeTable,
   request: CallRequest,
 ): Promise<CallResult> {
   const { organisation, requestId, notAfterMs } = request;
-  const key = recordKey(organisation, requestId);
+  const key = toRecordKey(organisation, requestId);
   const earlier = records.find(key);
   if (earlier !== undefined) {
-    return answerFrom(await earlier, true);
+    return toCallResult(await earlier, true);
   }
-  // The record is made before the first await, so that a second try here finds it.
+  // Recorded before the first await, so that a concurrent retry on this VM finds it.
   const outcome = claimAndSend(dependencies, request);
-  const remembered = outcome.then(
-    ({ remembered }) => remembered,
-    (): RememberedCall => ({ kind: 'not-sent' }),
+  const recorded = outcome.then(
+    ({ recorded }) => recorded,
+    (): RecordedOutcome => ({ kind: 'not-sent' }),
   );
-  records.add(key, notAfterMs, remembered);
-  const { remembered: own, replayed } = await outcome.catch((thrown: unknown) => {
+  records.add(key, notAfterMs, recorded);
+  const { recorded: own, replayed } = await outcome.catch((thrown: unknown) => {
     records.forget(key);
     throw thrown;
   });
-  // Only what was certainly not sent is forgotten: an unknown outcome has to stay one.
+  // A record is removed only if the call was certainly not sent; an unknown outcome must persist.
   if (own.kind === 'not-sent') {
     records.forget(key);
   }
-  return answerFrom(own, replayed);
+  return toCallResult(own, replayed);
 }
 
 interface ClaimedOutcome {
-  remembered: RememberedCall;
+  recorded: RecordedOutcome;
   replayed: boolean;
 }
 
-/** Rejects only where this VM has not sent the call and will not. */
+/** Claims and sends a call. Rejects only if this VM did not send the call and will not. */
 async function claimAndSend(
-  dependencies: CallDependencies,
+  dependencies: CallRunnerDependencies,
   request: CallRequest,
 ): Promise<ClaimedOutcome> {
   const { organisation, requestId } = request;
@@ -123,49 +124,49 @@
   dependencies.bus.publish(requestId, () => ({ kind: 'callClaimed', outcome: claimed.kind }));
   switch (claimed.kind) {
     case 'granted': {
-      const sent = await tryTargets(dependencies, request, (fault) => fault.sent === 'no');
-      return { remembered: sent, replayed: false };
+      const sent = await sendWithRetries(dependencies, request, (fault) => fault.sent === 'no');
+      return { recorded: sent, replayed: false };
     }
     case 'held-by-other': {
-      const remembered = await dependencies.askHolder(claimed.holder, organisation, requestId);
-      return { remembered, replayed: true };
+      const recorded = await dependencies.queryHolder(claimed.holder, organisation, requestId);
+      return { recorded, replayed: true };
     }
     case 'expired':
-      throw new LimeleadError('call-expired', 'the call must no longer be started');
+      throw new LimeleadError('call-expired', 'the latest start time of the call has passed');
     case 'unavailable':
-      throw new LimeleadError('store-unavailable', 'the call can not be claimed now');
+      throw new LimeleadError('store-unavailable', 'the call cannot be claimed at present');
   }
 }
 
-function answerFrom(remembered: RememberedCall, replayed: boolean): CallResult {
-  switch (remembered.kind) {
+function toCallResult(outcome: RecordedOutcome, replayed: boolean): CallResult {
+  switch (outcome.kind) {
     case 'answered':
-      return { answer: remembered.answer, replayed };
+      return { answer: outcome.answer, replayed };
     case 'not-sent':
-      throw new LimeleadError('no-target', 'no target takes the call now');
+      throw new LimeleadError('no-target', 'no target currently accepts the call');
     case 'unknown':
-      throw new LimeleadError('outcome-unknown', 'the call was sent and its answer is not known');
+      throw new LimeleadError('outcome-unknown', 'the call was sent and its outcome is unknown');
   }
 }
 
-/** Sends to one target after another while `mayGoOn` allows it. */
-async function tryTargets(
-  dependencies: CallDependencies,
+/** Sends a call to up to MAX_TARGETS_PER_CALL targets in turn, as long as `canRetry` allows it. */
+async function sendWithRetries(
+  dependencies: CallRunnerDependencies,
   request: CallRequest,
-  mayGoOn: (fault: PortFault) => boolean,
-): Promise<RememberedCall> {
+  canRetry: (fault: PortFault) => boolean,
+): Promise<RecordedOutcome> {
   const { targets, clock } = dependencies;
-  const tried: string[] = [];
-  let outcome: RememberedCall = { kind: 'not-sent' };
-  while (tried.length < MAX_TRIES) {
+  const attempted: string[] = [];
+  let outcome: RecordedOutcome = { kind: 'not-sent' };
+  while (attempted.length < MAX_TARGETS_PER_CALL) {
     const usable = targets
       .listUsablePlain(request.service, clock.now())
-      .filter((target) => !tried.includes(target.id));
-    const target = drawLeastBusy(usable, dependencies.random);
+      .filter((target) => !attempted.includes(target.id));
+    const target = chooseLeastLoaded(usable, dependencies.random);
     if (target === undefined) {
       break;
     }
-    tried.push(target.id);
+    attempted.push(target.id);
     const sent = await sendTo(dependencies, target, request);
     if (E.isRight(sent)) {
       return { kind: 'answered', answer: sent.right };
@@ -173,7 +174,7 @@
     if (sent.left.sent === 'maybe') {
       outcome = { kind: 'unknown' };
     }
-    if (!mayGoOn(sent.left)) {
+    if (!canRetry(sent.left)) {
       break;
     }
   }
@@ -181,7 +182,7 @@
 }
 
 async function sendTo(
-  dependencies: CallDependencies,
+  dependencies: CallRunnerDependencies,
   target: TrackedTarget,
   request: CallRequest,
 ): Promise<E.Either<PortFault, PlainAnswer>> {
@@ -201,7 +202,7 @@
   return sent;
 }
 
-function drawLeastBusy(targets: TrackedTarget[], random: Random): TrackedTarget | undefined {
+function chooseLeastLoaded(targets: TrackedTarget[], random: Random): TrackedTarget | undefined {
   const start = Math.floor(random.next() * targets.length);
   const rotated = [...targets.slice(start), ...targets.slice(0, start)];
   return rotated.reduce<TrackedTarget | undefined>(
@@ -210,6 +211,6 @@
   );
 }
 
-function recordKey(organisation: string, requestId: string): string {
+function toRecordKey(organisation: string, requestId: string): string {
   return JSON.stringify([organisation, requestId]);
 }
