--- a/packages/daemon/src/services/observation-service.ts
+++ b/packages/daemon/src/services/observation-service.ts
@@ -28,8 +28,10 @@
       rpc.signal.addEventListener('abort', () => reader.close(), { once: true });
       try {
         for (let batch = await reader.next(); batch !== undefined; batch = await reader.next()) {
-          if (batch.lost > 0) {
-            yield create(WatchResponseSchema, { event: { case: 'lost', value: batch.lost } });
+          if (batch.droppedCount > 0) {
+            yield create(WatchResponseSchema, {
+              event: { case: 'lost', value: batch.droppedCount },
+            });
           }
           for (const event of batch.events) {
             if (requestId === '' || event.requestId === requestId) {
--- a/packages/observe-events/src/index.test.ts
+++ b/packages/observe-events/src/index.test.ts
@@ -8,32 +8,32 @@
   recoveries: 0,
 });
 
-test('nothing is built while nobody watches', () => {
+test('the event detail is not built without a subscription', () => {
   const bus = createEventBus('vm-1', { now: () => 1 });
   bus.publish('r1', () => {
     throw new Error('expected not to be called');
   });
 });
 
-test('a slow reader loses the oldest events and is told how many', async () => {
+test('a full buffer drops the oldest events and counts them', async () => {
   const bus = createEventBus('vm-1', { now: () => 1 });
-  const reader = bus.subscribe(3);
+  const subscription = bus.subscribe(3);
   for (let length = 0; length < 10; length += 1) {
     bus.publish('r1', detail(length));
   }
-  const batch = await reader.next();
-  assert.is(batch?.lost, 7);
+  const batch = await subscription.next();
+  assert.is(batch?.droppedCount, 7);
   assert.equal(
     batch?.events.map((event) => event.detail),
     [7, 8, 9].map((n) => detail(n)()),
   );
 });
 
-test('a closed reader ends, and costs nothing more', async () => {
+test('close resolves a pending read with undefined', async () => {
   const bus = createEventBus('vm-1', { now: () => 1 });
-  const reader = bus.subscribe();
-  const next = reader.next();
-  reader.close();
+  const subscription = bus.subscribe();
+  const next = subscription.next();
+  subscription.close();
   assert.is(await next, undefined);
 });
 
--- a/packages/observe-events/src/index.ts
+++ b/packages/observe-events/src/index.ts
@@ -1,55 +1,59 @@
-/** A bounded bus for typed events of what each mechanism does. */
+/** An in-process event bus with bounded buffers for the events that operators watch. */
 import type { Clock, EventDetail, ObservedEvent, VmId } from '@limelead/types';
 
-const DEFAULT_READER_CAPACITY = 1024;
+const DEFAULT_BUFFER_CAPACITY = 1024;
 
-/** Somebody who watches. Takes events in order; loses them when slow, and is told how many. */
-export interface EventReader {
-  /** Resolves with the next events, or undefined after close. */
+/** Reads events in order. When its buffer is full, the oldest events are dropped and counted. */
+export interface EventSubscription {
+  /** Waits for events and resolves with all that are buffered, or with undefined after `close`. */
   next(): Promise<EventBatch | undefined>;
   close(): void;
 }
 
-/** Events since the last read, and how many were lost before them. */
+/** The events buffered since the last read. */
 export interface EventBatch {
   events: ObservedEvent[];
-  lost: number;
+  /** Number of events dropped since the last read, all of them older than `events`. */
+  droppedCount: number;
 }
 
-/** Publishes events; costs one comparison while nobody watches. */
+/** Delivers events to all subscriptions. */
 export interface EventBus {
-  /** The detail is built only when somebody watches. */
+  /** Calls `detail` only if there is a subscription. */
   publish(requestId: string, detail: () => EventDetail): void;
-  subscribe(capacity?: number): EventReader;
+  /** @param capacity maximum number of buffered events */
+  subscribe(capacity?: number): EventSubscription;
 }
 
-/** Creates the bus of one VM. */
+/** Creates the event bus of a VM. */
 export default function createEventBus(vm: VmId, clock: Clock): EventBus {
-  const readers = new Set<BoundedReader>();
+  const subscriptions = new Set<BoundedSubscription>();
 
   return {
     publish(requestId, detail) {
-      if (readers.size === 0) {
+      if (subscriptions.size === 0) {
         return;
       }
       const event: ObservedEvent = { atMs: clock.now(), vm, requestId, detail: detail() };
-      for (const reader of readers) {
-        reader.push(event);
+      for (const subscription of subscriptions) {
+        subscription.push(event);
       }
     },
-    subscribe(capacity = DEFAULT_READER_CAPACITY) {
-      const reader = new BoundedReader(capacity, () => readers.delete(reader));
-      readers.add(reader);
-      return reader;
+    subscribe(capacity = DEFAULT_BUFFER_CAPACITY) {
+      const subscription = new BoundedSubscription(capacity, () =>
+        subscriptions.delete(subscription),
+      );
+      subscriptions.add(subscription);
+      return subscription;
     },
   };
 }
 
-class BoundedReader implements EventReader {
+class BoundedSubscription implements EventSubscription {
   private events: ObservedEvent[] = [];
-  private lost = 0;
+  private droppedCount = 0;
   private closed = false;
-  private wake: (() => void) | undefined;
+  private wakeReader: (() => void) | undefined;
 
   constructor(
     private readonly capacity: number,
@@ -59,28 +63,28 @@
   push(event: ObservedEvent): void {
     if (this.events.length >= this.capacity) {
       this.events.shift();
-      this.lost += 1;
+      this.droppedCount += 1;
     }
     this.events.push(event);
-    this.wake?.();
+    this.wakeReader?.();
   }
 
   async next(): Promise<EventBatch | undefined> {
     while (this.events.length === 0 && !this.closed) {
-      await new Promise<void>((resolve) => (this.wake = resolve));
+      await new Promise<void>((resolve) => (this.wakeReader = resolve));
     }
     if (this.closed) {
       return undefined;
     }
-    const batch = { events: this.events, lost: this.lost };
+    const batch = { events: this.events, droppedCount: this.droppedCount };
     this.events = [];
-    this.lost = 0;
+    this.droppedCount = 0;
     return batch;
   }
 
   close(): void {
     this.closed = true;
     this.onClose();
-    this.wake?.();
+    this.wakeReader?.();
   }
 }
