--- a/packages/http-front-door/src/http-front-door.ts
+++ b/packages/http-front-door/src/http-front-door.ts
@@ -7,7 +7,7 @@
   type AdmittedRequest,
   type ForwardContext,
 } from '@limelead/forward-request';
-import { chooseShare, type RouteTable } from '@limelead/route-requests';
+import { chooseService, type RouteTable } from '@limelead/route-requests';
 import type { CallerLimits, Millis, ServingRoute } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
@@ -273,7 +273,7 @@
       sink.refuse(new LimeleadError('shutting-down', 'this VM stops before the answer is whole'));
       return;
     }
-    const service = chooseShare(route, facts.requestId);
+    const service = chooseService(route, facts.requestId);
     if (service === undefined) {
       sink.refuse(new LimeleadError('no-target', 'the route has no service'));
       return;
--- a/packages/route-requests/src/index.test.ts
+++ b/packages/route-requests/src/index.test.ts
@@ -1,7 +1,7 @@
 import type { ServingConfiguration, ServingRoute } from '@limelead/types';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import compileRoutes, { chooseShare } from './index.js';
+import compileRoutes, { chooseService } from './index.js';
 
 function createRoute(overrides: Partial<ServingRoute>): ServingRoute {
   return {
@@ -64,10 +64,10 @@
       { service: 'new', weight: 10 },
     ],
   });
-  const taken = Array.from({ length: 2_000 }, (_, index) => chooseShare(route, `r${index}`));
+  const taken = Array.from({ length: 2_000 }, (_, index) => chooseService(route, `r${index}`));
   const fresh = taken.filter((service) => service === 'new').length;
   assert.ok(fresh > 130 && fresh < 270, `${fresh} of 2000`);
-  assert.is(chooseShare(route, 'r1'), chooseShare(route, 'r1'));
+  assert.is(chooseService(route, 'r1'), chooseService(route, 'r1'));
 });
 
 test.run();
--- a/packages/route-requests/src/index.ts
+++ b/packages/route-requests/src/index.ts
@@ -72,7 +72,7 @@
  * The service that a request goes to. The same request always takes the same
  * share, so that a second try meets the service that the first one met.
  */
-export function chooseShare(route: ServingRoute, requestId: string): string | undefined {
+export function chooseService(route: ServingRoute, requestId: string): string | undefined {
   const total = route.shares.reduce((sum, { weight }) => sum + weight, 0);
   const point = (hashText(requestId) / HASH_RANGE) * total;
   let passed = 0;
@@ -86,7 +86,10 @@
 }
 
 /** Features of a service's engines; undefined for plain services and unknown ones. */
-export function findEngine(table: RouteTable, service: string): EngineCapabilities | undefined {
+export function findEngineCapabilities(
+  table: RouteTable,
+  service: string,
+): EngineCapabilities | undefined {
   return table.findService(service)?.engine;
 }
 
