--- a/packages/route-requests/src/index.test.ts
+++ b/packages/route-requests/src/index.test.ts
@@ -32,7 +32,7 @@
   limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
 };
 
-test('the longest prefix on the host wins, without the query and whatever the port', () => {
+test('the route with the longest path prefix is found; query and port are ignored', () => {
   const table = compileRoutes(configuration);
   assert.is(table.findRoute('VANS.example:80', '/a/b/c')?.name, 'long');
   assert.is(table.findRoute('vans.example', '/a/x?y=/a/b/')?.name, 'short');
@@ -40,7 +40,7 @@
   assert.is(table.findRoute('other.example', '/a/x'), undefined);
 });
 
-test('a key names its organisation; an unknown or missing one is refused unless the route is open', () => {
+test('a key identifies its organisation; without a known key only open routes can be used', () => {
   const table = compileRoutes(configuration);
   const [short, open] = [table.findRoute('vans.example', '/a/')!, configuration.routes[2]!];
   assert.equal(table.authenticate(short, 'k2'), {
@@ -52,21 +52,21 @@
   assert.is(table.authenticate(open, undefined).kind, 'open');
 });
 
-test('a configuration without organisations asks for no key', () => {
+test('a configuration without organisations requires no key', () => {
   const table = compileRoutes({ ...configuration, organisations: undefined });
   assert.is(table.authenticate(configuration.routes[0]!, undefined).kind, 'open');
 });
 
-test('a split follows its weights, and one request always takes the same share', () => {
+test('requests are split by weight, and a request always gets the same service', () => {
   const route = createRoute({
     shares: [
       { service: 'old', weight: 90 },
       { service: 'new', weight: 10 },
     ],
   });
-  const taken = Array.from({ length: 2_000 }, (_, index) => chooseService(route, `r${index}`));
-  const fresh = taken.filter((service) => service === 'new').length;
-  assert.ok(fresh > 130 && fresh < 270, `${fresh} of 2000`);
+  const chosen = Array.from({ length: 2_000 }, (_, index) => chooseService(route, `r${index}`));
+  const newCount = chosen.filter((service) => service === 'new').length;
+  assert.ok(newCount > 130 && newCount < 270, `${newCount} of 2000`);
   assert.is(chooseService(route, 'r1'), chooseService(route, 'r1'));
 });
 
--- a/packages/route-requests/src/index.ts
+++ b/packages/route-requests/src/index.ts
@@ -1,7 +1,6 @@
 /**
- * Pure routing table of the HTTP front door. It is compiled once for each
- * configuration and answers which route a request takes, whose key it shows
- * and which service of a split it goes to.
+ * The routing table of the HTTP front door, compiled once per configuration: finds the route of
+ * a request, authenticates its key and chooses a service by weight.
  */
 import {
   hashText,
@@ -14,37 +13,37 @@
 
 const HASH_RANGE = 0x1_0000_0000;
 
-/** The organisation behind a key. */
+/** The organisation that a key belongs to. */
 export interface Caller {
   organisation: string;
-  /** Goes before the route's rank where given. */
+  /** Overrides the rank of the route. */
   rank?: number;
 }
 
-/** What a request with a key may do. */
+/** Result of authenticating a request; `open` if no key is required. */
 export type Authentication =
   { kind: 'known'; caller: Caller } | { kind: 'open' } | { kind: 'unknown-key' };
 
-/** A compiled configuration. */
+/** A configuration compiled for lookups. */
 export interface RouteTable {
   readonly version: number;
   readonly limits: CallerLimits;
-  /** The route with the longest prefix of the path on that host. */
+  /** Finds the route of the host with the longest prefix of the path. */
   findRoute(host: string, path: string): ServingRoute | undefined;
-  /** Says who calls; `key` is undefined where none was shown. */
+  /** Finds the caller that a key belongs to; `key` is undefined if the request has none. */
   authenticate(route: ServingRoute, key: string | undefined): Authentication;
   findService(name: string): ServedService | undefined;
   listServices(): readonly ServedService[];
-  /** Whether any route may send requests to the service. */
+  /** Whether any route sends requests to the service. */
   isRouted(service: string): boolean;
 }
 
-/** Compiles a configuration. */
+/** Compiles a configuration into its routing table. */
 export default function compileRoutes(configuration: ServingConfiguration): RouteTable {
   const routesByHost = groupRoutes(configuration.routes);
   const services = new Map(configuration.services.map((service) => [service.name, service]));
   const callers = compileCallers(configuration);
-  const routed = new Set(
+  const routedServices = new Set(
     configuration.routes.flatMap(({ shares }) => shares.map(({ service }) => service)),
   );
   return {
@@ -64,28 +63,28 @@
     },
     findService: (name) => services.get(name),
     listServices: () => configuration.services,
-    isRouted: (service) => routed.has(service),
+    isRouted: (service) => routedServices.has(service),
   };
 }
 
 /**
- * The service that a request goes to. The same request always takes the same
- * share, so that a second try meets the service that the first one met.
+ * Chooses the service of a request by the weights of the route's shares. The choice depends only
+ * on the request id, so that every attempt of a request uses the same service.
  */
 export function chooseService(route: ServingRoute, requestId: string): string | undefined {
-  const total = route.shares.reduce((sum, { weight }) => sum + weight, 0);
-  const point = (hashText(requestId) / HASH_RANGE) * total;
-  let passed = 0;
+  const totalWeight = route.shares.reduce((sum, { weight }) => sum + weight, 0);
+  const point = (hashText(requestId) / HASH_RANGE) * totalWeight;
+  let cumulativeWeight = 0;
   for (const { service, weight } of route.shares) {
-    passed += weight;
-    if (point < passed) {
+    cumulativeWeight += weight;
+    if (point < cumulativeWeight) {
       return service;
     }
   }
   return route.shares.at(-1)?.service;
 }
 
-/** Features of a service's engines; undefined for plain services and unknown ones. */
+/** Gives the capabilities of a service's engines; undefined for plain and unknown services. */
 export function findEngineCapabilities(
   table: RouteTable,
   service: string,
@@ -116,7 +115,7 @@
   return callers;
 }
 
-/** Host names are compared without their port and in lower case. */
+/** Normalises a `Host` header for comparison: without port, in lower case. */
 function toHostName(host: string): string {
   return host.replace(/:\d+$/, '').toLowerCase();
 }
