--- a/packages/http-adapters/src/weight-store.ts
+++ b/packages/http-adapters/src/weight-store.ts
@@ -12,7 +12,7 @@
   port: number,
 ): WeightStore {
   return {
-    sizeOf: (version) =>
+    getSizeBytes: (version) =>
       pipe(
         transport.sendForJson(
           {
--- a/packages/ports/src/index.ts
+++ b/packages/ports/src/index.ts
@@ -187,7 +187,7 @@
 /** The rate-limited store of model weights. */
 export interface WeightStore {
   /** Bytes of a version's weights. */
-  sizeOf(version: ModelVersion): PortCall<number>;
+  getSizeBytes(version: ModelVersion): PortCall<number>;
 }
 
 /** Gives the adapter for a target's address. */
