--- a/packages/ports/src/index.ts
+++ b/packages/ports/src/index.ts
@@ -1,4 +1,4 @@
-/** The narrow interfaces to every outside system. Each has one adapter. */
+/** Interfaces to the outside systems that limelead calls. */
 import type { PortFault } from '@limelead/errors';
 import type {
   AttachOrder,
@@ -12,30 +12,30 @@
 } from '@limelead/types';
 import type { TaskEither } from 'fp-ts/lib/TaskEither.js';
 
-/** A call to an outside system; it fails with a PortFault and never throws. */
+/** A call to an outside system. A failure is a `PortFault`; the call never throws. */
 export type PortCall<Value> = TaskEither<PortFault, Value>;
 
-/** An engine's stream. Reading is pulled, so a slow reader slows the engine's link. */
+/** The stream of an engine's response. A slow reader exerts back pressure on the connection. */
 export interface EngineStream {
-  /** Resolves with the next message, or undefined where the stream closed without an end marker. */
+  /** Resolves with the next message, or undefined if the stream ended without an `end` message. */
   read(): Promise<EngineMessage | undefined>;
-  /** Closes the link; does not cancel the generation. */
+  /** Closes the connection without cancelling the generation. */
   close(): void;
 }
 
-/** One model engine. */
+/** The client of one model engine. */
 export interface ModelEngine {
   start(order: StartOrder, signal: AbortSignal): PortCall<EngineStream>;
   attach(order: AttachOrder, signal: AbortSignal): PortCall<EngineStream>;
-  /** Stops a generation so that it costs no more engine work. */
+  /** Stops a generation and frees its capacity at the engine. */
   cancel(generationId: string, attempt: number): PortCall<void>;
-  /** Says whether the engine is still working on a generation. */
+  /** Checks whether the engine is still running a generation. */
   probe(generationId: string): PortCall<boolean>;
   reportLoad(): PortCall<LoadReport>;
   readCacheEvents(afterSequence: number): PortCall<CacheEvent[]>;
-  /** Copies the KV cache of a generation out of the engine; the text names the copy. */
+  /** Exports the KV cache of a generation and gives the name of the exported copy. */
   exportKv(generationId: string): PortCall<string>;
-  /** Takes over a copy, so that a following start behind a forced prefix needs no recomputing. */
+  /** Imports an exported KV cache, so that a later `start` need not recompute its prefix. */
   importKv(copy: string): PortCall<void>;
   order(order: PlacementOrder): PortCall<void>;
 }
@@ -48,152 +48,154 @@
   timeoutMs: number;
 }
 
-/** A plain service's answer. */
+/** The response of a plain service. */
 export interface PlainAnswer {
   status: number;
   body: Uint8Array;
 }
 
-/** One plain service on one target. Sends each call at most once. */
+/** The client of one plain service on one target. Sends each call at most once. */
 export interface PlainServiceTarget {
   call(call: PlainCall): PortCall<PlainAnswer>;
 }
 
-/** A value and the version that compare-and-swap compares; version 0 is an absent key. */
+/** A value and its version for compare-and-swap; version 0 means that the key does not exist. */
 export interface StoredValue {
   version: number;
   value: string;
 }
 
-/** What became of a compare-and-swap. */
+/** Result of a compare-and-swap. */
 export type SwapOutcome =
   { kind: 'swapped'; version: number } | { kind: 'mismatch'; current: StoredValue };
 
-/** A lease on the platform's service; the epoch grows with each change of holder. */
+/** A lease of the platform's key-value service. The epoch increases with each change of holder. */
 export interface Lease {
   name: string;
   holder: string;
   epoch: number;
-  /** Milliseconds until it lapses, as the service sees it. */
+  /** Milliseconds until the lease expires, by the clock of the service. */
   remainingMs: number;
 }
 
-/** The platform's key-value service. Every call counts against its rate. */
+/** The platform's key-value service. Every call counts towards its rate limit. */
 export interface KeyValueStore {
   get(key: string): PortCall<StoredValue>;
-  /** A PortFault with `sent: 'maybe'` leaves open whether the swap took effect. */
+  /** After a `PortFault` with `sent: 'maybe'`, the swap may or may not have taken effect. */
   compareAndSwap(key: string, expectedVersion: number, value: string): PortCall<SwapOutcome>;
   delete(key: string, expectedVersion: number): PortCall<boolean>;
-  /** Waits until the key's version is above `afterVersion` or the wait ends. */
+  /** Waits up to `waitMs` until the version of the key exceeds `afterVersion`. */
   watch(key: string, afterVersion: number, waitMs: number): PortCall<StoredValue>;
-  /** Takes or renews a lease; gives the present one, whoever holds it. */
+  /** Acquires or renews a lease. Gives the current lease, which may have another holder. */
   acquireLease(name: string, holder: string, ttlMs: number): PortCall<Lease>;
   releaseLease(name: string, holder: string): PortCall<void>;
 }
 
-/** An item of a store that writes under conditions. */
+/** An item of a `ConditionalStore`. */
 export interface StoreEntry {
   key: string;
   value: Buffer;
-  /** Store-wide number of the change that wrote it; later changes have higher numbers. */
+  /** Store-wide revision of the last write to the item; it increases with every write. */
   revision: number;
 }
 
-/** One change of a write that does everything or nothing. */
+/** One change within an atomic write. */
 export type StoreWrite =
-  /** @property lease the item goes when this lease ends; undefined where it stays */
+  /** @property lease id of the lease at whose end the item is deleted; undefined for none */
   { kind: 'put'; key: string; value: Buffer; lease?: number } | { kind: 'remove'; key: string };
 
-/** What has to stand for a write to be done; revision 0: the key is not there. */
+/** The revision that an item must have for a write; 0 means that the key must not exist. */
 export interface WriteCondition {
   key: string;
   revision: number;
 }
 
-/** What became of a conditional write. */
+/** Result of a conditional write. */
 export type WriteOutcome =
   | { kind: 'written'; revision: number }
-  /** A condition does not hold. */
+  /** A condition does not hold; nothing was written. */
   | { kind: 'mismatch' }
-  /** The lease of a put is over. */
+  /** The lease of a put has ended; nothing was written. */
   | { kind: 'lease-gone' };
 
-/** A lease that items of a store can hang on. */
+/** A lease that items of a store can be bound to. */
 export interface GrantedLease {
+  /** Id of the lease. */
   lease: number;
-  /** Time that it lasts from when the call arrived, as the store decided. */
+  /** Lifetime in milliseconds as granted by the store, from the arrival of the call. */
   ttlMs: number;
 }
 
 /**
- * A store with linearizable reads and writes under conditions. A write or a lease that
- * fails with `sent: 'maybe'` may be done already, or be done seconds later.
+ * A store with linearizable reads and conditional writes. A call that fails with
+ * `sent: 'maybe'` may already have taken effect, or may take effect seconds later.
  */
 export interface ConditionalStore {
-  /** Undefined where the key is not there. */
+  /** Gives undefined if the key does not exist. */
   read(key: string): PortCall<StoreEntry | undefined>;
   write(conditions: WriteCondition[], writes: StoreWrite[]): PortCall<WriteOutcome>;
   grantLease(ttlMs: number): PortCall<GrantedLease>;
-  /** False where the lease is over. */
+  /** Gives false if the lease has ended. */
   renewLease(lease: number): PortCall<boolean>;
   endLease(lease: number): PortCall<void>;
 }
 
-/** What every call that only one VM at a time may make carries. */
+/** Proof of holding a duty, sent with each call that only the duty's holder may make. */
 export interface DutyCredentials {
-  /** Name of the VM. */
+  /** Name of the VM that holds the duty. */
   holder: string;
-  /** Higher for each later holder. */
+  /** Fencing token; it increases with each change of holder. */
   token: number;
 }
 
-/** Requests of each organisation that targets began in one window of time. */
+/** Number of requests per organisation that targets began in one usage window. */
 export interface UsageReport {
-  /** Number of the window: window 0 begins with 1970, in true time. */
+  /** Number of the window; window 0 starts at the Unix epoch, in true time. */
   window: number;
   counts: ReadonlyMap<string, number>;
 }
 
-/** Number of targets that a failure domain should have. */
+/** The number of targets of a service that a failure domain should have. */
 export interface TargetOrder {
   service: string;
   failureDomain: string;
   count: number;
-  /** Plain and spot targets are ordered apart. */
+  /** Whether the order is for spot targets; they are ordered separately from regular ones. */
   isSpot: boolean;
 }
 
-/** What the platform says to a call of a duty. */
+/** The platform's answer to a call made under a duty. */
 export type DutyAnswer =
+  /** The call is accepted. */
   | 'taken'
-  /** An outdated token, or no spot target to be had now: the order's kind tells which. */
+  /** The token is outdated or, for an order of spot targets, none is available. */
   | 'refused'
-  /** Too many calls now. */
+  /** The rate limit for calls is exceeded. */
   | 'too-many'
-  /** The platform calls it invalid; it is repeated a few times at most. */
+  /** The call is invalid; callers retry it a few times at most. */
   | 'invalid';
 
-/** The platform's calls that only one VM at a time may make. */
+/** The platform's calls that only the holder of a duty may make. */
 export interface DutyPlatform {
   reportUsage(credentials: DutyCredentials, report: UsageReport): PortCall<DutyAnswer>;
   orderTargets(credentials: DutyCredentials, order: TargetOrder): PortCall<DutyAnswer>;
 }
 
-/** The platform's lagging list of live and leaving VMs. */
+/** The platform's list of live and leaving VMs; it lags behind the true state. */
 export interface VmListSource {
   read(): PortCall<VmList>;
 }
 
-/** The rate-limited store of model weights. */
+/** The store of model weights; its calls are rate-limited. */
 export interface WeightStore {
-  /** Bytes of a version's weights. */
+  /** Gives the size of a version's weights in bytes. */
   getSizeBytes(version: ModelVersion): PortCall<number>;
 }
 
-/** Gives the adapter for a target's address. */
+/** Creates clients for targets by their addresses. */
 export interface TargetConnector {
   engine(host: string, port: number): ModelEngine;
-  /** Hashes of the prompt's prefixes at block boundaries, shortest first, as engines publish them. */
+  /** Hashes the prompt's prefixes at block boundaries as engines do, shortest first. */
   hashPrompt(prompt: string): string[];
   plainService(host: string, port: number, service: string): PlainServiceTarget;
 }
