--- a/packages/http-adapters/src/engine-stream.ts
+++ b/packages/http-adapters/src/engine-stream.ts
@@ -1,31 +1,31 @@
-/** Reads an engine's stream of JSON lines. */
+/** Reads the JSON lines of an engine's response stream. */
 import { engineMessageCodec } from '@limelead/outside-protocol';
 import type { EngineStream } from '@limelead/ports';
 import type { EngineMessage } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
 import type { Readable } from 'node:stream';
 
-/** A line longer than this ends the stream, so that an engine can't fill the VM's memory. */
+/** A longer line ends the stream, which limits the memory that an engine can use up. */
 const MAX_LINE_CHARACTERS = 1_000_000;
 
-/** Wraps a response body. */
+/** Creates the message stream of a response body; lines that cannot be decoded are skipped. */
 export default function createEngineStream(body: Readable): EngineStream {
   const chunks = body.setEncoding('utf8')[Symbol.asyncIterator]() as AsyncIterator<
     string,
     undefined
   >;
-  let rest = '';
+  let partialLine = '';
   let ready: EngineMessage[] = [];
 
   async function read(): Promise<EngineMessage | undefined> {
     while (ready.length === 0) {
       const chunk = await readChunk(chunks);
-      if (chunk === undefined || rest.length + chunk.length > MAX_LINE_CHARACTERS) {
+      if (chunk === undefined || partialLine.length + chunk.length > MAX_LINE_CHARACTERS) {
         body.destroy();
         return undefined;
       }
-      const lines = (rest + chunk).split('\n');
-      rest = lines.pop() ?? '';
+      const lines = (partialLine + chunk).split('\n');
+      partialLine = lines.pop() ?? '';
       ready = mergeTokens(lines.flatMap(parseLine));
     }
     return ready.shift();
@@ -39,7 +39,7 @@
     const next: IteratorResult<string, undefined> = await chunks.next();
     return next.done === true ? undefined : next.value;
   } catch {
-    // A reset link and an end without a marker mean the same to the session.
+    // The session handles a reset connection like a stream without an end message.
     return undefined;
   }
 }
@@ -53,7 +53,7 @@
   }
 }
 
-/** Tokens that arrived together are handed on together. */
+/** Merges consecutive token messages into one. */
 function mergeTokens(messages: EngineMessage[]): EngineMessage[] {
   const merged: EngineMessage[] = [];
   for (const message of messages) {
--- a/packages/http-adapters/src/http-transport.ts
+++ b/packages/http-adapters/src/http-transport.ts
@@ -1,4 +1,4 @@
-/** Single HTTP requests over undici, with every failure as a PortFault. Nothing is ever sent twice. */
+/** HTTP requests over undici. Each is sent at most once, and every failure is a `PortFault`. */
 import { PortFault, type Sent } from '@limelead/errors';
 import type { PortCall } from '@limelead/ports';
 import * as E from 'fp-ts/lib/Either.js';
@@ -8,15 +8,15 @@
 const CONNECT_TIMEOUT_MS = 1_000;
 const DEFAULT_TIMEOUT_MS = 2_000;
 
-/** Error codes that can only stand for a connection that was never made. */
-const NEVER_CONNECTED_CODES = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT']);
-/** Answers that say that the system did not act on the request. */
-const NOT_ACTED_STATUS = new Set([429, 503]);
+/** Error codes that occur only before a connection is established. */
+const NOT_CONNECTED_CODES = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT']);
+/** Statuses by which a system says that it did not execute the request. */
+const NOT_EXECUTED_STATUSES = new Set([429, 503]);
 const NOT_FOUND = 404;
 const CONFLICT = 409;
-const FIRST_ERROR_STATUS = 300;
+const MIN_FAILURE_STATUS = 300;
 
-/** One request. */
+/** An HTTP request. */
 export interface HttpRequest {
   method: 'GET' | 'POST';
   host: string;
@@ -24,25 +24,25 @@
   path: string;
   headers?: Record<string, string>;
   body?: string | Uint8Array;
-  /** Milliseconds until the answer must have begun; 0 is no limit. */
+  /** Timeout for the response headers; 0 means no timeout. */
   timeoutMs?: number;
   signal?: AbortSignal;
 }
 
-/** Sends requests. */
+/** Sends each request at most once. */
 export interface HttpTransport {
-  /** Sends once; gives the answer whatever its status. */
+  /** Gives the response with any status. */
   send(request: HttpRequest): PortCall<Dispatcher.ResponseData>;
-  /** Sends once; the answer must have a good status and a body that the codec takes. */
-  sendForJson<Value>(request: HttpRequest, codec: t.Type<Value, unknown>): PortCall<Value>;
-  /** Sends once; only the status counts. */
-  sendForNothing(request: HttpRequest): PortCall<void>;
+  /** Gives the decoded body. Fails on an error status or a body that the codec rejects. */
+  requestJson<Value>(request: HttpRequest, codec: t.Type<Value, unknown>): PortCall<Value>;
+  /** Discards the body. Fails on an error status. */
+  requestStatus(request: HttpRequest): PortCall<void>;
   close(): Promise<void>;
 }
 
-/** Creates the transport of one process. */
+/** Creates the transport that a process uses for all requests. */
 export default function createHttpTransport(): HttpTransport {
-  // pipelining: 1 keeps a broken connection from hitting requests other than its own.
+  // Without pipelining, a broken connection fails only one request.
   const agent = new Agent({
     pipelining: 1,
     connect: { timeout: CONNECT_TIMEOUT_MS },
@@ -59,17 +59,17 @@
       }
     };
 
-  const sendForJson =
+  const requestJson =
     <Value>(request: HttpRequest, codec: t.Type<Value, unknown>): PortCall<Value> =>
     async () => {
-      const response = await sendForGoodStatus(send, request)();
+      const response = await sendExpectingSuccess(send, request)();
       return E.isLeft(response) ? response : readJson(response.right, codec);
     };
 
-  const sendForNothing =
+  const requestStatus =
     (request: HttpRequest): PortCall<void> =>
     async () => {
-      const response = await sendForGoodStatus(send, request)();
+      const response = await sendExpectingSuccess(send, request)();
       if (E.isLeft(response)) {
         return response;
       }
@@ -77,21 +77,21 @@
       return E.right(undefined);
     };
 
-  return { send, sendForJson, sendForNothing, close: () => agent.destroy() };
+  return { send, requestJson, requestStatus, close: () => agent.destroy() };
 }
 
-/** Sends a request and turns a bad status into a fault. */
-export function sendForGoodStatus(
+/** Sends a request and converts an error status to a fault. */
+export function sendExpectingSuccess(
   send: HttpTransport['send'],
   request: HttpRequest,
 ): PortCall<Dispatcher.ResponseData> {
   return async () => {
     const response = await send(request)();
-    if (E.isLeft(response) || response.right.statusCode < FIRST_ERROR_STATUS) {
+    if (E.isLeft(response) || response.right.statusCode < MIN_FAILURE_STATUS) {
       return response;
     }
     await discardBody(response.right);
-    return E.left(describeStatus(response.right.statusCode));
+    return E.left(toStatusFault(response.right.statusCode));
   };
 }
 
@@ -117,7 +117,7 @@
     const decoded = codec.decode(await response.body.json());
     return E.isRight(decoded)
       ? E.right(decoded.right)
-      : E.left(new PortFault('invalid', 'maybe', 'the answer has an unexpected shape'));
+      : E.left(new PortFault('invalid', 'maybe', 'the response body has an unexpected shape'));
   } catch (thrown) {
     return E.left(toPortFault(thrown));
   }
@@ -127,11 +127,11 @@
   await response.body.dump().catch(() => undefined);
 }
 
-function describeStatus(status: number): PortFault {
+function toStatusFault(status: number): PortFault {
   if (status === NOT_FOUND) {
     return new PortFault('gone', 'maybe', 'not found');
   }
-  const sent: Sent = NOT_ACTED_STATUS.has(status) ? 'no' : 'maybe';
+  const sent: Sent = NOT_EXECUTED_STATUSES.has(status) ? 'no' : 'maybe';
   const reason = sent === 'no' || status === CONFLICT ? 'refused' : 'invalid';
   return new PortFault(reason, sent, `status ${status}`);
 }
@@ -139,7 +139,7 @@
 function toPortFault(thrown: unknown): PortFault {
   const code = readCode(thrown);
   const message = thrown instanceof Error ? thrown.message : String(thrown);
-  if (NEVER_CONNECTED_CODES.has(code)) {
+  if (NOT_CONNECTED_CODES.has(code)) {
     return new PortFault('unreachable', 'no', message);
   }
   const isTimeout = code === 'UND_ERR_HEADERS_TIMEOUT';
--- a/packages/http-adapters/src/index.ts
+++ b/packages/http-adapters/src/index.ts
@@ -1,4 +1,4 @@
-/** HTTP adapters for the ports, one for each outside system. No adapter ever sends a request twice. */
+/** HTTP adapters for the ports. They send each request at most once. */
 export { default as createHttpTransport, type HttpTransport } from './http-transport.js';
 export { default as createHttpTargetConnector } from './target-connector.js';
 export { default as createHttpKeyValueStore } from './key-value-store.js';
--- a/packages/http-adapters/src/key-value-store.ts
+++ b/packages/http-adapters/src/key-value-store.ts
@@ -1,4 +1,4 @@
-/** The adapter to the platform's key-value service. */
+/** HTTP adapter for the platform's key-value service. */
 import {
   deletedCodec,
   leaseCodec,
@@ -11,10 +11,10 @@
 import * as TE from 'fp-ts/lib/TaskEither.js';
 import type { HttpRequest, HttpTransport } from './http-transport.js';
 
-/** Time on top of a watch's own wait before it counts as failed. */
-const WATCH_GRACE_MS = 1_000;
+/** Added to the wait of a watch to get its timeout. */
+const WATCH_TIMEOUT_MARGIN_MS = 1_000;
 
-/** Creates the adapter for the service's address. */
+/** Creates a client of the key-value service at an address. */
 export default function createHttpKeyValueStore(
   transport: HttpTransport,
   host: string,
@@ -29,25 +29,25 @@
     timeoutMs,
   });
   return {
-    get: (key) => transport.sendForJson(post(PLATFORM_PATHS.get, { key }), storedValueCodec),
+    get: (key) => transport.requestJson(post(PLATFORM_PATHS.get, { key }), storedValueCodec),
     compareAndSwap: (key, expectedVersion, value) =>
-      transport.sendForJson(
+      transport.requestJson(
         post(PLATFORM_PATHS.compareAndSwap, { key, expectedVersion, value }),
         swapOutcomeCodec,
       ),
     delete: (key, expectedVersion) =>
       pipe(
-        transport.sendForJson(post(PLATFORM_PATHS.delete, { key, expectedVersion }), deletedCodec),
+        transport.requestJson(post(PLATFORM_PATHS.delete, { key, expectedVersion }), deletedCodec),
         TE.map(({ deleted }) => deleted),
       ),
     watch: (key, afterVersion, waitMs) =>
-      transport.sendForJson(
-        post(PLATFORM_PATHS.watch, { key, afterVersion, waitMs }, waitMs + WATCH_GRACE_MS),
+      transport.requestJson(
+        post(PLATFORM_PATHS.watch, { key, afterVersion, waitMs }, waitMs + WATCH_TIMEOUT_MARGIN_MS),
         storedValueCodec,
       ),
     acquireLease: (name, holder, ttlMs) =>
-      transport.sendForJson(post(PLATFORM_PATHS.acquireLease, { name, holder, ttlMs }), leaseCodec),
+      transport.requestJson(post(PLATFORM_PATHS.acquireLease, { name, holder, ttlMs }), leaseCodec),
     releaseLease: (name, holder) =>
-      transport.sendForNothing(post(PLATFORM_PATHS.releaseLease, { name, holder })),
+      transport.requestStatus(post(PLATFORM_PATHS.releaseLease, { name, holder })),
   };
 }
--- a/packages/http-adapters/src/model-engine.ts
+++ b/packages/http-adapters/src/model-engine.ts
@@ -1,4 +1,4 @@
-/** The adapter to one model engine. */
+/** HTTP adapter for model engines. */
 import {
   cacheEventsCodec,
   ENGINE_PATHS,
@@ -10,24 +10,24 @@
 import { pipe } from 'fp-ts/lib/function.js';
 import * as TE from 'fp-ts/lib/TaskEither.js';
 import createEngineStream from './engine-stream.js';
-import { sendForGoodStatus, type HttpRequest, type HttpTransport } from './http-transport.js';
+import { sendExpectingSuccess, type HttpRequest, type HttpTransport } from './http-transport.js';
 
 const PROBE_TIMEOUT_MS = 300;
 const LOAD_TIMEOUT_MS = 1_000;
 
-/** Creates the adapter for an engine's address. */
+/** Creates a client of the model engine at an address. */
 export default function createHttpModelEngine(
   transport: HttpTransport,
   host: string,
   port: number,
 ): ModelEngine {
-  const post = (path: string, body: object, more: Partial<HttpRequest> = {}): HttpRequest => ({
+  const post = (path: string, body: object, options: Partial<HttpRequest> = {}): HttpRequest => ({
     method: 'POST',
     host,
     port,
     path,
     body: JSON.stringify(body),
-    ...more,
+    ...options,
   });
   const get = (path: string, timeoutMs: number): HttpRequest => ({
     method: 'GET',
@@ -36,10 +36,10 @@
     path,
     timeoutMs,
   });
-  // The session's own silence bound limits how long a stream may take to open.
+  // No timeout here: the session's silence timeout covers opening the stream.
   const openStream = (path: string, body: object, signal: AbortSignal): PortCall<EngineStream> =>
     pipe(
-      sendForGoodStatus(transport.send, post(path, body, { timeoutMs: 0, signal })),
+      sendExpectingSuccess(transport.send, post(path, body, { timeoutMs: 0, signal })),
       TE.map((response) => createEngineStream(response.body)),
     );
 
@@ -47,20 +47,20 @@
     start: (order, signal) => openStream(ENGINE_PATHS.generations, order, signal),
     attach: (order, signal) => openStream(ENGINE_PATHS.attach, order, signal),
     cancel: (generationId, attempt) =>
-      transport.sendForNothing(post(ENGINE_PATHS.cancel, { generationId, attempt })),
+      transport.requestStatus(post(ENGINE_PATHS.cancel, { generationId, attempt })),
     probe: (generationId) =>
       pipe(
-        transport.sendForJson(
+        transport.requestJson(
           post(ENGINE_PATHS.probe, { generationId }, { timeoutMs: PROBE_TIMEOUT_MS }),
           probeCodec,
         ),
         TE.map(({ running }) => running),
       ),
     reportLoad: () =>
-      transport.sendForJson(get(ENGINE_PATHS.load, LOAD_TIMEOUT_MS), loadReportCodec),
+      transport.requestJson(get(ENGINE_PATHS.load, LOAD_TIMEOUT_MS), loadReportCodec),
     readCacheEvents: (afterSequence) =>
       pipe(
-        transport.sendForJson(
+        transport.requestJson(
           get(`${ENGINE_PATHS.cacheEvents}?after=${afterSequence}`, LOAD_TIMEOUT_MS),
           cacheEventsCodec,
         ),
@@ -68,10 +68,10 @@
       ),
     exportKv: (generationId) =>
       pipe(
-        transport.sendForJson(post(ENGINE_PATHS.exportKv, { generationId }), exportKvCodec),
+        transport.requestJson(post(ENGINE_PATHS.exportKv, { generationId }), exportKvCodec),
         TE.map(({ copy }) => copy),
       ),
-    importKv: (copy) => transport.sendForNothing(post(ENGINE_PATHS.importKv, { copy })),
-    order: (order) => transport.sendForNothing(post(ENGINE_PATHS.orders, order)),
+    importKv: (copy) => transport.requestStatus(post(ENGINE_PATHS.importKv, { copy })),
+    order: (order) => transport.requestStatus(post(ENGINE_PATHS.orders, order)),
   };
 }
--- a/packages/http-adapters/src/never-sends-twice.test.ts
+++ b/packages/http-adapters/src/never-sends-twice.test.ts
@@ -1,4 +1,4 @@
-/** No library under the adapters may send a request again behind our back. */
+/** Guards against HTTP libraries that silently retry requests. */
 import * as E from 'fp-ts/lib/Either.js';
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { test } from 'uvu';
@@ -19,8 +19,8 @@
   close(): Promise<void>;
 }
 
-/** Counts the requests that arrive, and answers each in a way of its own. */
-async function startCounting(
+/** Starts a server that counts requests and passes each to `answer`. */
+async function startCountingServer(
   answer: (socket: Socket, request: number) => void,
 ): Promise<CountingServer> {
   let requests = 0;
@@ -57,24 +57,24 @@
   return outcome;
 }
 
-test('a link that is reset after the request arrived: sent once, and maybe run', async () => {
-  const server = await startCounting((socket) => socket.resetAndDestroy());
+test('a connection reset after the request arrived: sent once, reported as maybe sent', async () => {
+  const server = await startCountingServer((socket) => socket.resetAndDestroy());
   const outcome = await callOnce(server.port);
   assert.ok(E.isLeft(outcome) && outcome.left.sent === 'maybe');
   assert.is(server.requests(), 1);
   await server.close();
 });
 
-test('a service that never answers: sent once, and maybe run', async () => {
-  const server = await startCounting(() => undefined);
+test('a service that never responds: sent once, reported as maybe sent', async () => {
+  const server = await startCountingServer(() => undefined);
   const outcome = await callOnce(server.port);
   assert.ok(E.isLeft(outcome) && outcome.left.sent === 'maybe');
   assert.is(server.requests(), 1);
   await server.close();
 });
 
-test('an answer that is cut in the middle: sent once, and maybe run', async () => {
-  const server = await startCounting((socket) => {
+test('a truncated response: sent once, reported as maybe sent', async () => {
+  const server = await startCountingServer((socket) => {
     socket.end('HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf');
   });
   const outcome = await callOnce(server.port);
@@ -83,8 +83,8 @@
   await server.close();
 });
 
-test('a kept link that is reset under the second request: that one is sent once', async () => {
-  const server = await startCounting((socket, request) =>
+test('a reused connection reset during the second request: that request is sent once', async () => {
+  const server = await startCountingServer((socket, request) =>
     request === 1 ? socket.write(OK) : socket.resetAndDestroy(),
   );
   const transport = createHttpTransport();
@@ -97,8 +97,8 @@
   await server.close();
 });
 
-test('a connection that is refused: certainly not sent', async () => {
-  const server = await startCounting(() => undefined);
+test('a refused connection: reported as not sent', async () => {
+  const server = await startCountingServer(() => undefined);
   await server.close();
   const outcome = await callOnce(server.port);
   assert.ok(E.isLeft(outcome) && outcome.left.sent === 'no');
--- a/packages/http-adapters/src/plain-service.ts
+++ b/packages/http-adapters/src/plain-service.ts
@@ -1,4 +1,4 @@
-/** The adapter to one plain service on one target. */
+/** HTTP adapter for plain services. */
 import { PortFault } from '@limelead/errors';
 import { PLAIN_SERVICE_PREFIX, REQUEST_ID_HEADER } from '@limelead/outside-protocol';
 import type { PlainAnswer, PlainServiceTarget } from '@limelead/ports';
@@ -6,10 +6,10 @@
 import type { Dispatcher } from 'undici';
 import type { HttpTransport } from './http-transport.js';
 
-const MAX_ANSWER_BYTES = 1_048_576;
-const NOT_ACTED_STATUS = 503;
+const MAX_RESPONSE_BYTES = 1_048_576;
+const NOT_EXECUTED_STATUS = 503;
 
-/** Creates the adapter for a service at an address. */
+/** Creates a client of the plain service at an address. */
 export default function createHttpPlainService(
   transport: HttpTransport,
   host: string,
@@ -32,25 +32,25 @@
         timeoutMs: call.timeoutMs,
         signal: AbortSignal.timeout(call.timeoutMs),
       })();
-      return E.isLeft(response) ? response : readAnswer(response.right);
+      return E.isLeft(response) ? response : readResponse(response.right);
     },
   };
 }
 
-async function readAnswer(
+async function readResponse(
   response: Dispatcher.ResponseData,
 ): Promise<E.Either<PortFault, PlainAnswer>> {
-  if (response.statusCode === NOT_ACTED_STATUS) {
+  if (response.statusCode === NOT_EXECUTED_STATUS) {
     await response.body.dump();
-    return E.left(new PortFault('refused', 'no', 'the service says that it did not act'));
+    return E.left(new PortFault('refused', 'no', 'the service did not execute the request'));
   }
   try {
     const chunks: Buffer[] = [];
     let size = 0;
     for await (const chunk of response.body as AsyncIterable<Buffer>) {
       size += chunk.length;
-      if (size > MAX_ANSWER_BYTES) {
-        return E.left(new PortFault('invalid', 'maybe', 'the answer is too large'));
+      if (size > MAX_RESPONSE_BYTES) {
+        return E.left(new PortFault('invalid', 'maybe', 'the response is too large'));
       }
       chunks.push(chunk);
     }
--- a/packages/http-adapters/src/target-connector.ts
+++ b/packages/http-adapters/src/target-connector.ts
@@ -1,11 +1,11 @@
-/** Gives the adapter for a target's address. */
+/** Creates HTTP clients for targets by their addresses. */
 import { hashPromptBlocks } from '@limelead/outside-protocol';
 import type { TargetConnector } from '@limelead/ports';
 import type { HttpTransport } from './http-transport.js';
 import createHttpModelEngine from './model-engine.js';
 import createHttpPlainService from './plain-service.js';
 
-/** Creates the connector of one process. */
+/** Creates a connector whose clients share one transport. */
 export default function createHttpTargetConnector(transport: HttpTransport): TargetConnector {
   return {
     engine: (host, port) => createHttpModelEngine(transport, host, port),
--- a/packages/http-adapters/src/vm-list-source.ts
+++ b/packages/http-adapters/src/vm-list-source.ts
@@ -1,9 +1,9 @@
-/** The adapter to the platform's list of VMs. */
+/** HTTP adapter for the platform's list of VMs. */
 import { PLATFORM_PATHS, vmListCodec } from '@limelead/outside-protocol';
 import type { VmListSource } from '@limelead/ports';
 import type { HttpTransport } from './http-transport.js';
 
-/** Creates the adapter for the list's address. */
+/** Creates a client of the VM list at an address. */
 export default function createHttpVmListSource(
   transport: HttpTransport,
   host: string,
@@ -11,6 +11,6 @@
 ): VmListSource {
   return {
     read: () =>
-      transport.sendForJson({ method: 'GET', host, port, path: PLATFORM_PATHS.vms }, vmListCodec),
+      transport.requestJson({ method: 'GET', host, port, path: PLATFORM_PATHS.vms }, vmListCodec),
   };
 }
--- a/packages/http-adapters/src/weight-store.ts
+++ b/packages/http-adapters/src/weight-store.ts
@@ -1,11 +1,11 @@
-/** The adapter to the store of model weights. */
+/** HTTP adapter for the store of model weights. */
 import { PLATFORM_PATHS, weightsCodec } from '@limelead/outside-protocol';
 import type { WeightStore } from '@limelead/ports';
 import { pipe } from 'fp-ts/lib/function.js';
 import * as TE from 'fp-ts/lib/TaskEither.js';
 import type { HttpTransport } from './http-transport.js';
 
-/** Creates the adapter for the store's address. */
+/** Creates a client of the weight store at an address. */
 export default function createHttpWeightStore(
   transport: HttpTransport,
   host: string,
@@ -14,7 +14,7 @@
   return {
     getSizeBytes: (version) =>
       pipe(
-        transport.sendForJson(
+        transport.requestJson(
           {
             method: 'POST',
             host,
