--- a/packages/call-json/src/json-caller.ts
+++ b/packages/call-json/src/json-caller.ts
@@ -3,15 +3,15 @@
 import type { PortCall } from '@limelead/ports';
 import type { Address } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
-import createSingleConnection from './single-connection.js';
+import createSingleConnectionClient from './single-connection-client.js';
 
 /**
  * Time after which an idle connection is closed, in milliseconds. Calls are a second or
  * more apart: each gets a connection of its own, which can't have died unnoticed.
  */
-const IDLE_CONNECTION_MS = 500;
+const IDLE_CONNECTION_TIMEOUT_MS = 500;
 /** Codes of faults behind which no byte of the request left. */
-const NEVER_CONNECTED_CODES = new Set([
+const NOT_CONNECTED_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -28,17 +28,17 @@
 }
 
 /** What came back, whatever its status; the body is undefined where it is no JSON. */
-export interface JsonReply {
+export interface JsonResponse {
   status: number;
   body: unknown;
 }
 
 /** Makes a call. */
-export type JsonCaller = (call: JsonCall) => PortCall<JsonReply>;
+export type JsonCaller = (call: JsonCall) => PortCall<JsonResponse>;
 
 /** @param timeoutMs time from the call to the end of its answer, in milliseconds */
 export default function createJsonCaller(address: Address, timeoutMs: number): JsonCaller {
-  const client = createSingleConnection(address, IDLE_CONNECTION_MS);
+  const client = createSingleConnectionClient(address, IDLE_CONNECTION_TIMEOUT_MS);
   return (call) => async () => {
     const silence = new AbortController();
     const timer = setTimeout(() => silence.abort(), timeoutMs);
@@ -51,7 +51,7 @@
         body: call.body && JSON.stringify(call.body),
         signal: silence.signal,
       });
-      return E.right({ status: statusCode, body: parse(await body.text()) });
+      return E.right({ status: statusCode, body: parseJson(await body.text()) });
     } catch (thrown) {
       return E.left(toFault(thrown, silence.signal.aborted));
     } finally {
@@ -60,7 +60,7 @@
   };
 }
 
-function parse(text: string): unknown {
+function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
   } catch {
@@ -72,7 +72,7 @@
 function toFault(thrown: unknown, isTimeout: boolean): PortFault {
   const message = thrown instanceof Error ? thrown.message : String(thrown);
   const code = (thrown as { code?: unknown } | undefined)?.code;
-  if (typeof code === 'string' && NEVER_CONNECTED_CODES.has(code)) {
+  if (typeof code === 'string' && NOT_CONNECTED_CODES.has(code)) {
     return new PortFault('unreachable', 'no', message);
   }
   return new PortFault(isTimeout ? 'timeout' : 'broken', 'maybe', message);
--- a/packages/call-json/src/request-text.ts
+++ b/packages/call-json/src/request-text.ts
@@ -10,7 +10,7 @@
 }
 
 /** How long an answer may be silent. */
-export interface SilenceBounds {
+export interface SilenceTimeouts {
   /** Before anything of it came, in milliseconds. */
   firstMs: Millis;
   /** Between two parts of it, in milliseconds. */
@@ -18,7 +18,7 @@
 }
 
 /** An answer that is whole. */
-export interface TextReply {
+export interface TextResponse {
   status: number;
   text: string;
 }
@@ -30,8 +30,8 @@
 export default async function requestText(
   client: Client,
   { path, query }: TextRequest,
-  { firstMs, silenceMs }: SilenceBounds,
-): Promise<E.Either<TextFault, TextReply>> {
+  { firstMs, silenceMs }: SilenceTimeouts,
+): Promise<E.Either<TextFault, TextResponse>> {
   const silence = new AbortController();
   const { signal } = silence;
   let timer = setTimeout(() => silence.abort(), firstMs);
--- a/packages/call-json/src/single-connection.ts
+++ b/packages/call-json/src/single-connection-client.ts
@@ -10,7 +10,10 @@
  * Creates a client that sends one request at a time; callers bound the time of each.
  * @param idleMs time after which an idle connection is closed, in milliseconds
  */
-export default function createSingleConnection({ host, port }: Address, idleMs: number): Client {
+export default function createSingleConnectionClient(
+  { host, port }: Address,
+  idleMs: number,
+): Client {
   return new Client(`http://${host}:${port}`, {
     pipelining: 1,
     connect: createConnector(CONNECT_TIMEOUT_MS),
