--- a/packages/call-json/src/json-caller.ts
+++ b/packages/call-json/src/json-caller.ts
@@ -1,4 +1,4 @@
-/** Single calls with JSON bodies to one service. Nothing is sent twice. */
+/** Calls with JSON bodies to one service; each is sent at most once. */
 import { PortFault } from '@limelead/errors';
 import type { PortCall } from '@limelead/ports';
 import type { Address } from '@limelead/types';
@@ -6,11 +6,11 @@
 import createSingleConnectionClient from './single-connection-client.js';
 
 /**
- * Time after which an idle connection is closed, in milliseconds. Calls are a second or
- * more apart: each gets a connection of its own, which can't have died unnoticed.
+ * Shorter than the time between calls, so that each call opens a new connection instead of
+ * reusing one that may have died.
  */
 const IDLE_CONNECTION_TIMEOUT_MS = 500;
-/** Codes of faults behind which no byte of the request left. */
+/** Error codes that occur only before a connection is established. */
 const NOT_CONNECTED_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -18,7 +18,7 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** One call. */
+/** A call; a body is sent as JSON. */
 export interface JsonCall {
   method: 'GET' | 'POST' | 'DELETE';
   path: string;
@@ -27,21 +27,21 @@
   body?: object;
 }
 
-/** What came back, whatever its status; the body is undefined where it is no JSON. */
+/** A response with any status. The body is undefined if it is not valid JSON. */
 export interface JsonResponse {
   status: number;
   body: unknown;
 }
 
-/** Makes a call. */
+/** Makes a call. Fails with a `PortFault` that says whether the request may have been sent. */
 export type JsonCaller = (call: JsonCall) => PortCall<JsonResponse>;
 
-/** @param timeoutMs time from the call to the end of its answer, in milliseconds */
+/** @param timeoutMs timeout from the call to the end of the response, in milliseconds */
 export default function createJsonCaller(address: Address, timeoutMs: number): JsonCaller {
   const client = createSingleConnectionClient(address, IDLE_CONNECTION_TIMEOUT_MS);
   return (call) => async () => {
-    const silence = new AbortController();
-    const timer = setTimeout(() => silence.abort(), timeoutMs);
+    const timeout = new AbortController();
+    const timer = setTimeout(() => timeout.abort(), timeoutMs);
     try {
       const { statusCode, body } = await client.request({
         method: call.method,
@@ -49,11 +49,11 @@
         query: call.query,
         headers: { ...call.headers, ...(call.body && { 'content-type': 'application/json' }) },
         body: call.body && JSON.stringify(call.body),
-        signal: silence.signal,
+        signal: timeout.signal,
       });
       return E.right({ status: statusCode, body: parseJson(await body.text()) });
     } catch (thrown) {
-      return E.left(toFault(thrown, silence.signal.aborted));
+      return E.left(toFault(thrown, timeout.signal.aborted));
     } finally {
       clearTimeout(timer);
     }
@@ -64,7 +64,7 @@
   try {
     return JSON.parse(text);
   } catch {
-    // Bodies of refusals need not be JSON; who needs a body checks its shape.
+    // Error responses need not be JSON. Callers that need a body check its shape.
     return undefined;
   }
 }
--- a/packages/call-json/src/request-text.ts
+++ b/packages/call-json/src/request-text.ts
@@ -1,47 +1,47 @@
-/** One call whose answer may take its time as long as it goes on coming. */
+/** A GET request with timeouts on silence instead of on its total duration. */
 import type { Millis } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
 import type { Client, Dispatcher } from 'undici';
 
-/** What is asked. */
+/** Path and query of a GET request. */
 export interface TextRequest {
   path: string;
   query: Record<string, string | number>;
 }
 
-/** How long an answer may be silent. */
+/** Timeouts without received data, in milliseconds. */
 export interface SilenceTimeouts {
-  /** Before anything of it came, in milliseconds. */
+  /** From the request to the response headers. */
   firstMs: Millis;
-  /** Between two parts of it, in milliseconds. */
+  /** From the headers to the first chunk, and between chunks. */
   silenceMs: Millis;
 }
 
-/** An answer that is whole. */
+/** A response that was read completely. */
 export interface TextResponse {
   status: number;
   text: string;
 }
 
-/** Why there is none: nothing came in time, or the connection did not come up or broke. */
+/** Why a request failed: a silence timeout, or a connection that could not be opened or broke. */
 export type TextFault = 'silent' | 'unreachable';
 
-/** Sends a GET and reads its answer whole. */
+/** Sends a GET request and reads the complete response. */
 export default async function requestText(
   client: Client,
   { path, query }: TextRequest,
   { firstMs, silenceMs }: SilenceTimeouts,
 ): Promise<E.Either<TextFault, TextResponse>> {
-  const silence = new AbortController();
-  const { signal } = silence;
-  let timer = setTimeout(() => silence.abort(), firstMs);
-  const onHeard = (): void => {
+  const timeout = new AbortController();
+  const { signal } = timeout;
+  let timer = setTimeout(() => timeout.abort(), firstMs);
+  const onData = (): void => {
     clearTimeout(timer);
-    timer = setTimeout(() => silence.abort(), silenceMs);
+    timer = setTimeout(() => timeout.abort(), silenceMs);
   };
   try {
     const { statusCode, body } = await client.request({ method: 'GET', path, query, signal });
-    return E.right({ status: statusCode, text: await readText(body, onHeard) });
+    return E.right({ status: statusCode, text: await readText(body, onData) });
   } catch {
     return E.left(signal.aborted ? 'silent' : 'unreachable');
   } finally {
@@ -49,16 +49,16 @@
   }
 }
 
-/** Reads a body whole; `onHeard` is called with its head and with each part of it. */
+/** Reads a complete body. Calls `onData` once at the start and for each chunk. */
 async function readText(
   body: Dispatcher.ResponseData['body'],
-  onHeard: () => void,
+  onData: () => void,
 ): Promise<string> {
-  onHeard();
-  const parts: Buffer[] = [];
-  for await (const part of body) {
-    onHeard();
-    parts.push(Buffer.from(part as Uint8Array));
+  onData();
+  const chunks: Buffer[] = [];
+  for await (const chunk of body) {
+    onData();
+    chunks.push(Buffer.from(chunk as Uint8Array));
   }
-  return Buffer.concat(parts).toString('utf8');
+  return Buffer.concat(chunks).toString('utf8');
 }
--- a/packages/call-json/src/single-connection-client.ts
+++ b/packages/call-json/src/single-connection-client.ts
@@ -1,14 +1,14 @@
-/** One connection to a service of the platform, opened anew where it rested for too long. */
+/** HTTP client with a single connection to a service of the platform. */
 import { createConnector } from '@limelead/target-connections';
 import type { Address } from '@limelead/types';
 import { Client } from 'undici';
 
-/** Time for a connection, in milliseconds; one within the region takes some. */
 const CONNECT_TIMEOUT_MS = 400;
 
 /**
- * Creates a client that sends one request at a time; callers bound the time of each.
- * @param idleMs time after which an idle connection is closed, in milliseconds
+ * Creates a client that sends one request at a time. It has no request timeout; callers set one.
+ * @param idleMs time after which an idle connection is closed, in milliseconds; the next request
+ *   opens a new one
  */
 export default function createSingleConnectionClient(
   { host, port }: Address,
