--- a/packages/outside-protocol/src/codecs.ts
+++ b/packages/outside-protocol/src/codecs.ts
@@ -1,9 +1,9 @@
-/** Codecs of the bodies. Unknown keys are let through, so that the outside systems can grow. */
+/** Codecs of the message bodies. Unknown keys are accepted, so that systems can add fields. */
 import * as t from 'io-ts';
 
 const modelVersion = t.type({ model: t.string, adapter: t.string, version: t.string });
 
-/** One line of an engine's stream. */
+/** A line of an engine's response stream. */
 export const engineMessageCodec = t.union([
   t.type({ kind: t.literal('accepted'), cachedPromptTokens: t.number, promptTokens: t.number }),
   t.type({ kind: t.literal('tokens'), offset: t.number, tokens: t.array(t.string) }),
@@ -14,7 +14,7 @@
   }),
 ]);
 
-/** What an engine says of its load. */
+/** Load report of an engine. */
 export const loadReportCodec = t.type({
   takenAtMs: t.number,
   running: t.number,
@@ -26,7 +26,7 @@
   fence: t.number,
 });
 
-/** What an engine says of its prefix cache. */
+/** Changes of an engine's prefix cache. */
 export const cacheEventsCodec = t.type({
   events: t.array(
     t.type({
@@ -37,25 +37,25 @@
   ),
 });
 
-/** Answer to a probe. */
+/** Response to a probe; says whether the generation is running. */
 export const probeCodec = t.type({ running: t.boolean });
 
-/** Answer to an export of KV cache. */
+/** Response to an export of a KV cache; `copy` names the exported copy. */
 export const exportKvCodec = t.type({ copy: t.string });
 
-/** A value of the key-value service. */
+/** A value of the key-value service with its version. */
 export const storedValueCodec = t.type({ version: t.number, value: t.string });
 
-/** Answer to a compare-and-swap. */
+/** Response to a compare-and-swap. */
 export const swapOutcomeCodec = t.union([
   t.type({ kind: t.literal('swapped'), version: t.number }),
   t.type({ kind: t.literal('mismatch'), current: storedValueCodec }),
 ]);
 
-/** Answer to a delete. */
+/** Response to a delete. */
 export const deletedCodec = t.type({ deleted: t.boolean });
 
-/** A lease. */
+/** A lease of the key-value service. */
 export const leaseCodec = t.type({
   name: t.string,
   holder: t.string,
@@ -63,7 +63,7 @@
   remainingMs: t.number,
 });
 
-/** The list of VMs. */
+/** The platform's list of VMs. */
 export const vmListCodec = t.type({
   version: t.number,
   vms: t.array(
@@ -79,5 +79,5 @@
   ),
 });
 
-/** Size of a version's weights. */
+/** Size of the weights of a model version. */
 export const weightsCodec = t.type({ bytes: t.number });
--- a/packages/outside-protocol/src/count-prompt-tokens.ts
+++ b/packages/outside-protocol/src/count-prompt-tokens.ts
@@ -1,8 +1,6 @@
-/** How engines count the tokens of a prompt. */
-
 const CHARACTERS_PER_TOKEN = 4;
 
-/** Tokens of a prompt: one for each four characters begun. */
+/** Counts the tokens of a prompt as engines do: one per four characters, rounded up. */
 export default function countPromptTokens(prompt: string): number {
   return Math.ceil(prompt.length / CHARACTERS_PER_TOKEN);
 }
--- a/packages/outside-protocol/src/hash-prompt-blocks.ts
+++ b/packages/outside-protocol/src/hash-prompt-blocks.ts
@@ -1,23 +1,23 @@
-/** The hash under which engines publish the prefixes in their caches. */
+/** The hashes by which engines identify the prompt prefixes in their caches. */
 import { createHash } from 'node:crypto';
 
-/** Characters of a prompt in one cached block. */
+/** Number of prompt characters in a block of an engine's prefix cache. */
 export const BLOCK_CHARACTERS = 64;
 const HASH_CHARACTERS = 16;
 
 /**
- * Hashes every prefix of the prompt that ends at a block boundary, shortest
- * first. Each hash covers all blocks before it, so equal hashes mean equal
- * prefixes. A last block that is not full is left out.
+ * Hashes every prefix of the prompt that ends at a block boundary, shortest first. Each hash
+ * covers all earlier blocks, so equal hashes mean equal prefixes. An incomplete last block is
+ * ignored.
  */
 export default function hashPromptBlocks(prompt: string): string[] {
   const hashes: string[] = [];
-  let previous = '';
+  let previousHash = '';
   for (let end = BLOCK_CHARACTERS; end <= prompt.length; end += BLOCK_CHARACTERS) {
     const block = prompt.slice(end - BLOCK_CHARACTERS, end);
-    previous = createHash('sha1').update(previous).update(block).digest('hex');
-    previous = previous.slice(0, HASH_CHARACTERS);
-    hashes.push(previous);
+    previousHash = createHash('sha1').update(previousHash).update(block).digest('hex');
+    previousHash = previousHash.slice(0, HASH_CHARACTERS);
+    hashes.push(previousHash);
   }
   return hashes;
 }
--- a/packages/outside-protocol/src/index.ts
+++ b/packages/outside-protocol/src/index.ts
@@ -1,4 +1,4 @@
-/** The HTTP protocol of the outside systems: paths, bodies, codecs and the hash of prompt prefixes. */
+/** The HTTP protocol of the outside systems: paths, headers, codecs and prompt hashes. */
 export * from './codecs.js';
 export * from './paths.js';
 export { default as hashPromptBlocks } from './hash-prompt-blocks.js';
--- a/packages/outside-protocol/src/paths.ts
+++ b/packages/outside-protocol/src/paths.ts
@@ -1,6 +1,6 @@
-/** Paths of the outside systems' HTTP protocol. */
+/** Paths and headers of the outside systems' HTTP protocol. */
 
-/** Paths of a model engine. */
+/** Paths of model engines. */
 export const ENGINE_PATHS = {
   generations: '/v1/generations',
   attach: '/v1/generations/attach',
@@ -13,7 +13,7 @@
   orders: '/v1/orders',
 } as const;
 
-/** Paths of the platform's service, list and weight store. */
+/** Paths of the platform's key-value service, list of VMs and weight store. */
 export const PLATFORM_PATHS = {
   get: '/v1/values/get',
   compareAndSwap: '/v1/values/compare-and-swap',
@@ -25,8 +25,8 @@
   weights: '/v1/weights',
 } as const;
 
-/** Path prefix of a plain service; service and operation follow. */
+/** Path prefix of plain services, followed by the service and the operation. */
 export const PLAIN_SERVICE_PREFIX = '/v1/services';
 
-/** Header that carries the request id to a plain service. */
+/** Header of calls to plain services that carries the request id. */
 export const REQUEST_ID_HEADER = 'x-request-id';
