--- a/packages/outside-protocol/src/hash-prompt-blocks.ts
+++ b/packages/outside-protocol/src/hash-prompt-blocks.ts
@@ -2,7 +2,7 @@
 import { createHash } from 'node:crypto';
 
 /** Number of prompt characters in a block of an engine's prefix cache. */
-export const BLOCK_CHARACTERS = 64;
+export const PROMPT_BLOCK_CHARACTERS = 64;
 const HASH_CHARACTERS = 16;
 
 /**
@@ -13,8 +13,8 @@
 export default function hashPromptBlocks(prompt: string): string[] {
   const hashes: string[] = [];
   let previousHash = '';
-  for (let end = BLOCK_CHARACTERS; end <= prompt.length; end += BLOCK_CHARACTERS) {
-    const block = prompt.slice(end - BLOCK_CHARACTERS, end);
+  for (let end = PROMPT_BLOCK_CHARACTERS; end <= prompt.length; end += PROMPT_BLOCK_CHARACTERS) {
+    const block = prompt.slice(end - PROMPT_BLOCK_CHARACTERS, end);
     previousHash = createHash('sha1').update(previousHash).update(block).digest('hex');
     previousHash = previousHash.slice(0, HASH_CHARACTERS);
     hashes.push(previousHash);
