--- a/packages/client/src/call-service.ts
+++ b/packages/client/src/call-service.ts
@@ -1,43 +1,43 @@
-/** Calls a plain service; a retry carries the same id, so that it is safe through any VM. */
+/** Calls plain services. Retries use the same request id, so they are safe through any VM. */
 import { create } from '@bufbuild/protobuf';
 import { createClient as createRpcClient } from '@connectrpc/connect';
 import { CallRequestSchema, Calls, type CallRequest, type CallResponse } from '@limelead/schema';
 import { delay } from '@limelead/types';
-import type { AnswerDependencies } from './generate-answer.js';
-import readErrorDetail from './read-error.js';
+import type { ClientDependencies } from './generate-answer.js';
+import readErrorDetail from './read-error-detail.js';
 
 const RETRY_DELAY_MS = 100;
-const START_WITHIN_MS = 60_000;
-/** A VM that does not answer within this time is taken for lost. */
-const ANSWER_TIMEOUT_MS = 15_000;
+const DEFAULT_START_DEADLINE_MS = 60_000;
+/** A VM that does not respond in time is considered lost. */
+const RESPONSE_TIMEOUT_MS = 15_000;
 
-/** A call; `notAfterMs` takes one minute from now. */
+/** A call to a plain service; `notAfterMs` defaults to one minute from now. */
 export type ServiceCall = Pick<CallRequest, 'requestId' | 'service' | 'operation' | 'repeatable'> &
   Partial<Pick<CallRequest, 'body' | 'notAfterMs' | 'priority'>>;
 
-/** Sends the call until it is answered or its fate is known to be final. */
+/** Sends the call, with retries, until it is answered, can't be retried or has used its attempts. */
 export default async function callService(
-  dependencies: AnswerDependencies,
+  dependencies: ClientDependencies,
   call: ServiceCall,
   now: number,
 ): Promise<CallResponse> {
-  const { transports, headers, timers, maxTries } = dependencies;
-  const notAfterMs = call.notAfterMs ?? BigInt(now + START_WITHIN_MS);
+  const { transports, headers, timers, maxAttempts } = dependencies;
+  const notAfterMs = call.notAfterMs ?? BigInt(now + DEFAULT_START_DEADLINE_MS);
   const request = create(CallRequestSchema, { ...call, notAfterMs });
-  for (let tries = 1; ; tries += 1) {
+  for (let attempt = 1; ; attempt += 1) {
     try {
-      return await createRpcClient(Calls, transports.get()).call(request, {
+      return await createRpcClient(Calls, transports.getCurrent()).call(request, {
         headers,
-        timeoutMs: ANSWER_TIMEOUT_MS,
+        timeoutMs: RESPONSE_TIMEOUT_MS,
       });
     } catch (thrown) {
       const error = readErrorDetail(thrown);
-      const mayGoOn = error.kind === undefined || error.mayRetry;
-      if (!mayGoOn || tries >= maxTries) {
+      const canRetry = error.kind === undefined || error.mayRetry;
+      if (!canRetry || attempt >= maxAttempts) {
         throw thrown;
       }
-      transports.moveOn();
-      await delay(timers, Math.max(error.retryAfterMs, RETRY_DELAY_MS * tries));
+      transports.switchToNext();
+      await delay(timers, Math.max(error.retryAfterMs, RETRY_DELAY_MS * attempt));
     }
   }
 }
--- a/packages/client/src/generate-answer.ts
+++ b/packages/client/src/generate-answer.ts
@@ -1,4 +1,4 @@
-/** Reads one answer to its end, through as many VMs as it takes. */
+/** Streams one answer to its end and resumes it through other VMs after failures. */
 import { createClient as createRpcClient, type CallOptions } from '@connectrpc/connect';
 import { create } from '@bufbuild/protobuf';
 import { LimeleadError } from '@limelead/errors';
@@ -11,41 +11,41 @@
   type Started,
 } from '@limelead/schema';
 import { delay, type Random, type Timers } from '@limelead/types';
-import readErrorDetail, { type ReadError } from './read-error.js';
-import type Transports from './transports.js';
+import readErrorDetail, { type ErrorInfo } from './read-error-detail.js';
+import type TransportPool from './transport-pool.js';
 
 const RETRY_DELAY_MS = 50;
-/** A VM sends something every half second; three are allowed to be late. */
-const LINK_SILENCE_MS = 1_500;
+/** Three times the interval at which VMs send keep-alive messages. */
+const SILENCE_TIMEOUT_MS = 1_500;
 
-/** A request; the rest of its fields take their defaults. */
+/** A generation request; omitted fields have their defaults. */
 export type AnswerRequest = Pick<
   GenerateRequest,
   'requestId' | 'service' | 'prompt' | 'maxTokens'
 > &
   Partial<Pick<GenerateRequest, 'priority' | 'deadlineMs' | 'paceTokensPerSecond'>>;
 
-/** What a caller sees of its answer. */
+/** An event of an answer. */
 export type AnswerEvent =
   | { kind: 'started'; started: Started }
   | { kind: 'tokens'; offset: number; tokens: string[] }
-  /** The answer goes on through another VM; nothing is lost. */
+  /** The stream ended early and is resumed, usually through another VM; no token is lost. */
   | { kind: 'moved'; reason: string }
   | { kind: 'finished'; finished: Finished };
 
-/** What reading an answer needs. */
-export interface AnswerDependencies {
-  transports: Transports;
+/** Dependencies of calls and answers. */
+export interface ClientDependencies {
+  transports: TransportPool;
   timers: Timers;
   random: Random;
   headers: Record<string, string>;
-  /** Tries in a row without a new token after which an answer is given up. */
-  maxTries: number;
+  /** Maximum attempts of a call, or consecutive attempts of an answer without a new token. */
+  maxAttempts: number;
 }
 
-/** Gives the answer's events. Throws a ConnectError or a LimeleadError where it is given up. */
+/** Yields the events of an answer. Throws a `ConnectError` or `LimeleadError` on final failure. */
 export default async function* generateAnswer(
-  dependencies: AnswerDependencies,
+  dependencies: ClientDependencies,
   request: AnswerRequest,
   signal?: AbortSignal,
 ): AsyncGenerator<AnswerEvent> {
@@ -55,13 +55,13 @@
 
 class AnswerReader {
   private readonly request: GenerateRequest;
-  private readonly delivered: string[] = [];
+  private readonly deliveredTokens: string[] = [];
   private handle = '';
-  private tries = 0;
-  private triesWithoutProgress = 0;
+  private resumeAttempts = 0;
+  private attemptsWithoutProgress = 0;
 
   constructor(
-    private readonly dependencies: AnswerDependencies,
+    private readonly dependencies: ClientDependencies,
     request: AnswerRequest,
     private readonly signal: AbortSignal | undefined,
   ) {
@@ -74,18 +74,18 @@
       if (outcome === 'finished') {
         return;
       }
-      this.triesWithoutProgress += 1;
+      this.attemptsWithoutProgress += 1;
       yield { kind: 'moved', reason: outcome };
     }
   }
 
-  /** Reads one stream; gives 'finished', or why the answer has to go on elsewhere. */
+  /** Reads one stream. Returns 'finished', or the reason why the answer must be resumed. */
   private async *readOneStream(): AsyncGenerator<AnswerEvent, string> {
-    const link = new LinkWatch(this.dependencies.timers, this.signal);
+    const silenceTimeout = new SilenceTimeout(this.dependencies.timers, this.signal);
     try {
-      for await (const response of this.open({ signal: link.signal })) {
-        link.noteMessage();
-        const event = this.take(response);
+      for await (const response of this.openStream({ signal: silenceTimeout.signal })) {
+        silenceTimeout.onMessage();
+        const event = this.handleResponse(response);
         if (event !== undefined) {
           yield event;
         }
@@ -93,39 +93,39 @@
           return 'finished';
         }
         if (response.event.case === 'handover') {
-          this.dependencies.transports.moveOn();
+          this.dependencies.transports.switchToNext();
           return 'the VM is stopping';
         }
       }
       return 'the stream ended early';
     } catch (thrown) {
       this.signal?.throwIfAborted();
-      return await this.decideOnError(thrown);
+      return await this.retryOrThrow(thrown);
     } finally {
-      link.close();
+      silenceTimeout.close();
     }
   }
 
-  private open(options: CallOptions): AsyncIterable<GenerateResponse> {
+  private openStream(options: CallOptions): AsyncIterable<GenerateResponse> {
     const { transports, headers } = this.dependencies;
-    const client = createRpcClient(Generation, transports.get());
-    const withHeaders = { ...options, headers };
+    const client = createRpcClient(Generation, transports.getCurrent());
+    const callOptions = { ...options, headers };
     if (this.handle === '') {
-      return client.generate(this.request, withHeaders);
+      return client.generate(this.request, callOptions);
     }
-    const { request, handle, tries, delivered } = this;
-    this.tries += 1;
-    return client.resume({ request, handle, tries, deliveredTokens: delivered }, withHeaders);
+    const { request, handle, resumeAttempts, deliveredTokens } = this;
+    this.resumeAttempts += 1;
+    return client.resume({ request, handle, tries: resumeAttempts, deliveredTokens }, callOptions);
   }
 
-  private take({ event }: GenerateResponse): AnswerEvent | undefined {
+  private handleResponse({ event }: GenerateResponse): AnswerEvent | undefined {
     switch (event.case) {
       case 'started':
         this.handle = event.value.handle;
-        this.tries = 0;
+        this.resumeAttempts = 0;
         return { kind: 'started', started: event.value };
       case 'tokens':
-        return this.takeTokens(event.value.offset, event.value.tokens);
+        return this.handleTokens(event.value.offset, event.value.tokens);
       case 'finished':
         this.checkLength(event.value.length);
         return { kind: 'finished', finished: event.value };
@@ -134,72 +134,72 @@
     }
   }
 
-  private takeTokens(offset: number, tokens: string[]): AnswerEvent {
-    if (offset !== this.delivered.length) {
-      const expected = this.delivered.length;
-      throw new LimeleadError('internal', `expected the token ${expected}, found ${offset}`);
+  private handleTokens(offset: number, tokens: string[]): AnswerEvent {
+    if (offset !== this.deliveredTokens.length) {
+      const expected = this.deliveredTokens.length;
+      throw new LimeleadError('internal', `expected token offset ${expected}, found ${offset}`);
     }
-    this.delivered.push(...tokens);
-    this.triesWithoutProgress = 0;
+    this.deliveredTokens.push(...tokens);
+    this.attemptsWithoutProgress = 0;
     return { kind: 'tokens', offset, tokens };
   }
 
   private checkLength(length: number): void {
-    if (length !== this.delivered.length) {
-      const found = this.delivered.length;
+    if (length !== this.deliveredTokens.length) {
+      const found = this.deliveredTokens.length;
       throw new LimeleadError('internal', `expected ${length} tokens, found ${found}`);
     }
   }
 
-  /** Moves on to another VM, or throws what can't be mended by it. */
-  private async decideOnError(thrown: unknown): Promise<string> {
+  /** Switches to another VM and waits before the retry. Throws errors that can't be retried. */
+  private async retryOrThrow(thrown: unknown): Promise<string> {
     if (thrown instanceof LimeleadError) {
       throw thrown;
     }
     const error = readErrorDetail(thrown);
-    const mayGoOn = error.kind === undefined || error.mayRetry;
-    if (!mayGoOn || this.triesWithoutProgress + 1 >= this.dependencies.maxTries) {
+    const canRetry = error.kind === undefined || error.mayRetry;
+    if (!canRetry || this.attemptsWithoutProgress + 1 >= this.dependencies.maxAttempts) {
       throw thrown;
     }
-    this.dependencies.transports.moveOn();
+    this.dependencies.transports.switchToNext();
     await this.waitBeforeRetry(error);
     return error.message;
   }
 
-  private waitBeforeRetry(error: ReadError): Promise<void> {
+  private waitBeforeRetry(error: ErrorInfo): Promise<void> {
     const { timers, random } = this.dependencies;
-    const backoffMs = RETRY_DELAY_MS * this.triesWithoutProgress;
+    const backoffMs = RETRY_DELAY_MS * this.attemptsWithoutProgress;
     const waitMs = Math.max(backoffMs, error.retryAfterMs);
     return delay(timers, waitMs * (1 + random.next() / 2));
   }
 }
 
-/** Ends a stream whose VM was silent for too long. */
-class LinkWatch {
-  private readonly abort = new AbortController();
+/** Aborts a stream when no message arrives for `SILENCE_TIMEOUT_MS` or the caller aborts it. */
+class SilenceTimeout {
+  private readonly abortController = new AbortController();
   private cancelTimer: () => void = () => undefined;
-  private readonly onOuterAbort = (): void => this.abort.abort();
+  private readonly onCallerAbort = (): void => this.abortController.abort();
 
   constructor(
     private readonly timers: Timers,
-    private readonly outer: AbortSignal | undefined,
+    private readonly callerSignal: AbortSignal | undefined,
   ) {
-    outer?.addEventListener('abort', this.onOuterAbort, { once: true });
-    this.noteMessage();
+    callerSignal?.addEventListener('abort', this.onCallerAbort, { once: true });
+    this.onMessage();
   }
 
   get signal(): AbortSignal {
-    return this.abort.signal;
+    return this.abortController.signal;
   }
 
-  noteMessage(): void {
+  onMessage(): void {
     this.cancelTimer();
-    this.cancelTimer = this.timers.after(LINK_SILENCE_MS, () => this.abort.abort());
+    this.cancelTimer = this.timers.after(SILENCE_TIMEOUT_MS, () => this.abortController.abort());
   }
 
   close(): void {
     this.cancelTimer();
-    this.outer?.removeEventListener('abort', this.onOuterAbort);
-    this.abort.abort();
+    this.callerSignal?.removeEventListener('abort', this.onCallerAbort);
+    this.abortController.abort();
   }
 }
--- a/packages/client/src/index.ts
+++ b/packages/client/src/index.ts
@@ -1,4 +1,4 @@
-/** The caller's library: sends requests, and goes on through another VM when one is lost. */
+/** Client library: sends requests and continues through another VM if a VM is lost. */
 export { default as createClient, type Client, type ClientOptions } from './client.js';
 export type { AnswerEvent, AnswerRequest } from './generate-answer.js';
-export { default as readErrorDetail, type ReadError } from './read-error.js';
+export { default as readErrorDetail, type ErrorInfo } from './read-error-detail.js';
--- a/packages/client/src/read-error.ts
+++ b/packages/client/src/read-error-detail.ts
@@ -1,4 +1,4 @@
-/** Reads the kind and the answer of an error from a VM. */
+/** Reads the details that VMs attach to errors. */
 import { Code, ConnectError } from '@connectrpc/connect';
 import { isErrorKind, type ErrorKind, type Execution as ExecutionName } from '@limelead/errors';
 import {
@@ -8,9 +8,9 @@
   type ConflictDetail,
 } from '@limelead/schema';
 
-/** What an error says. */
-export interface ReadError {
-  /** Undefined where no VM said it, as when a link broke. */
+/** Details of a failed call. */
+export interface ErrorInfo {
+  /** Undefined if the error does not come from a VM, such as a broken connection. */
   kind: ErrorKind | undefined;
   message: string;
   execution: ExecutionName;
@@ -19,15 +19,15 @@
   conflict: ConflictDetail | undefined;
 }
 
-const EXECUTIONS: Readonly<Record<Execution, ExecutionName>> = {
+const EXECUTION_NAMES: Readonly<Record<Execution, ExecutionName>> = {
   [Execution.UNSPECIFIED]: 'unknown',
   [Execution.NOT_RUN]: 'not-run',
   [Execution.UNKNOWN]: 'unknown',
   [Execution.RUN]: 'run',
 };
 
-/** Reads anything thrown by a call. A broken link says nothing of what was run. */
-export default function readErrorDetail(thrown: unknown): ReadError {
+/** Reads an error thrown by a call. Without details from a VM, `execution` is 'unknown'. */
+export default function readErrorDetail(thrown: unknown): ErrorInfo {
   const error = ConnectError.from(thrown, Code.Unavailable);
   const detail = error.findDetails(ErrorDetailSchema)[0];
   const message = error.rawMessage;
@@ -43,6 +43,6 @@
     };
   }
   const { kind, mayRetry, retryAfterMs } = detail;
-  const execution = EXECUTIONS[detail.execution];
+  const execution = EXECUTION_NAMES[detail.execution];
   return { kind, message, execution, mayRetry, retryAfterMs, conflict };
 }
--- a/packages/demo/src/run-work.ts
+++ b/packages/demo/src/run-work.ts
@@ -1,5 +1,5 @@
 /** Sends one request and records, at the caller's side, everything that came back. */
-import { createClient, readErrorDetail, type AnswerEvent, type ReadError } from '@limelead/client';
+import { createClient, readErrorDetail, type AnswerEvent, type ErrorInfo } from '@limelead/client';
 import type { Started } from '@limelead/schema';
 import type { AnswerWork, CallWork } from './workload.js';
 
@@ -12,14 +12,14 @@
   /** Milliseconds without a token at each break that the caller could see. */
   resumeLatenciesMs: number[];
   finishedLength: number | undefined;
-  error: ReadError | undefined;
+  error: ErrorInfo | undefined;
 }
 
 /** What the caller of a call saw. */
 export interface CallRecord {
   work: CallWork;
   status: number | undefined;
-  error: ReadError | undefined;
+  error: ErrorInfo | undefined;
 }
 
 /** Sends a request for an answer and reads it to its end. */
@@ -37,7 +37,7 @@
     finishedLength: undefined,
     error: undefined,
   };
-  const client = createClient({ urls, key: work.key, first });
+  const client = createClient({ urls, key: work.key, firstUrlIndex: first });
   const gaps = new GapMeter(record);
   try {
     for await (const event of client.generate(work)) {
@@ -56,7 +56,7 @@
 
 /** Sends a call that must not run twice. */
 export async function runCall(work: CallWork, urls: string[], first: number): Promise<CallRecord> {
-  const client = createClient({ urls, key: work.key, first });
+  const client = createClient({ urls, key: work.key, firstUrlIndex: first });
   const { requestId, service, operation } = work;
   try {
     const { status } = await client.call({ requestId, service, operation, repeatable: false });
--- a/packages/demo/src/system.test.ts
+++ b/packages/demo/src/system.test.ts
@@ -19,7 +19,11 @@
 const clients: Client[] = [];
 
 function clientOf(cluster: DemoCluster, key: string, first = 0): Client {
-  const client = createClient({ urls: cluster.vms.map(({ url }) => url), key, first });
+  const client = createClient({
+    urls: cluster.vms.map(({ url }) => url),
+    key,
+    firstUrlIndex: first,
+  });
   clients.push(client);
   return client;
 }
@@ -239,7 +243,7 @@
     const impatient = createClient({
       urls: [cluster.vms[0]?.url ?? ''],
       key: DEMO_KEYS.routing,
-      maxTries: 1,
+      maxAttempts: 1,
     });
     clients.push(impatient);
     const isRefused = async () =>
--- a/packages/load/src/run-load.ts
+++ b/packages/load/src/run-load.ts
@@ -100,7 +100,8 @@
     const first = index % urls.length;
     const name = `${key} ${first}`;
     const client =
-      this.clients.get(name) ?? createClient({ urls: rotate(urls, first), key, timers, maxTries });
+      this.clients.get(name) ??
+      createClient({ urls: rotate(urls, first), key, timers, maxAttempts: maxTries });
     this.clients.set(name, client);
     return client;
   }
