--- a/packages/read-settings/src/read-settings.test.ts
+++ b/packages/read-settings/src/read-settings.test.ts
@@ -9,7 +9,7 @@
 
 const EXAMPLE = fileURLToPath(new URL('../../../examples/limelead.jsonc', import.meta.url));
 
-function faultsOf(text: string): string {
+function readFaults(text: string): string {
   const folder = mkdtempSync(join(tmpdir(), 'limelead-'));
   const file = join(folder, 's.jsonc');
   writeFileSync(file, text);
@@ -18,21 +18,21 @@
   return E.isLeft(settings) ? settings.left.message.replaceAll(file, 's.jsonc') : '';
 }
 
-test('the example in the repository holds', () => {
+test('the example settings file of the repository is valid', () => {
   assert.ok(E.isRight(readSettings(EXAMPLE)));
 });
 
-test('a host name in place of an IP number is named with its line', () => {
+test('a host name instead of an IP address is reported with its line', () => {
   const text = readFileSync(EXAMPLE, 'utf8').replace('"host": "127.0.0.1"', '"host": "depot"');
-  assert.is(faultsOf(text), 's.jsonc:6: rpc.host: expected an IP number, found "depot"');
+  assert.is(readFaults(text), 's.jsonc:6: rpc.host: expected an IP address, found "depot"');
 });
 
-test('an unknown key is named', () => {
+test('an unknown key is reported', () => {
   const text = readFileSync(EXAMPLE, 'utf8').replace('"log": {', '"log": { "colour": true,');
-  assert.match(faultsOf(text), /log\.colour: expected no such key, found true/);
+  assert.match(readFaults(text), /log\.colour: expected no such key, found true/);
 });
 
-test('a file that can not be read is an error, not a crash', () => {
+test('an unreadable file gives an error instead of throwing', () => {
   const settings = readSettings('/no/such/file.jsonc');
   assert.ok(E.isLeft(settings));
 });
--- a/packages/read-settings/src/read-settings.ts
+++ b/packages/read-settings/src/read-settings.ts
@@ -1,11 +1,11 @@
-/** Reads a settings file. */
+/** Reads and validates a settings file. */
 import decodeWithLines from '@limelead/decode-with-lines';
 import { DecodeError } from '@limelead/errors';
 import * as E from 'fp-ts/lib/Either.js';
 import { readFileSync } from 'node:fs';
 import { settingsCodec, type Settings } from './settings.js';
 
-/** Gives the settings, or an error that lists every fault with its line. */
+/** Gives the settings, or an error that lists every invalid key with its line. */
 export default function readSettings(file: string): E.Either<DecodeError, Settings> {
   try {
     return decodeWithLines(file, readFileSync(file, 'utf8'), settingsCodec);
--- a/packages/read-settings/src/settings.ts
+++ b/packages/read-settings/src/settings.ts
@@ -1,4 +1,4 @@
-/** The shape of the daemon's settings. Durations are in milliseconds. */
+/** Schema of the daemon's settings. Durations are in milliseconds. */
 import {
   closed,
   integerBetween,
@@ -10,63 +10,70 @@
 
 const MAX_SEEDS = 64;
 const MAX_OPERATORS = 16;
-const LONGEST_MS = 86_400_000;
+const MAX_DURATION_MS = 86_400_000;
 
-const id = textMatching(/^[a-z0-9][a-z0-9-]{0,63}$/, 'a name of 1 to 64 of a-z, 0-9 and -');
-const host = textMatching(/^[0-9a-f.:]+$/i, 'an IP number');
-const port = integerBetween(0, 65_535);
-const milliseconds = integerBetween(1, LONGEST_MS);
-const secret = textMatching(/^.{16,256}$/, 'a secret of 16 to 256 characters');
-const keyHash = textMatching(/^[0-9a-f]{64}$/, 'a SHA-256 in 64 hex digits');
+const idCodec = textMatching(/^[a-z0-9][a-z0-9-]{0,63}$/, 'a name of 1 to 64 of a-z, 0-9 and -');
+const hostCodec = textMatching(/^[0-9a-f.:]+$/i, 'an IP address');
+const portCodec = integerBetween(0, 65_535);
+const millisecondsCodec = integerBetween(1, MAX_DURATION_MS);
+const secretCodec = textMatching(/^.{16,256}$/, 'a secret of 16 to 256 characters');
+const keyHashCodec = textMatching(/^[0-9a-f]{64}$/, 'a SHA-256 in 64 hex digits');
 
-const address = closed('address', { host, port });
+const addressCodec = closed('address', { host: hostCodec, port: portCodec });
 
-const peers = closed('peers', {
-  host,
-  port,
-  /** Known to all VMs; links and resume handles are signed with it. */
-  secret,
-  /** Peers that are tried before the list of VMs is known. */
-  seeds: listOfAtMost(closed('seed', { id, host, port }), MAX_SEEDS),
+const peersCodec = closed('peers', {
+  host: hostCodec,
+  port: portCodec,
+  /** Secret shared by all VMs; authenticates links between them and signs resume handles. */
+  secret: secretCodec,
+  /** Peers to connect to before the list of VMs is known. */
+  seeds: listOfAtMost(closed('seed', { id: idCodec, host: hostCodec, port: portCodec }), MAX_SEEDS),
 });
 
-const platform = closed('platform', { keyValue: address, vmList: address, weights: address });
+const platformCodec = closed('platform', {
+  keyValue: addressCodec,
+  vmList: addressCodec,
+  weights: addressCodec,
+});
 
-const bootstrapOperator = closed('operator', { name: id, keyHashes: listOfAtMost(keyHash, 16) });
+const bootstrapOperatorCodec = closed('operator', {
+  name: idCodec,
+  keyHashes: listOfAtMost(keyHashCodec, 16),
+});
 
-const limits = closed('limits', {
+const limitsCodec = closed('limits', {
   maxOpenRequests: integerBetween(1, 1_000_000),
   maxPromptCharacters: integerBetween(1, 900_000),
   maxTokens: integerBetween(1, 65_536),
   maxCallBytes: integerBetween(1, 900_000),
 });
 
-const timing = closed('timing', {
-  listPollMs: milliseconds,
-  loadPollMs: milliseconds,
-  /** Age of the list of VMs beyond which a target takes no new work. */
-  maxListAgeMs: milliseconds,
-  heartbeatMs: milliseconds,
-  configurationWaitMs: milliseconds,
-  /** Time for which a generation is kept whose resumable caller's link was lost. */
-  abandonedGraceMs: milliseconds,
-  /** Time that the balancer needs to notice that a VM is not ready. */
-  leaveBalancerMs: integerBetween(0, LONGEST_MS),
-  /** Time after which a planned stop no longer waits for open requests. */
-  drainMs: milliseconds,
+const timingCodec = closed('timing', {
+  listPollMs: millisecondsCodec,
+  loadPollMs: millisecondsCodec,
+  /** Maximum age of the list of VMs; with an older one, targets get no new work. */
+  maxListAgeMs: millisecondsCodec,
+  heartbeatMs: millisecondsCodec,
+  configurationWaitMs: millisecondsCodec,
+  /** How long a resumable generation is kept after the connection to its caller is lost. */
+  abandonedGraceMs: millisecondsCodec,
+  /** How long the load balancer takes to notice that a VM is not ready. */
+  leaveBalancerMs: integerBetween(0, MAX_DURATION_MS),
+  /** How long a planned stop waits for open requests at most. */
+  drainMs: millisecondsCodec,
 });
 
 /** Codec of the settings file. */
 export const settingsCodec = closed('settings', {
-  id,
-  failureDomain: id,
-  rpc: address,
-  peers,
-  platform,
-  /** Operators who may change the configuration while it names none. */
-  operators: listOfAtMost(bootstrapOperator, MAX_OPERATORS),
-  limits,
-  timing,
+  id: idCodec,
+  failureDomain: idCodec,
+  rpc: addressCodec,
+  peers: peersCodec,
+  platform: platformCodec,
+  /** Operators that may change the configuration while it defines no operators. */
+  operators: listOfAtMost(bootstrapOperatorCodec, MAX_OPERATORS),
+  limits: limitsCodec,
+  timing: timingCodec,
   log: closed('log', { level: oneOf('silent', 'error', 'warn', 'info') }),
 });
 
