--- a/packages/logger/src/index.ts
+++ b/packages/logger/src/index.ts
@@ -1,17 +1,17 @@
-/** The structured logger. Lines are written for changes of state only; everything else is a counter. */
+/** Structured logger. Log only changes of state; count everything else in metrics. */
 import winston from 'winston';
 
-/** Writes one line for a change of state. */
+/** Writes log lines, each for one change of state. */
 export interface Logger {
   info(message: string, fields?: object): void;
   warn(message: string, fields?: object): void;
   error(message: string, fields?: object): void;
 }
 
-/** How much is written. */
+/** The least severe level that is written; `silent` writes nothing. */
 export type LogLevel = 'silent' | 'error' | 'warn' | 'info';
 
-/** Creates a logger that writes JSON lines to standard error. */
+/** Creates a logger that writes JSON lines with the VM's name to standard error. */
 export default function createLogger(vm: string, level: LogLevel): Logger {
   return winston.createLogger({
     level: level === 'silent' ? 'error' : level,
