--- a/packages/http-front-door/src/http-front-door.ts
+++ b/packages/http-front-door/src/http-front-door.ts
@@ -7,7 +7,7 @@
   type AdmittedRequest,
   type ForwardContext,
 } from '@limelead/forward-request';
-import { chooseShare, type RouteTable } from '@limelead/route-requests';
+import { chooseService, type RouteTable } from '@limelead/route-requests';
 import type { CallerLimits, Millis, ServingRoute } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
@@ -277,7 +277,7 @@
       );
       return;
     }
-    const service = chooseShare(route, headers.requestId);
+    const service = chooseService(route, headers.requestId);
     if (service === undefined) {
       sink.refuse(new LimeleadError('no-target', 'the route has no service'));
       return;
