--- a/packages/claim-call/src/call-claimer.test.ts
+++ b/packages/claim-call/src/call-claimer.test.ts
@@ -43,7 +43,10 @@
 
 test('a claim whose reply was lost is found again, and still only one is permitted', async () => {
   let losses = 1;
-  const faults: StoreFaults = { isOut: false, onSwap: () => (losses-- > 0 ? 'reply-lost' : 'ok') };
+  const faults: StoreFaults = {
+    isUnavailable: false,
+    decideSwap: () => (losses-- > 0 ? 'reply-lost' : 'ok'),
+  };
   const { time, claim } = createSystem(2, faults);
   const first = claim(0, 'booking-1');
   await time.advance(1_000);
@@ -54,7 +57,7 @@
 });
 
 test('while the service is out nothing is permitted, and the caller is told soon', async () => {
-  const { time, claim } = createSystem(1, { isOut: true, onSwap: () => 'ok' });
+  const { time, claim } = createSystem(1, { isUnavailable: true, decideSwap: () => 'ok' });
   const claimed = claim(0, 'booking-1');
   await time.advance(5_000);
   assert.is((await claimed).kind, 'unavailable');
@@ -63,8 +66,8 @@
 test('a VM that is paused past the last moment is not permitted when it wakes', async () => {
   let wasPaused = false;
   const faults: StoreFaults = {
-    isOut: false,
-    onSwap: () => {
+    isUnavailable: false,
+    decideSwap: () => {
       if (!wasPaused) {
         time.jump(60_001);
         wasPaused = true;
@@ -113,7 +116,7 @@
   await fc.assert(
     fc.asyncProperty(fc.array(step, { maxLength: 40 }), async (steps) => {
       const fates = steps.map(({ fate }) => fate);
-      const faults: StoreFaults = { isOut: false, onSwap: () => fates.pop() ?? 'ok' };
+      const faults: StoreFaults = { isUnavailable: false, decideSwap: () => fates.pop() ?? 'ok' };
       const { time, claim } = createSystem(3, faults);
       const claims = steps.map(async ({ vm, call }) => ({
         vm,
--- a/packages/demo/src/inject-faults.ts
+++ b/packages/demo/src/inject-faults.ts
@@ -90,7 +90,7 @@
       case 'link-cut': {
         const engine = this.busiestEngine();
         this.note(fault, engine.id);
-        return engine.cutLinks();
+        return engine.closeConnections();
       }
       case 'vm-death': {
         const vm = this.takeVm();
@@ -116,21 +116,21 @@
 
   private async killEngine(engine: Engine): Promise<void> {
     this.note('engine-death', engine.id);
-    await engine.die();
-    this.later(ENGINE_REVIVES_AFTER_MS, () => engine.revive());
+    await engine.crash();
+    this.later(ENGINE_REVIVES_AFTER_MS, () => engine.restart());
   }
 
   private pauseEngine(engine: Engine): void {
     this.note('engine-pause', engine.id);
     engine.pause();
-    this.later(ENGINE_WAKES_AFTER_MS, () => engine.wake());
+    this.later(ENGINE_WAKES_AFTER_MS, () => engine.resume());
   }
 
   private leave(engine: Engine): void {
     this.note('target-leave', engine.id);
     this.leavingSince.set(engine.id, Date.now());
     this.cluster.platform.vms.setLeaving(engine.id);
-    this.later(LEAVING_ENDS_AFTER_MS, () => engine.die());
+    this.later(LEAVING_ENDS_AFTER_MS, () => engine.crash());
   }
 
   private later(milliseconds: number, run: () => unknown): void {
--- a/packages/demo/src/system.test.ts
+++ b/packages/demo/src/system.test.ts
@@ -190,12 +190,12 @@
 test('a configuration never goes back when the service is restored from something older', () =>
   withCluster(async (cluster) => {
     const operator = clientOf(cluster, DEMO_KEYS.operator);
-    const backup = cluster.platform.values.backUp();
+    const backup = cluster.platform.keyValueState.backUp();
     await applyThrough(operator, 'c1', 1, organisation('new', 5));
     await until(() => cluster.vms.every(({ daemon }) => daemon.revision() === 2));
-    cluster.platform.values.restore(backup);
+    cluster.platform.keyValueState.restore(backup);
     const storedRevision = () => {
-      const { value } = cluster.platform.values.get('limelead/configuration/head');
+      const { value } = cluster.platform.keyValueState.get('limelead/configuration/head');
       return (JSON.parse(value) as { revision: number }).revision;
     };
     assert.is(storedRevision(), 1);
@@ -214,7 +214,7 @@
     clients.push(warmUp);
     await warmUp.call({ ...booking, requestId: 'warm-up', repeatable: true });
     const client = clientOf(cluster, DEMO_KEYS.haneul);
-    cluster.plainServices.forEach((service) => service.takeMs(500));
+    cluster.plainServices.forEach((service) => service.setCallDurationMs(500));
     const call = client.call({ ...booking, requestId: 'booking-1', repeatable: false });
     let ended: string | undefined;
     const outcome = kindOf(() => call).then((kind) => (ended = kind));
@@ -235,7 +235,7 @@
   withCluster(async (cluster) => {
     const client = clientOf(cluster, DEMO_KEYS.routing);
     assert.ok((await readAnswer(client, PROMPT)).length > 0);
-    cluster.platform.setListOutage(true);
+    cluster.platform.setVmListOutage(true);
     const impatient = createClient({
       urls: [cluster.vms[0]?.url ?? ''],
       key: DEMO_KEYS.routing,
@@ -250,7 +250,7 @@
     const begun = cluster.engines.flatMap((engine) => engine.records()).length;
     assert.ok(await isRefused());
     assert.is(cluster.engines.flatMap((engine) => engine.records()).length, begun);
-    cluster.platform.setListOutage(false);
+    cluster.platform.setVmListOutage(false);
   }));
 
 test('a leaving target gets no new work, while what runs there runs to its end', () =>
@@ -298,7 +298,7 @@
         cutOff?.partition();
       }
       if (tokens.length > 150) {
-        cutOff?.reconnect();
+        cutOff?.endPartition();
       }
     }
     const source = { prompt: request.prompt, modelVersion, seed };
--- a/packages/measure/src/experiments/domain-loss.ts
+++ b/packages/measure/src/experiments/domain-loss.ts
@@ -37,7 +37,7 @@
 async function loseDomain({ engines }: DemoCluster): Promise<void> {
   await delay(systemTimers, LOSS_AFTER_MS);
   const lost = engines.filter((_, index) => index % DOMAINS.length === 0);
-  await Promise.all(lost.map((engine) => engine.die()));
+  await Promise.all(lost.map((engine) => engine.crash()));
 }
 
 /** Compares both under the same loss. */
--- a/packages/measure/src/experiments/recovery.ts
+++ b/packages/measure/src/experiments/recovery.ts
@@ -53,15 +53,15 @@
   for (let round = 0; round < 10; round += 1) {
     await delay(systemTimers, 300);
     const engine = engines[round % (ENGINES - 3)];
-    engine?.slow(25);
+    engine?.setSlowdown(25);
     await delay(systemTimers, 220);
-    engine?.slow(1);
+    engine?.setSlowdown(1);
     if (round === 3) {
       engines.slice(-2).forEach((stopped) => stopped.pause());
-      setTimeout(() => engines.slice(-2).forEach((stopped) => stopped.wake()), PAUSE_MS);
+      setTimeout(() => engines.slice(-2).forEach((stopped) => stopped.resume()), PAUSE_MS);
     }
     if (round === 6) {
-      await engines.at(-3)?.die();
+      await engines.at(-3)?.crash();
     }
   }
 }
--- a/packages/run-call/src/call-runner.test.ts
+++ b/packages/run-call/src/call-runner.test.ts
@@ -38,7 +38,7 @@
 async function withSystem(run: (system: System) => Promise<void>): Promise<void> {
   const services = [await startPlainService(), await startPlainService()];
   const transport = createHttpTransport();
-  const faults: StoreFaults = { isOut: false, onSwap: () => 'ok' };
+  const faults: StoreFaults = { isUnavailable: false, decideSwap: () => 'ok' };
   const store = createInProcessStore(createKeyValueState(systemClock), faults);
   const runners: CallRunner[] = [];
   for (const incarnation of ['vm-1', 'vm-2']) {
@@ -115,7 +115,7 @@
 
 test('two VMs that get the call at the same time run it once, and both have the answer', () =>
   withSystem(async (system) => {
-    system.services.forEach((service) => service.takeMs(50));
+    system.services.forEach((service) => service.setCallDurationMs(50));
     const both = await Promise.all([
       runnerOf(system, 0).run(CALL),
       runnerOf(system, 1).run(CALL),
@@ -130,7 +130,7 @@
 
 test('a lost reply is an unknown outcome, here and through any other VM; nothing runs again', () =>
   withSystem(async (system) => {
-    system.services.forEach((service) => service.loseReplies(1));
+    system.services.forEach((service) => service.dropReplies(1));
     assert.is(await kindOf(runnerOf(system, 0).run(CALL)), 'outcome-unknown/unknown');
     assert.is(await kindOf(runnerOf(system, 0).run(CALL)), 'outcome-unknown/unknown');
     assert.is(await kindOf(runnerOf(system, 1).run(CALL)), 'outcome-unknown/unknown');
@@ -139,7 +139,7 @@
 
 test('a target that takes no connection never got the call, so another one may', () =>
   withSystem(async (system) => {
-    await system.services[0]?.die();
+    await system.services[0]?.crash();
     for (let index = 0; index < 6; index += 1) {
       const call = { ...CALL, requestId: `booking-${index}` };
       assert.is((await runnerOf(system, 0).run(call)).answer.status, 200);
@@ -149,19 +149,19 @@
 
 test('while the store is out the call is not run, and the caller may try again', () =>
   withSystem(async (system) => {
-    system.faults.isOut = true;
+    system.faults.isUnavailable = true;
     assert.is(await kindOf(runnerOf(system, 0).run(CALL)), 'store-unavailable/not-run');
     assert.is(system.runs(), 0);
-    system.faults.isOut = false;
+    system.faults.isUnavailable = false;
     assert.is(await kindOf(runnerOf(system, 1).run(CALL)), 'answered');
     assert.is(system.runs(), 1);
   }));
 
 test('when every target is down the call is not run, and the claim does not block a retry', () =>
   withSystem(async (system) => {
-    await Promise.all(system.services.map((service) => service.die()));
+    await Promise.all(system.services.map((service) => service.crash()));
     assert.is(await kindOf(runnerOf(system, 0).run(CALL)), 'no-target/not-run');
-    await Promise.all(system.services.map((service) => service.revive()));
+    await Promise.all(system.services.map((service) => service.restart()));
     assert.is(await kindOf(runnerOf(system, 0).run(CALL)), 'answered');
     assert.is(system.runs(), 1);
   }));
--- a/packages/run-generation/src/generation.test.ts
+++ b/packages/run-generation/src/generation.test.ts
@@ -4,7 +4,7 @@
 import createEventBus from '@limelead/observe-events';
 import createRecoveryPacer from '@limelead/pace-recoveries';
 import type { EngineStream, ModelEngine, PortCall } from '@limelead/ports';
-import { createManualTime, settle } from '@limelead/stand-ins';
+import { createManualTime, flushPromises } from '@limelead/stand-ins';
 import { createTargetTable } from '@limelead/track-targets';
 import type { AnswerMessage, EngineMessage, GenerationRequest, StartOrder } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
@@ -169,11 +169,11 @@
   for (let offset = 0; offset < 50; offset += 1) {
     engine.feed({ kind: 'tokens', offset, tokens: ['t'] });
   }
-  await settle();
+  await flushPromises();
   const reads = engine.reads;
   assert.ok(reads <= 3, `${reads} reads`);
   assert.is(await nextKind(messages), 'tokens');
-  await settle();
+  await flushPromises();
   assert.ok(engine.reads <= reads + 1);
   await messages.return(undefined);
 });
--- a/packages/stand-ins/src/engine/batch.ts
+++ b/packages/stand-ins/src/engine/batch.ts
@@ -17,7 +17,7 @@
 }
 
 /** What the engine did for one generation; for the checks at the end. */
-export interface EngineRecord {
+export interface GenerationRecord {
   generationId: string;
   prefillTokens: number;
   decodedTokens: number;
@@ -31,20 +31,20 @@
   /** Attempt of the present reader; lower ones are fenced. */
   attempt: number;
   /** Offset of the next token to decode. */
-  position: number;
+  nextOffset: number;
   length: number;
   isPrefilled: boolean;
-  prefillLeft: number;
+  remainingPrefillTokens: number;
   nextTokenAtMs: number;
-  unreadSinceMs: number | undefined;
+  withoutReaderSinceMs: number | undefined;
   /** Wakes the reader after a change. */
-  notify: () => void;
-  record: EngineRecord;
+  notifyReader: () => void;
+  record: GenerationRecord;
 }
 
 /** All generations of one engine. */
 export default class Batch {
-  readonly records: EngineRecord[] = [];
+  readonly records: GenerationRecord[] = [];
   private readonly generations = new Map<string, EngineGeneration>();
   private lastStepMs: number;
 
@@ -66,7 +66,7 @@
     const cachedPromptTokens = Math.floor(promptTokens * cachedShare);
     const prefixTokens = hasImportedKv ? 0 : order.forcedPrefix.length;
     const source = { prompt: order.prompt, modelVersion: order.modelVersion, seed: order.seed };
-    const record: EngineRecord = {
+    const record: GenerationRecord = {
       generationId: order.generationId,
       prefillTokens: promptTokens - cachedPromptTokens + prefixTokens,
       decodedTokens: 0,
@@ -77,13 +77,13 @@
       order,
       source,
       attempt: order.attempt,
-      position: order.forcedPrefix.length,
+      nextOffset: order.forcedPrefix.length,
       length: answerLength(source, order.maxTokens),
       isPrefilled: false,
-      prefillLeft: record.prefillTokens,
+      remainingPrefillTokens: record.prefillTokens,
       nextTokenAtMs: 0,
-      unreadSinceMs: undefined,
-      notify: () => undefined,
+      withoutReaderSinceMs: undefined,
+      notifyReader: () => undefined,
       record,
     });
     return { cachedPromptTokens, promptTokens };
@@ -94,27 +94,27 @@
   }
 
   /** Ends a generation early. */
-  remove(generation: EngineGeneration, ended: EngineRecord['ended']): void {
+  remove(generation: EngineGeneration, ended: GenerationRecord['ended']): void {
     generation.record.ended = ended;
     this.generations.delete(generation.order.generationId);
-    generation.notify();
+    generation.notifyReader();
   }
 
   get running(): EngineGeneration[] {
-    return this.ordered().slice(0, this.options.slots);
+    return this.listUnfinishedByRank().slice(0, this.options.slots);
   }
 
   get waiting(): number {
-    return Math.max(0, this.open - this.options.slots);
+    return Math.max(0, this.unfinished - this.options.slots);
   }
 
   /** Generations that still have tokens to decode. */
-  get open(): number {
-    return this.ordered().length;
+  get unfinished(): number {
+    return this.listUnfinishedByRank().length;
   }
 
   /** Milliseconds between the tokens of one stream now. */
-  get gapMs(): number {
+  get tokenGapMs(): number {
     const { baseGapMs, loadSlowdown, slots } = this.options;
     return baseGapMs * (1 + (loadSlowdown * this.running.length) / slots);
   }
@@ -127,17 +127,17 @@
     for (const generation of this.running) {
       this.decode(generation, now);
     }
-    this.dropOrphans(now);
+    this.removeOrphans(now);
   }
 
   /** The reason with which a generation ends. */
-  static reasonOf(generation: EngineGeneration): FinishReason {
+  static finishReasonOf(generation: EngineGeneration): FinishReason {
     return generation.length < generation.order.maxTokens ? 'stop' : 'length';
   }
 
-  private ordered(): EngineGeneration[] {
+  private listUnfinishedByRank(): EngineGeneration[] {
     return [...this.generations.values()]
-      .filter((generation) => generation.position < generation.length)
+      .filter((generation) => generation.nextOffset < generation.length)
       .sort((a, b) => a.order.rank - b.order.rank);
   }
 
@@ -147,10 +147,10 @@
       if (generation.isPrefilled) {
         continue;
       }
-      const done = Math.min(budget, generation.prefillLeft);
-      generation.prefillLeft -= done;
+      const done = Math.min(budget, generation.remainingPrefillTokens);
+      generation.remainingPrefillTokens -= done;
       budget -= done;
-      if (generation.prefillLeft > 0) {
+      if (generation.remainingPrefillTokens > 0) {
         return;
       }
       generation.isPrefilled = true;
@@ -162,17 +162,20 @@
     if (!generation.isPrefilled || now < generation.nextTokenAtMs) {
       return;
     }
-    generation.position += 1;
+    generation.nextOffset += 1;
     generation.record.decodedTokens += 1;
     const { paceTokensPerSecond } = generation.order;
     generation.nextTokenAtMs = paceTokensPerSecond > 0 ? now + 1000 / paceTokensPerSecond : 0;
-    generation.notify();
+    generation.notifyReader();
   }
 
-  private dropOrphans(now: number): void {
+  private removeOrphans(now: number): void {
     for (const generation of this.generations.values()) {
-      const { unreadSinceMs } = generation;
-      if (unreadSinceMs !== undefined && now - unreadSinceMs > this.options.orphanMs) {
+      const { withoutReaderSinceMs } = generation;
+      if (
+        withoutReaderSinceMs !== undefined &&
+        now - withoutReaderSinceMs > this.options.orphanMs
+      ) {
         this.remove(generation, 'orphaned');
       }
     }
@@ -180,9 +183,9 @@
 }
 
 /** The tokens of a generation from an offset up to what is decoded. */
-export function readTokens(generation: EngineGeneration, from: number): string[] {
-  const { order, position, source } = generation;
-  return Array.from({ length: Math.max(0, position - from) }, (_, index) => {
+export function listDecodedTokens(generation: EngineGeneration, from: number): string[] {
+  const { order, nextOffset, source } = generation;
+  return Array.from({ length: Math.max(0, nextOffset - from) }, (_, index) => {
     const offset = from + index;
     return order.forcedPrefix[offset] ?? tokenAt(source, offset);
   });
--- a/packages/stand-ins/src/engine/model-shelf.ts
+++ b/packages/stand-ins/src/engine/loaded-models.ts
@@ -7,7 +7,7 @@
 } from '@limelead/types';
 
 /** How orders are carried out. */
-export interface ModelShelfOptions {
+export interface LoadedModelsOptions {
   loaded: ModelVersion[];
   loadMs: number;
   checksFences: boolean;
@@ -15,12 +15,12 @@
 }
 
 /** The versions of one engine. */
-export default class ModelShelf {
+export default class LoadedModels {
   readonly orders: PlacementOrder[] = [];
   fence = 0;
   private versions: { version: ModelVersion; readyAtMs: number }[];
 
-  constructor(private readonly options: ModelShelfOptions) {
+  constructor(private readonly options: LoadedModelsOptions) {
     this.versions = options.loaded.map((version) => ({ version, readyAtMs: 0 }));
   }
 
@@ -29,12 +29,12 @@
     return this.versions.filter(({ readyAtMs }) => readyAtMs <= now).map(({ version }) => version);
   }
 
-  has(version: ModelVersion): boolean {
+  isLoaded(version: ModelVersion): boolean {
     return this.loaded().some((loaded) => isSameModelVersion(loaded, version));
   }
 
   /** Carries an order out; says whether its fence let it through. */
-  take(order: PlacementOrder): boolean {
+  applyOrder(order: PlacementOrder): boolean {
     if (this.options.checksFences && order.fence < this.fence) {
       return false;
     }
--- a/packages/stand-ins/src/engine/prefix-cache.ts
+++ b/packages/stand-ins/src/engine/prefix-cache.ts
@@ -10,7 +10,7 @@
   /** Milliseconds until an event is published. */
   lagMs: number;
   /** Every so many events one is never published; 0 publishes all. */
-  loseEvery: number;
+  omitEveryNthEvent: number;
 }
 
 /** The cache of one engine. */
@@ -58,8 +58,8 @@
 
   private publish(prefixHash: string, change: CacheEvent['change']): void {
     this.sequence += 1;
-    const { loseEvery } = this.options;
-    if (loseEvery > 0 && this.sequence % loseEvery === 0) {
+    const { omitEveryNthEvent } = this.options;
+    if (omitEveryNthEvent > 0 && this.sequence % omitEveryNthEvent === 0) {
       return;
     }
     const event = { sequence: this.sequence, prefixHash, change };
--- a/packages/stand-ins/src/engine/start-engine.ts
+++ b/packages/stand-ins/src/engine/start-engine.ts
@@ -11,10 +11,10 @@
 } from '@limelead/types';
 import type { FastifyInstance, FastifyReply, FastifyRequest } from 'fastify';
 import FaultyServer from '../server.js';
-import Batch, { type BatchOptions, type EngineRecord } from './batch.js';
-import ModelShelf from './model-shelf.js';
+import Batch, { type BatchOptions, type GenerationRecord } from './batch.js';
+import LoadedModels from './loaded-models.js';
 import PrefixCache from './prefix-cache.js';
-import streamToReader, { type EndFault } from './stream-reader.js';
+import streamToReader, { type StreamEndFault } from './stream-to-reader.js';
 
 const STEP_MS = 2;
 
@@ -55,23 +55,23 @@
   id: string;
   port: number;
   /** Ends at once; everything in it is lost. */
-  die(): Promise<void>;
+  crash(): Promise<void>;
   /** Comes back empty on the same port. */
-  revive(): Promise<void>;
+  restart(): Promise<void>;
   pause(): void;
-  wake(): void;
+  resume(): void;
   /** Lets nothing in or out, while generations go on; links stay open. */
   partition(): void;
   /** Ends the partition. */
-  reconnect(): void;
+  endPartition(): void;
   /** Breaks all present links; generations go on. */
-  cutLinks(): void;
+  closeConnections(): void;
   /** Makes every step longer by the factor. */
-  slow(factor: number): void;
+  setSlowdown(factor: number): void;
   /** Ends coming streams wrongly. */
-  endWrongly(fault: EndFault): void;
+  setStreamEndFault(fault: StreamEndFault): void;
   /** What was done for each generation, over all lives. */
-  records(): EngineRecord[];
+  records(): GenerationRecord[];
   loaded(): ModelVersion[];
   orders(): PlacementOrder[];
   stop(): Promise<void>;
@@ -90,21 +90,21 @@
   private readonly server = new FaultyServer((server) => this.register(server));
   private cache: PrefixCache;
   private batch: Batch;
-  private shelf: ModelShelf;
+  private shelf: LoadedModels;
   private imported = new Set<string>();
-  private pastRecords: EngineRecord[] = [];
+  private pastRecords: GenerationRecord[] = [];
   private reports: LoadReport[] = [];
   private timer: NodeJS.Timeout | undefined;
   private nextStepMs = 0;
   private slowness = 1;
   /** True while the engine itself does nothing; a partition stops only its links. */
   private isStopped = false;
-  private endFault: EndFault = 'none';
+  private endFault: StreamEndFault = 'none';
 
   constructor(private readonly options: EngineOptions) {
     this.cache = this.createCache();
     this.batch = new Batch(options, this.cache, options.clock);
-    this.shelf = new ModelShelf(options);
+    this.shelf = new LoadedModels(options);
   }
 
   get id(): string {
@@ -120,20 +120,20 @@
     this.timer = setInterval(() => this.tick(), STEP_MS);
   }
 
-  async die(): Promise<void> {
+  async crash(): Promise<void> {
     this.isStopped = false;
     clearInterval(this.timer);
     this.timer = undefined;
-    await this.server.die();
+    await this.server.crash();
     this.pastRecords.push(...this.batch.records);
     this.cache = this.createCache();
     this.batch = new Batch(this.options, this.cache, this.options.clock);
-    this.shelf = new ModelShelf(this.options);
+    this.shelf = new LoadedModels(this.options);
     this.imported = new Set();
     this.reports = [];
   }
 
-  async revive(): Promise<void> {
+  async restart(): Promise<void> {
     await this.start();
   }
 
@@ -142,32 +142,32 @@
     this.server.pause();
   }
 
-  wake(): void {
+  resume(): void {
     this.isStopped = false;
-    this.server.wake();
+    this.server.resume();
   }
 
   partition(): void {
     this.server.pause();
   }
 
-  reconnect(): void {
-    this.server.wake();
+  endPartition(): void {
+    this.server.resume();
   }
 
-  cutLinks(): void {
-    this.server.cutLinks();
+  closeConnections(): void {
+    this.server.closeConnections();
   }
 
-  slow(factor: number): void {
+  setSlowdown(factor: number): void {
     this.slowness = factor;
   }
 
-  endWrongly(fault: EndFault): void {
+  setStreamEndFault(fault: StreamEndFault): void {
     this.endFault = fault;
   }
 
-  records(): EngineRecord[] {
+  records(): GenerationRecord[] {
     return [...this.pastRecords, ...this.batch.records];
   }
 
@@ -181,13 +181,13 @@
 
   async stop(): Promise<void> {
     if (this.timer !== undefined) {
-      await this.die();
+      await this.crash();
     }
   }
 
   private createCache(): PrefixCache {
     const { cacheBlocks, cacheLagMs, loseCacheEvery, clock } = this.options;
-    const options = { capacityBlocks: cacheBlocks, lagMs: cacheLagMs, loseEvery: loseCacheEvery };
+    const options = { capacityBlocks: cacheBlocks, lagMs: cacheLagMs, omitEveryNthEvent: loseCacheEvery };
     return new PrefixCache(options, clock);
   }
 
@@ -196,7 +196,7 @@
     if (this.isStopped || now < this.nextStepMs) {
       return;
     }
-    this.nextStepMs = now + this.batch.gapMs * this.slowness;
+    this.nextStepMs = now + this.batch.tokenGapMs * this.slowness;
     this.batch.step();
     this.noteReport(now);
   }
@@ -207,7 +207,7 @@
       running: this.batch.running.length,
       waiting: this.batch.waiting,
       slots: this.options.slots,
-      tokenGapMs: this.batch.gapMs * this.slowness,
+      tokenGapMs: this.batch.tokenGapMs * this.slowness,
       prefillTokensPerSecond: this.options.prefillTokensPerSecond / this.slowness,
       loaded: this.shelf.loaded(),
       fence: this.shelf.fence,
@@ -234,13 +234,16 @@
       return {};
     });
     server.post(ENGINE_PATHS.orders, async (request, reply) =>
-      this.shelf.take(request.body as PlacementOrder) ? {} : reply.code(409).send({}),
+      this.shelf.applyOrder(request.body as PlacementOrder) ? {} : reply.code(409).send({}),
     );
   }
 
   private onStart(request: FastifyRequest, reply: FastifyReply): void {
     const order = request.body as StartOrder;
-    if (!this.shelf.has(order.modelVersion) || this.batch.find(order.generationId) !== undefined) {
+    if (
+      !this.shelf.isLoaded(order.modelVersion) ||
+      this.batch.find(order.generationId) !== undefined
+    ) {
       void reply.code(409).send({});
       return;
     }
@@ -262,7 +265,7 @@
       void reply.code(409).send({});
       return;
     }
-    const fencedReader = generation.notify;
+    const fencedReader = generation.notifyReader;
     generation.attempt = attempt;
     fencedReader();
     this.beginStream(reply);
--- a/packages/stand-ins/src/engine/stream-reader.ts
+++ b/packages/stand-ins/src/engine/stream-to-reader.ts
@@ -1,29 +1,29 @@
 /** Writes one generation's tokens to one reader, as JSON lines. */
 import type { EngineMessage } from '@limelead/types';
 import type { ServerResponse } from 'node:http';
-import Batch, { readTokens, type EngineGeneration } from './batch.js';
+import Batch, { listDecodedTokens, type EngineGeneration } from './batch.js';
 
 /** How an engine ends a stream wrongly. */
-export type EndFault = 'none' | 'no-marker' | 'wrong-length';
+export type StreamEndFault = 'none' | 'no-marker' | 'wrong-length';
 
 /** What a reader needs. */
-export interface StreamReaderOptions {
+export interface StreamOptions {
   batch: Batch;
   generation: EngineGeneration;
   response: ServerResponse;
   fromOffset: number;
   now(): number;
   isPaused(): boolean;
-  endFault(): EndFault;
+  endFault(): StreamEndFault;
 }
 
 /** Writes until the generation ends, the link breaks, or a higher attempt takes over. */
-export default function streamToReader(options: StreamReaderOptions): void {
+export default function streamToReader(options: StreamOptions): void {
   const { batch, generation, response, now } = options;
   const attempt = generation.attempt;
   let offset = options.fromOffset;
   let isBlocked = false;
-  generation.unreadSinceMs = undefined;
+  generation.withoutReaderSinceMs = undefined;
 
   function write(message: EngineMessage): void {
     isBlocked = !response.write(`${JSON.stringify(message)}\n`);
@@ -37,12 +37,12 @@
       response.destroy();
       return;
     }
-    const tokens = readTokens(generation, offset);
+    const tokens = listDecodedTokens(generation, offset);
     if (tokens.length > 0) {
       write({ kind: 'tokens', offset, tokens });
       offset += tokens.length;
     }
-    if (generation.position >= generation.length) {
+    if (generation.nextOffset >= generation.length) {
       finish();
     }
   }
@@ -51,7 +51,7 @@
     const fault = options.endFault();
     if (fault !== 'no-marker') {
       const length = fault === 'wrong-length' ? offset + 1 : offset;
-      write({ kind: 'end', length, reason: Batch.reasonOf(generation) });
+      write({ kind: 'end', length, reason: Batch.finishReasonOf(generation) });
     }
     response.end();
     if (fault === 'none') {
@@ -65,9 +65,9 @@
   });
   response.on('close', () => {
     if (generation.attempt === attempt) {
-      generation.unreadSinceMs = now();
+      generation.withoutReaderSinceMs = now();
     }
   });
-  generation.notify = pump;
+  generation.notifyReader = pump;
   pump();
 }
--- a/packages/stand-ins/src/in-process-store.ts
+++ b/packages/stand-ins/src/in-process-store.ts
@@ -6,25 +6,25 @@
 
 /** Switches for the faults of the service. */
 export interface StoreFaults {
-  isOut: boolean;
+  isUnavailable: boolean;
   /** Decides for each swap whether it is refused, or carried out without a reply. */
-  onSwap: () => 'ok' | 'refused' | 'reply-lost';
+  decideSwap: () => 'ok' | 'refused' | 'reply-lost';
 }
 
 /** Creates a store on a state; several stores on one state are several clients. */
 export default function createInProcessStore(
   state: KeyValueState,
-  faults: StoreFaults = { isOut: false, onSwap: () => 'ok' },
+  faults: StoreFaults = { isUnavailable: false, decideSwap: () => 'ok' },
 ): KeyValueStore {
   const call =
     <Value>(run: () => Value): PortCall<Value> =>
     async () =>
-      faults.isOut ? E.left(new PortFault('refused', 'no', 'out')) : E.right(run());
+      faults.isUnavailable ? E.left(new PortFault('refused', 'no', 'out')) : E.right(run());
 
   return {
     get: (key) => call(() => state.get(key)),
     compareAndSwap: (key, expectedVersion, value) => async () => {
-      const fate = faults.isOut ? 'refused' : faults.onSwap();
+      const fate = faults.isUnavailable ? 'refused' : faults.decideSwap();
       if (fate === 'refused') {
         return E.left(new PortFault('refused', 'no', 'out'));
       }
--- a/packages/stand-ins/src/vm-register.ts
+++ b/packages/stand-ins/src/lagged-vm-list.ts
@@ -2,7 +2,7 @@
 import type { Clock, ListedVm, VmList } from '@limelead/types';
 
 /** The list with switches. */
-export interface VmRegister {
+export interface LaggedVmList {
   add(vm: ListedVm): void;
   setLeaving(id: string): void;
   remove(id: string): void;
@@ -16,7 +16,7 @@
 }
 
 /** Creates an empty list. */
-export default function createVmRegister(clock: Clock, lagMs: number): VmRegister {
+export default function createLaggedVmList(clock: Clock, lagMs: number): LaggedVmList {
   let versions: DatedList[] = [{ list: { version: 1, vms: [] }, atMs: Number.NEGATIVE_INFINITY }];
 
   function change(apply: (vms: ListedVm[]) => ListedVm[]): void {
--- a/packages/stand-ins/src/manual-time.ts
+++ b/packages/stand-ins/src/manual-time.ts
@@ -43,14 +43,14 @@
     },
     async advance(milliseconds) {
       const untilMs = now + milliseconds;
-      await settle();
+      await flushPromises();
       for (let timer = takeNext(untilMs); timer !== undefined; timer = takeNext(untilMs)) {
         now = Math.max(now, timer.atMs);
         timer.run();
-        await settle();
+        await flushPromises();
       }
       now = untilMs;
-      await settle();
+      await flushPromises();
     },
   };
 }
@@ -58,7 +58,7 @@
 const TURNS_TO_SETTLE = 5;
 
 /** Lets everything run that waits for no timer. */
-export async function settle(): Promise<void> {
+export async function flushPromises(): Promise<void> {
   for (let turn = 0; turn < TURNS_TO_SETTLE; turn += 1) {
     await new Promise((resolve) => setImmediate(resolve));
   }
--- a/packages/stand-ins/src/plain-service.ts
+++ b/packages/stand-ins/src/plain-service.ts
@@ -10,13 +10,13 @@
   /** Runs of each request id. */
   runs(): ReadonlyMap<string, number>;
   /** Breaks the link after the next calls ran, before they are answered. */
-  loseReplies(count: number): void;
+  dropReplies(count: number): void;
   /** Milliseconds that each call takes. */
-  takeMs(milliseconds: number): void;
-  die(): Promise<void>;
-  revive(): Promise<void>;
+  setCallDurationMs(milliseconds: number): void;
+  crash(): Promise<void>;
+  restart(): Promise<void>;
   pause(): void;
-  wake(): void;
+  resume(): void;
   stop(): Promise<void>;
 }
 
@@ -55,12 +55,12 @@
       return server.port;
     },
     runs: () => runs,
-    loseReplies: (count) => void (repliesToLose = count),
-    takeMs: (milliseconds) => void (callMs = milliseconds),
-    die: () => server.die(),
-    revive: () => server.listen(),
+    dropReplies: (count) => void (repliesToLose = count),
+    setCallDurationMs: (milliseconds) => void (callMs = milliseconds),
+    crash: () => server.crash(),
+    restart: () => server.listen(),
     pause: () => server.pause(),
-    wake: () => server.wake(),
-    stop: () => server.die(),
+    resume: () => server.resume(),
+    stop: () => server.crash(),
   };
 }
--- a/packages/stand-ins/src/platform.ts
+++ b/packages/stand-ins/src/platform.ts
@@ -4,7 +4,7 @@
 import type { FastifyInstance, FastifyReply, FastifyRequest } from 'fastify';
 import createKeyValueState, { type KeyValueState } from './key-value-state.js';
 import FaultyServer from './server.js';
-import createVmRegister, { type VmRegister } from './vm-register.js';
+import createLaggedVmList, { type LaggedVmList } from './lagged-vm-list.js';
 
 const MAX_VALUE_BYTES = 1_048_576;
 const WEIGHT_BYTES = 16e9;
@@ -28,17 +28,17 @@
 /** A running platform with switches for its faults. */
 export interface Platform {
   port: number;
-  values: KeyValueState;
-  vms: VmRegister;
+  keyValueState: KeyValueState;
+  vms: LaggedVmList;
   counts(): CallCounts;
   /** Answers every call of the key-value service with an error, or no longer. */
   setOutage(isOut: boolean): void;
   /** Answers no reading of the list of VMs, or does so again. */
-  setListOutage(isOut: boolean): void;
+  setVmListOutage(isOut: boolean): void;
   /** Carries the next compare-and-swaps out but breaks the link before the reply. */
-  loseSwapReplies(count: number): void;
+  dropSwapReplies(count: number): void;
   /** Holds every call of the key-value service back by so many milliseconds. */
-  slowBy(milliseconds: number): void;
+  setDelayMs(milliseconds: number): void;
   stop(): Promise<void>;
 }
 
@@ -58,7 +58,7 @@
   const { writesPerSecond, readsPerSecond, listLagMs } = { ...DEFAULT_OPTIONS, ...options };
   const clock = systemClock;
   const values = createKeyValueState(clock);
-  const vms = createVmRegister(clock, listLagMs);
+  const vms = createLaggedVmList(clock, listLagMs);
   const counts: CallCounts = { reads: 0, writes: 0, watches: 0, refused: 0 };
   const writeBudget = createBudget(writesPerSecond);
   const readBudget = createBudget(readsPerSecond);
@@ -151,14 +151,14 @@
     get port() {
       return server.port;
     },
-    values,
+    keyValueState: values,
     vms,
     counts: () => ({ ...counts }),
     setOutage: (next) => void (isOut = next),
-    setListOutage: (next) => void (isListOut = next),
-    loseSwapReplies: (count) => void (repliesToLose = count),
-    slowBy: (milliseconds) => void (slownessMs = milliseconds),
-    stop: () => server.die(),
+    setVmListOutage: (next) => void (isListOut = next),
+    dropSwapReplies: (count) => void (repliesToLose = count),
+    setDelayMs: (milliseconds) => void (slownessMs = milliseconds),
+    stop: () => server.crash(),
   };
 }
 
--- a/packages/stand-ins/src/server.ts
+++ b/packages/stand-ins/src/server.ts
@@ -8,7 +8,7 @@
 export default class FaultyServer {
   private server: FastifyInstance | undefined;
   private paused: Promise<void> | undefined;
-  private resume: () => void = () => undefined;
+  private endPause: () => void = () => undefined;
   private fixedPort = 0;
 
   /** @param register adds the routes; called again each time the server comes back */
@@ -35,10 +35,10 @@
   }
 
   /** Ends all links at once and refuses new ones. */
-  async die(): Promise<void> {
+  async crash(): Promise<void> {
     const { server } = this;
     this.server = undefined;
-    this.wake();
+    this.resume();
     // Closing first ends the listening, so that no link is made in between.
     const closed = server?.close();
     server?.server.closeAllConnections();
@@ -47,17 +47,17 @@
 
   /** Keeps links open but does nothing. */
   pause(): void {
-    this.paused ??= new Promise((resolve) => (this.resume = resolve));
+    this.paused ??= new Promise((resolve) => (this.endPause = resolve));
   }
 
   /** Goes on as if nothing had happened. */
-  wake(): void {
+  resume(): void {
     this.paused = undefined;
-    this.resume();
+    this.endPause();
   }
 
   /** Ends all present links; new ones are accepted. */
-  cutLinks(): void {
+  closeConnections(): void {
     this.server?.server.closeAllConnections();
   }
 }
--- a/packages/store-configuration/src/configuration-store.test.ts
+++ b/packages/store-configuration/src/configuration-store.test.ts
@@ -103,8 +103,8 @@
 test('a change whose reply is lost is accepted once and reported as accepted', async () => {
   let losses = 1;
   const system = createSystem({
-    isOut: false,
-    onSwap: () => (losses-- > 0 ? 'reply-lost' : 'ok'),
+    isUnavailable: false,
+    decideSwap: () => (losses-- > 0 ? 'reply-lost' : 'ok'),
   });
   const outcome = await apply(system, change('c1', 0, putOrganisation('haneul')));
   assert.ok(E.isRight(outcome));
@@ -112,24 +112,24 @@
 });
 
 test('during an outage of the service a change fails with store-unavailable', async () => {
-  const faults: StoreFaults = { isOut: true, onSwap: () => 'ok' };
+  const faults: StoreFaults = { isUnavailable: true, decideSwap: () => 'ok' };
   const system = createSystem(faults);
   const outcome = await apply(system, change('c1', 0, putOrganisation('haneul')));
   assert.ok(E.isLeft(outcome) && outcome.left.kind === 'store-unavailable');
-  faults.isOut = false;
+  faults.isUnavailable = false;
   assert.is((await history(system)).length, 0);
 });
 
 test('a change fails with outcome-unknown if the service executes it without a reply', async () => {
-  const faults: StoreFaults = { isOut: false, onSwap: () => 'ok' };
+  const faults: StoreFaults = { isUnavailable: false, decideSwap: () => 'ok' };
   const system = createSystem(faults);
-  faults.onSwap = () => {
-    faults.isOut = true;
+  faults.decideSwap = () => {
+    faults.isUnavailable = true;
     return 'reply-lost';
   };
   const outcome = await apply(system, change('c1', 0, putOrganisation('haneul')));
   assert.ok(E.isLeft(outcome) && outcome.left.kind === 'outcome-unknown');
-  faults.isOut = false;
+  faults.isUnavailable = false;
   assert.is((await history(system))[0]?.changeId, 'c1', 'the change took effect');
 });
 
@@ -179,8 +179,11 @@
   });
   await fc.assert(
     fc.asyncProperty(fc.array(step, { maxLength: 15 }), async (steps) => {
-      let replies: ReturnType<StoreFaults['onSwap']>[] = [];
-      const system = createSystem({ isOut: false, onSwap: () => replies.shift() ?? 'ok' });
+      let replies: ReturnType<StoreFaults['decideSwap']>[] = [];
+      const system = createSystem({
+        isUnavailable: false,
+        decideSwap: () => replies.shift() ?? 'ok',
+      });
       const accepted: string[] = [];
       let expected = EMPTY_CONFIGURATION;
       for (const [index, { name, isStale, replies: planned }] of steps.entries()) {
