--- a/packages/stand-ins/src/engine/batch.ts
+++ b/packages/stand-ins/src/engine/batch.ts
@@ -1,22 +1,22 @@
-/** Continuous batching: running generations get a token a step, waiting ones a slot by priority. */
+/** Simulates continuous batching: each step decodes one token per running generation; slots go by rank. */
 import { countPromptTokens } from '@limelead/outside-protocol';
 import type { Clock, FinishReason, StartOrder } from '@limelead/types';
 import type PrefixCache from './prefix-cache.js';
 import { answerLength, tokenAt, type TokenSource } from './tokens.js';
 
-/** How fast the engine is. */
+/** Slots and speed of an engine. */
 export interface BatchOptions {
   slots: number;
-  /** Milliseconds of a step with an empty batch. */
+  /** Duration of a step with an empty batch. */
   baseGapMs: number;
-  /** Part of the base gap that a full batch adds. */
+  /** Share of `baseGapMs` that a full batch adds to a step. */
   loadSlowdown: number;
   prefillTokensPerSecond: number;
-  /** Milliseconds for which a generation runs on that nobody reads. */
+  /** Time for which a generation without a reader keeps running. */
   orphanMs: number;
 }
 
-/** What the engine did for one generation; for the checks at the end. */
+/** Work that an engine did for one generation and how the generation ended. */
 export interface GenerationRecord {
   generationId: string;
   prefillTokens: number;
@@ -24,25 +24,24 @@
   ended: 'running' | 'finished' | 'cancelled' | 'orphaned';
 }
 
-/** One generation in the engine. */
+/** A generation in the batch. */
 export interface EngineGeneration {
   order: StartOrder;
   source: TokenSource;
-  /** Attempt of the present reader; lower ones are fenced. */
+  /** Attempt of the current reader; lower attempts are fenced. */
   attempt: number;
-  /** Offset of the next token to decode. */
   nextOffset: number;
   length: number;
   isPrefilled: boolean;
   remainingPrefillTokens: number;
   nextTokenAtMs: number;
   withoutReaderSinceMs: number | undefined;
-  /** Wakes the reader after a change. */
+  /** Tells the reader that tokens or the state changed. */
   notifyReader: () => void;
   record: GenerationRecord;
 }
 
-/** All generations of one engine. */
+/** Running and waiting generations of one engine. */
 export default class Batch {
   readonly records: GenerationRecord[] = [];
   private readonly generations = new Map<string, EngineGeneration>();
@@ -56,7 +55,7 @@
     this.lastStepMs = clock.now();
   }
 
-  /** Takes a generation in; gives the prompt tokens that need no processing. */
+  /** Adds a generation; returns how many of its prompt tokens are cached. */
   add(
     order: StartOrder,
     hasImportedKv: boolean,
@@ -93,7 +92,7 @@
     return this.generations.get(generationId);
   }
 
-  /** Ends a generation early. */
+  /** Removes a generation and records how it ended. */
   remove(generation: EngineGeneration, ended: GenerationRecord['ended']): void {
     generation.record.ended = ended;
     this.generations.delete(generation.order.generationId);
@@ -113,13 +112,13 @@
     return this.listUnfinishedByRank().length;
   }
 
-  /** Milliseconds between the tokens of one stream now. */
+  /** Current time between two tokens of one stream. */
   get tokenGapMs(): number {
     const { baseGapMs, loadSlowdown, slots } = this.options;
     return baseGapMs * (1 + (loadSlowdown * this.running.length) / slots);
   }
 
-  /** One step: prefill in order, then a token for each running generation. */
+  /** Runs one step: prefill by rank, then one token for each prefilled generation. */
   step(): void {
     const now = this.clock.now();
     this.prefill(now - this.lastStepMs);
@@ -130,7 +129,6 @@
     this.removeOrphans(now);
   }
 
-  /** The reason with which a generation ends. */
   static finishReasonOf(generation: EngineGeneration): FinishReason {
     return generation.length < generation.order.maxTokens ? 'stop' : 'length';
   }
@@ -147,9 +145,9 @@
       if (generation.isPrefilled) {
         continue;
       }
-      const done = Math.min(budget, generation.remainingPrefillTokens);
-      generation.remainingPrefillTokens -= done;
-      budget -= done;
+      const processed = Math.min(budget, generation.remainingPrefillTokens);
+      generation.remainingPrefillTokens -= processed;
+      budget -= processed;
       if (generation.remainingPrefillTokens > 0) {
         return;
       }
@@ -182,7 +180,7 @@
   }
 }
 
-/** The tokens of a generation from an offset up to what is decoded. */
+/** Returns the decoded tokens of a generation, starting at an offset. */
 export function listDecodedTokens(generation: EngineGeneration, from: number): string[] {
   const { order, nextOffset, source } = generation;
   return Array.from({ length: Math.max(0, nextOffset - from) }, (_, index) => {
--- a/packages/stand-ins/src/engine/loaded-models.ts
+++ b/packages/stand-ins/src/engine/loaded-models.ts
@@ -1,4 +1,4 @@
-/** Which versions an engine has loaded, and the orders that changed it. */
+/** Model versions loaded by an engine and the placement orders applied to them. */
 import {
   isSameModelVersion,
   type Clock,
@@ -6,7 +6,7 @@
   type PlacementOrder,
 } from '@limelead/types';
 
-/** How orders are carried out. */
+/** Initial versions, load time and fencing of an engine. */
 export interface LoadedModelsOptions {
   loaded: ModelVersion[];
   loadMs: number;
@@ -14,7 +14,7 @@
   clock: Clock;
 }
 
-/** The versions of one engine. */
+/** Model versions of one engine. */
 export default class LoadedModels {
   readonly orders: PlacementOrder[] = [];
   fence = 0;
@@ -33,7 +33,7 @@
     return this.loaded().some((loaded) => isSameModelVersion(loaded, version));
   }
 
-  /** Carries an order out; says whether its fence let it through. */
+  /** Applies a placement order; returns false if its fence is outdated. */
   applyOrder(order: PlacementOrder): boolean {
     if (this.options.checksFences && order.fence < this.fence) {
       return false;
--- a/packages/stand-ins/src/engine/prefix-cache.ts
+++ b/packages/stand-ins/src/engine/prefix-cache.ts
@@ -1,19 +1,19 @@
-/** A bounded cache of prompt prefixes that publishes its changes late and with gaps. */
+/** A bounded LRU cache of prompt prefixes that publishes its events late and with gaps. */
 import { hashPromptBlocks } from '@limelead/outside-protocol';
 import type { CacheEvent, Clock } from '@limelead/types';
 
-const KEPT_EVENTS = 1_000;
+const MAX_EVENTS = 1_000;
 
-/** How the cache behaves. */
+/** Capacity of the cache and faults of its events. */
 export interface PrefixCacheOptions {
   capacityBlocks: number;
-  /** Milliseconds until an event is published. */
+  /** Delay until an event is published. */
   lagMs: number;
-  /** Every so many events one is never published; 0 publishes all. */
+  /** Every nth event is never published; 0 publishes all. */
   omitEveryNthEvent: number;
 }
 
-/** The cache of one engine. */
+/** Prefix cache of one engine. */
 export default class PrefixCache {
   private readonly blocks = new Set<string>();
   private events: { event: CacheEvent; atMs: number }[] = [];
@@ -24,14 +24,14 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Share of the prompt that is cached, 0 to 1. */
+  /** Returns the share of the prompt that is cached, 0 to 1. */
   cachedShare(prompt: string): number {
     const hashes = hashPromptBlocks(prompt);
-    const longest = hashes.findLastIndex((hash) => this.blocks.has(hash));
-    return hashes.length === 0 ? 0 : (longest + 1) / hashes.length;
+    const lastCached = hashes.findLastIndex((hash) => this.blocks.has(hash));
+    return hashes.length === 0 ? 0 : (lastCached + 1) / hashes.length;
   }
 
-  /** Takes a prompt's prefixes in; the longest unused ones go. */
+  /** Stores the prefixes of a prompt and evicts the least recently used blocks. */
   store(prompt: string): void {
     for (const hash of hashPromptBlocks(prompt)) {
       if (!this.blocks.delete(hash)) {
@@ -48,11 +48,11 @@
     }
   }
 
-  /** Events above a sequence number that are published by now. */
+  /** Returns the events published so far with a higher sequence number. */
   eventsAfter(sequence: number): CacheEvent[] {
-    const published = this.clock.now() - this.options.lagMs;
+    const publishedUntilMs = this.clock.now() - this.options.lagMs;
     return this.events
-      .filter(({ event, atMs }) => event.sequence > sequence && atMs <= published)
+      .filter(({ event, atMs }) => event.sequence > sequence && atMs <= publishedUntilMs)
       .map(({ event }) => event);
   }
 
@@ -63,6 +63,6 @@
       return;
     }
     const event = { sequence: this.sequence, prefixHash, change };
-    this.events = [...this.events.slice(1 - KEPT_EVENTS), { event, atMs: this.clock.now() }];
+    this.events = [...this.events.slice(1 - MAX_EVENTS), { event, atMs: this.clock.now() }];
   }
 }
--- a/packages/stand-ins/src/engine/start-engine.ts
+++ b/packages/stand-ins/src/engine/start-engine.ts
@@ -1,4 +1,4 @@
-/** A model engine. */
+/** Stand-in for a model engine, with switches for its faults. */
 import { ENGINE_PATHS } from '@limelead/outside-protocol';
 import {
   systemClock,
@@ -18,23 +18,23 @@
 
 const STEP_MS = 2;
 
-/** How an engine behaves. */
+/** Behaviour of an engine. */
 export interface EngineOptions extends BatchOptions {
   id: string;
   loaded: ModelVersion[];
-  /** Milliseconds between the figures of a report and its publication. */
+  /** Delay until a load report is published. */
   reportLagMs: number;
   cacheBlocks: number;
   cacheLagMs: number;
-  /** Every so many cache events one is lost; 0 loses none. */
+  /** Every nth cache event is lost; 0 loses none. */
   loseCacheEvery: number;
-  /** Milliseconds to load a version. */
+  /** Time to load a model version. */
   loadMs: number;
   checksFences: boolean;
   clock: Clock;
 }
 
-/** Behaviour of an engine for tests: quick, and without faults. */
+/** Defaults for tests: a fast engine that loses every tenth cache event. */
 export const DEFAULT_ENGINE_OPTIONS: Omit<EngineOptions, 'id' | 'loaded'> = {
   slots: 16,
   baseGapMs: 8,
@@ -54,25 +54,26 @@
 export interface Engine {
   id: string;
   port: number;
-  /** Ends at once; everything in it is lost. */
+  /** Stops at once and loses all state except the records. */
   crash(): Promise<void>;
-  /** Comes back empty on the same port. */
+  /** Starts again on the same port without its former state. */
   restart(): Promise<void>;
+  /** Stops all work and answers nothing; connections stay open. */
   pause(): void;
   resume(): void;
-  /** Lets nothing in or out, while generations go on; links stay open. */
+  /** Answers nothing while generations continue; connections stay open. */
   partition(): void;
-  /** Ends the partition. */
   endPartition(): void;
-  /** Breaks all present links; generations go on. */
+  /** Closes all open connections; generations continue. */
   closeConnections(): void;
-  /** Makes every step longer by the factor. */
+  /** Multiplies the duration of every step. */
   setSlowdown(factor: number): void;
-  /** Ends coming streams wrongly. */
+  /** Sets the fault with which later streams end. */
   setStreamEndFault(fault: StreamEndFault): void;
-  /** What was done for each generation, over all lives. */
+  /** Returns the records of all generations, including those before a crash. */
   records(): GenerationRecord[];
   loaded(): ModelVersion[];
+  /** Returns the applied placement orders since the last start. */
   orders(): PlacementOrder[];
   stop(): Promise<void>;
 }
@@ -90,21 +91,21 @@
   private readonly server = new FaultyServer((server) => this.register(server));
   private cache: PrefixCache;
   private batch: Batch;
-  private shelf: LoadedModels;
-  private imported = new Set<string>();
+  private models: LoadedModels;
+  private importedPrompts = new Set<string>();
   private pastRecords: GenerationRecord[] = [];
   private reports: LoadReport[] = [];
   private timer: NodeJS.Timeout | undefined;
   private nextStepMs = 0;
   private slowness = 1;
-  /** True while the engine itself does nothing; a partition stops only its links. */
-  private isStopped = false;
+  /** True while the engine is paused; a partition only stops the server. */
+  private isPaused = false;
   private endFault: StreamEndFault = 'none';
 
   constructor(private readonly options: EngineOptions) {
     this.cache = this.createCache();
     this.batch = new Batch(options, this.cache, options.clock);
-    this.shelf = new LoadedModels(options);
+    this.models = new LoadedModels(options);
   }
 
   get id(): string {
@@ -121,15 +122,15 @@
   }
 
   async crash(): Promise<void> {
-    this.isStopped = false;
+    this.isPaused = false;
     clearInterval(this.timer);
     this.timer = undefined;
     await this.server.crash();
     this.pastRecords.push(...this.batch.records);
     this.cache = this.createCache();
     this.batch = new Batch(this.options, this.cache, this.options.clock);
-    this.shelf = new LoadedModels(this.options);
-    this.imported = new Set();
+    this.models = new LoadedModels(this.options);
+    this.importedPrompts = new Set();
     this.reports = [];
   }
 
@@ -138,12 +139,12 @@
   }
 
   pause(): void {
-    this.isStopped = true;
+    this.isPaused = true;
     this.server.pause();
   }
 
   resume(): void {
-    this.isStopped = false;
+    this.isPaused = false;
     this.server.resume();
   }
 
@@ -172,11 +173,11 @@
   }
 
   loaded(): ModelVersion[] {
-    return this.shelf.loaded();
+    return this.models.loaded();
   }
 
   orders(): PlacementOrder[] {
-    return this.shelf.orders;
+    return this.models.orders;
   }
 
   async stop(): Promise<void> {
@@ -187,21 +188,25 @@
 
   private createCache(): PrefixCache {
     const { cacheBlocks, cacheLagMs, loseCacheEvery, clock } = this.options;
-    const options = { capacityBlocks: cacheBlocks, lagMs: cacheLagMs, omitEveryNthEvent: loseCacheEvery };
+    const options = {
+      capacityBlocks: cacheBlocks,
+      lagMs: cacheLagMs,
+      omitEveryNthEvent: loseCacheEvery,
+    };
     return new PrefixCache(options, clock);
   }
 
   private tick(): void {
     const now = this.options.clock.now();
-    if (this.isStopped || now < this.nextStepMs) {
+    if (this.isPaused || now < this.nextStepMs) {
       return;
     }
     this.nextStepMs = now + this.batch.tokenGapMs * this.slowness;
     this.batch.step();
-    this.noteReport(now);
+    this.recordReport(now);
   }
 
-  private noteReport(now: number): void {
+  private recordReport(now: number): void {
     this.reports.push({
       takenAtMs: now,
       running: this.batch.running.length,
@@ -209,11 +214,11 @@
       slots: this.options.slots,
       tokenGapMs: this.batch.tokenGapMs * this.slowness,
       prefillTokensPerSecond: this.options.prefillTokensPerSecond / this.slowness,
-      loaded: this.shelf.loaded(),
-      fence: this.shelf.fence,
+      loaded: this.models.loaded(),
+      fence: this.models.fence,
     });
-    const published = now - this.options.reportLagMs;
-    while ((this.reports[1]?.takenAtMs ?? Infinity) <= published) {
+    const publishedUntilMs = now - this.options.reportLagMs;
+    while ((this.reports[1]?.takenAtMs ?? Infinity) <= publishedUntilMs) {
       this.reports.shift();
     }
   }
@@ -230,24 +235,24 @@
     });
     server.post(ENGINE_PATHS.exportKv, async (request, reply) => this.onExport(request, reply));
     server.post(ENGINE_PATHS.importKv, async (request) => {
-      this.imported.add((request.body as { copy: string }).copy);
+      this.importedPrompts.add((request.body as { copy: string }).copy);
       return {};
     });
     server.post(ENGINE_PATHS.orders, async (request, reply) =>
-      this.shelf.applyOrder(request.body as PlacementOrder) ? {} : reply.code(409).send({}),
+      this.models.applyOrder(request.body as PlacementOrder) ? {} : reply.code(409).send({}),
     );
   }
 
   private onStart(request: FastifyRequest, reply: FastifyReply): void {
     const order = request.body as StartOrder;
     if (
-      !this.shelf.isLoaded(order.modelVersion) ||
+      !this.models.isLoaded(order.modelVersion) ||
       this.batch.find(order.generationId) !== undefined
     ) {
       void reply.code(409).send({});
       return;
     }
-    const hasImportedKv = this.imported.delete(order.prompt);
+    const hasImportedKv = this.importedPrompts.delete(order.prompt);
     const accepted = this.batch.add(order, hasImportedKv);
     this.beginStream(reply);
     reply.raw.write(`${JSON.stringify({ kind: 'accepted', ...accepted })}\n`);
@@ -265,9 +270,9 @@
       void reply.code(409).send({});
       return;
     }
-    const fencedReader = generation.notifyReader;
+    const notifyFencedReader = generation.notifyReader;
     generation.attempt = attempt;
-    fencedReader();
+    notifyFencedReader();
     this.beginStream(reply);
     const accepted = { kind: 'accepted', cachedPromptTokens: 0, promptTokens: 0 };
     reply.raw.write(`${JSON.stringify(accepted)}\n`);
@@ -298,7 +303,7 @@
   private onCancel(request: FastifyRequest): object {
     const { generationId, attempt } = request.body as AttachOrder;
     const generation = this.batch.find(generationId);
-    // A lower attempt was fenced; its VM must not end what another VM reads now.
+    // A fenced VM must not cancel a generation that another VM reads.
     if (generation !== undefined && attempt >= generation.attempt) {
       this.batch.remove(generation, 'cancelled');
     }
--- a/packages/stand-ins/src/engine/stream-to-reader.ts
+++ b/packages/stand-ins/src/engine/stream-to-reader.ts
@@ -1,12 +1,12 @@
-/** Writes one generation's tokens to one reader, as JSON lines. */
+/** Streams the tokens of one generation to one reader as JSON lines. */
 import type { EngineMessage } from '@limelead/types';
 import type { ServerResponse } from 'node:http';
 import Batch, { listDecodedTokens, type EngineGeneration } from './batch.js';
 
-/** How an engine ends a stream wrongly. */
+/** Fault at the end of a stream: the end message is missing, or its length is wrong. */
 export type StreamEndFault = 'none' | 'no-marker' | 'wrong-length';
 
-/** What a reader needs. */
+/** A generation, its reader's connection and the faults of the stream. */
 export interface StreamOptions {
   batch: Batch;
   generation: EngineGeneration;
@@ -17,7 +17,7 @@
   endFault(): StreamEndFault;
 }
 
-/** Writes until the generation ends, the link breaks, or a higher attempt takes over. */
+/** Writes tokens until the generation ends, the connection closes or a higher attempt attaches. */
 export default function streamToReader(options: StreamOptions): void {
   const { batch, generation, response, now } = options;
   const attempt = generation.attempt;
@@ -29,7 +29,7 @@
     isBlocked = !response.write(`${JSON.stringify(message)}\n`);
   }
 
-  function pump(): void {
+  function writeAvailableTokens(): void {
     if (options.isPaused() || isBlocked || response.destroyed) {
       return;
     }
@@ -61,13 +61,13 @@
 
   response.on('drain', () => {
     isBlocked = false;
-    pump();
+    writeAvailableTokens();
   });
   response.on('close', () => {
     if (generation.attempt === attempt) {
       generation.withoutReaderSinceMs = now();
     }
   });
-  generation.notifyReader = pump;
-  pump();
+  generation.notifyReader = writeAvailableTokens;
+  writeAvailableTokens();
 }
--- a/packages/stand-ins/src/in-process-store.ts
+++ b/packages/stand-ins/src/in-process-store.ts
@@ -1,17 +1,17 @@
-/** The key-value service behind the port itself, without HTTP; for tests of single packages. */
+/** An in-process implementation of the key-value store's port, for tests of single packages. */
 import { PortFault } from '@limelead/errors';
 import type { KeyValueStore, PortCall } from '@limelead/ports';
 import * as E from 'fp-ts/lib/Either.js';
 import type { KeyValueState } from './key-value-state.js';
 
-/** Switches for the faults of the service. */
+/** Faults of the store. */
 export interface StoreFaults {
   isUnavailable: boolean;
-  /** Decides for each swap whether it is refused, or carried out without a reply. */
+  /** Called for each compare-and-swap: `refused` skips it, `reply-lost` applies it without a reply. */
   decideSwap: () => 'ok' | 'refused' | 'reply-lost';
 }
 
-/** Creates a store on a state; several stores on one state are several clients. */
+/** Creates a client of a key-value state; several clients can share one state. */
 export default function createInProcessStore(
   state: KeyValueState,
   faults: StoreFaults = { isUnavailable: false, decideSwap: () => 'ok' },
@@ -19,17 +19,19 @@
   const call =
     <Value>(run: () => Value): PortCall<Value> =>
     async () =>
-      faults.isUnavailable ? E.left(new PortFault('refused', 'no', 'out')) : E.right(run());
+      faults.isUnavailable
+        ? E.left(new PortFault('refused', 'no', 'the store is unavailable'))
+        : E.right(run());
 
   return {
     get: (key) => call(() => state.get(key)),
     compareAndSwap: (key, expectedVersion, value) => async () => {
-      const fate = faults.isUnavailable ? 'refused' : faults.decideSwap();
-      if (fate === 'refused') {
-        return E.left(new PortFault('refused', 'no', 'out'));
+      const decision = faults.isUnavailable ? 'refused' : faults.decideSwap();
+      if (decision === 'refused') {
+        return E.left(new PortFault('refused', 'no', 'the store is unavailable'));
       }
       const outcome = state.compareAndSwap(key, expectedVersion, value);
-      return fate === 'ok'
+      return decision === 'ok'
         ? E.right(outcome)
         : E.left(new PortFault('broken', 'maybe', 'the reply was lost'));
     },
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,4 +1,4 @@
-/** Small stand-ins for the outside systems, with switches for their faults. */
+/** Small stand-ins for external systems, with switches for their faults. */
 export { default as startEngine } from './engine/start-engine.js';
 export type { Engine, EngineOptions } from './engine/start-engine.js';
 export type { GenerationRecord } from './engine/batch.js';
--- a/packages/stand-ins/src/key-value-state.ts
+++ b/packages/stand-ins/src/key-value-state.ts
@@ -1,23 +1,22 @@
-/** The state of the key-value service: versions, leases, waiting watches. */
+/** State of the key-value service: versioned values, leases and waiting watches. */
 import type { Lease, StoredValue, SwapOutcome } from './key-value-shapes.js';
 import type { Clock } from '@limelead/types';
 
-/** State of the service, without its HTTP face. */
+/** Operations of the key-value service, without HTTP. */
 export interface KeyValueState {
   get(key: string): StoredValue;
   compareAndSwap(key: string, expectedVersion: number, value: string): SwapOutcome;
   delete(key: string, expectedVersion: number): boolean;
-  /** Resolves with a version above the given one, or with the present one after the wait. */
+  /** Resolves with a newer version, or with the current one after `waitMs`. */
   watch(key: string, afterVersion: number, waitMs: number): Promise<StoredValue>;
   acquireLease(name: string, holder: string, ttlMs: number): Lease;
   releaseLease(name: string, holder: string): void;
-  /** Copies everything, for a later restore. */
+  /** Copies all values; leases are not included. */
   backUp(): Backup;
-  /** Puts a copy back, as after the loss of the service's disks. */
+  /** Replaces all values by a backup, as after a loss of the service's disks. */
   restore(backup: Backup): void;
 }
 
-/** A copy of all values. */
 export type Backup = ReadonlyMap<string, StoredValue>;
 
 interface HeldLease {
@@ -38,7 +37,7 @@
   function put(key: string, value: string): number {
     lastVersion += 1;
     values.set(key, { version: lastVersion, value });
-    watches.get(key)?.forEach((wake) => wake());
+    watches.get(key)?.forEach((notify) => notify());
     return lastVersion;
   }
 
@@ -59,7 +58,7 @@
     },
     async watch(key, afterVersion, waitMs) {
       if (get(key).version <= afterVersion) {
-        await waitForWake(watches, key, waitMs);
+        await waitForChange(watches, key, waitMs);
       }
       return get(key);
     },
@@ -88,7 +87,7 @@
   };
 }
 
-function waitForWake(
+function waitForChange(
   watches: Map<string, Set<() => void>>,
   key: string,
   waitMs: number,
--- a/packages/stand-ins/src/lagged-vm-list.ts
+++ b/packages/stand-ins/src/lagged-vm-list.ts
@@ -1,12 +1,12 @@
-/** The list of VMs, which shows changes only after a lag. */
+/** A list of VMs that shows changes after a delay. */
 import type { Clock, ListedVm, VmList } from '@limelead/types';
 
-/** The list with switches. */
+/** Operations on the list; readers see changes after the delay. */
 export interface LaggedVmList {
   add(vm: ListedVm): void;
   setLeaving(id: string): void;
   remove(id: string): void;
-  /** The list as it was `lagMs` ago. */
+  /** Returns the list as it was `lagMs` ago. */
   read(): VmList;
 }
 
@@ -20,8 +20,8 @@
   let versions: DatedList[] = [{ list: { version: 1, vms: [] }, atMs: Number.NEGATIVE_INFINITY }];
 
   function change(apply: (vms: ListedVm[]) => ListedVm[]): void {
-    const newest = versions.at(-1)?.list ?? { version: 0, vms: [] };
-    const list = { version: newest.version + 1, vms: apply(newest.vms) };
+    const latest = versions.at(-1)?.list ?? { version: 0, vms: [] };
+    const list = { version: latest.version + 1, vms: apply(latest.vms) };
     versions.push({ list, atMs: clock.now() });
   }
 
@@ -31,8 +31,8 @@
       change((vms) => vms.map((vm) => (vm.id === id ? { ...vm, leaving: true } : vm))),
     remove: (id) => change((vms) => vms.filter((vm) => vm.id !== id)),
     read() {
-      const shown = clock.now() - lagMs;
-      const index = versions.findLastIndex(({ atMs }) => atMs <= shown);
+      const visibleUntilMs = clock.now() - lagMs;
+      const index = versions.findLastIndex(({ atMs }) => atMs <= visibleUntilMs);
       versions = versions.slice(Math.max(0, index));
       return versions[0]?.list ?? { version: 0, vms: [] };
     },
--- a/packages/stand-ins/src/manual-time.ts
+++ b/packages/stand-ins/src/manual-time.ts
@@ -1,13 +1,13 @@
-/** A clock and timers that a test moves by hand. */
+/** A clock and timers that a test advances manually. */
 import type { Clock, Timers } from '@limelead/types';
 
-/** Time that stands still until it is advanced. */
+/** A clock and timers that only move on request. */
 export interface ManualTime {
   clock: Clock;
   timers: Timers;
-  /** Moves the clock and runs the timers that fall due, in order; lets promises settle in between. */
+  /** Moves the clock and runs due timers in order; flushes promises after each timer. */
   advance(milliseconds: number): Promise<void>;
-  /** Moves the clock alone, as when the process is paused. */
+  /** Moves the clock without running timers, as when the process is paused. */
   jump(milliseconds: number): void;
 }
 
@@ -16,7 +16,7 @@
   run: () => void;
 }
 
-/** Creates time that begins at a moment. */
+/** Creates a clock that starts at the given time. */
 export default function createManualTime(startMs = 1_000_000): ManualTime {
   let now = startMs;
   let pending: ManualTimer[] = [];
@@ -55,11 +55,11 @@
   };
 }
 
-const TURNS_TO_SETTLE = 5;
+const FLUSH_TURNS = 5;
 
-/** Lets everything run that waits for no timer. */
+/** Runs all pending promise callbacks that do not wait for a timer. */
 export async function flushPromises(): Promise<void> {
-  for (let turn = 0; turn < TURNS_TO_SETTLE; turn += 1) {
+  for (let turn = 0; turn < FLUSH_TURNS; turn += 1) {
     await new Promise((resolve) => setImmediate(resolve));
   }
 }
--- a/packages/stand-ins/src/plain-service.ts
+++ b/packages/stand-ins/src/plain-service.ts
@@ -1,4 +1,4 @@
-/** A plain service that records every run of every call. */
+/** Stand-in for a plain service that counts the runs of each call. */
 import { PLAIN_SERVICE_PREFIX, REQUEST_ID_HEADER } from '@limelead/outside-protocol';
 import { delay, systemTimers } from '@limelead/types';
 import type { FastifyInstance } from 'fastify';
@@ -7,11 +7,11 @@
 /** A running plain service with switches for its faults. */
 export interface PlainServiceStandIn {
   port: number;
-  /** Runs of each request id. */
+  /** Number of runs by request ID. */
   runs(): ReadonlyMap<string, number>;
-  /** Breaks the link after the next calls ran, before they are answered. */
+  /** Runs the next `count` calls but closes their connections instead of answering. */
   dropReplies(count: number): void;
-  /** Milliseconds that each call takes. */
+  /** Sets the duration of each call. */
   setCallDurationMs(milliseconds: number): void;
   crash(): Promise<void>;
   restart(): Promise<void>;
@@ -23,7 +23,7 @@
 /** Starts a plain service on loopback. */
 export default async function startPlainService(): Promise<PlainServiceStandIn> {
   const runs = new Map<string, number>();
-  let repliesToLose = 0;
+  let repliesToDrop = 0;
   let callMs = 0;
 
   function register(server: FastifyInstance): void {
@@ -38,8 +38,8 @@
       if (callMs > 0) {
         await delay(systemTimers, callMs);
       }
-      if (repliesToLose > 0) {
-        repliesToLose -= 1;
+      if (repliesToDrop > 0) {
+        repliesToDrop -= 1;
         request.raw.socket.destroy();
         return reply;
       }
@@ -55,7 +55,7 @@
       return server.port;
     },
     runs: () => runs,
-    dropReplies: (count) => void (repliesToLose = count),
+    dropReplies: (count) => void (repliesToDrop = count),
     setCallDurationMs: (milliseconds) => void (callMs = milliseconds),
     crash: () => server.crash(),
     restart: () => server.listen(),
--- a/packages/stand-ins/src/platform.ts
+++ b/packages/stand-ins/src/platform.ts
@@ -1,4 +1,4 @@
-/** The platform: key-value service, list of VMs and weight store behind one HTTP server. */
+/** Stand-in for the platform: key-value service, VM list and weight store on one HTTP server. */
 import { PLATFORM_PATHS } from '@limelead/outside-protocol';
 import { systemClock } from '@limelead/types';
 import type { FastifyInstance, FastifyReply, FastifyRequest } from 'fastify';
@@ -9,15 +9,15 @@
 const MAX_VALUE_BYTES = 1_048_576;
 const WEIGHT_BYTES = 16e9;
 
-/** How the platform behaves. */
+/** Rate limits and delay of the platform. */
 export interface PlatformOptions {
   writesPerSecond: number;
   readsPerSecond: number;
-  /** Milliseconds until a change of the list of VMs shows. */
+  /** Delay until a change of the VM list is visible. */
   listLagMs: number;
 }
 
-/** Calls counted against the service's rate. */
+/** Admitted calls by kind, and refused calls. */
 export interface CallCounts {
   reads: number;
   writes: number;
@@ -31,20 +31,19 @@
   keyValueState: KeyValueState;
   vms: LaggedVmList;
   counts(): CallCounts;
-  /** Answers every call of the key-value service with an error, or no longer. */
-  setOutage(isOut: boolean): void;
-  /** Answers no reading of the list of VMs, or does so again. */
-  setVmListOutage(isOut: boolean): void;
-  /** Carries the next compare-and-swaps out but breaks the link before the reply. */
+  /** Sets whether every call to the key-value service fails. */
+  setOutage(isUnavailable: boolean): void;
+  /** Sets whether reads of the VM list fail. */
+  setVmListOutage(isUnavailable: boolean): void;
+  /** Applies the next `count` compare-and-swaps but closes their connections instead of answering. */
   dropSwapReplies(count: number): void;
-  /** Holds every call of the key-value service back by so many milliseconds. */
+  /** Sets the delay of every call to the key-value service. */
   setDelayMs(milliseconds: number): void;
   stop(): Promise<void>;
 }
 
-type Kind = 'read' | 'write' | 'watch';
+type CallKind = 'read' | 'write' | 'watch';
 
-/** Rates as the users' sheets tell them for 7 VMs. */
 const DEFAULT_OPTIONS: PlatformOptions = {
   writesPerSecond: 400,
   readsPerSecond: 2_000,
@@ -60,22 +59,23 @@
   const values = createKeyValueState(clock);
   const vms = createLaggedVmList(clock, listLagMs);
   const counts: CallCounts = { reads: 0, writes: 0, watches: 0, refused: 0 };
-  const writeBudget = createBudget(writesPerSecond);
-  const readBudget = createBudget(readsPerSecond);
-  let isOut = false;
-  let isListOut = false;
-  let repliesToLose = 0;
-  let slownessMs = 0;
+  const takeWriteToken = createTokenBucket(writesPerSecond);
+  const takeReadToken = createTokenBucket(readsPerSecond);
+  let isUnavailable = false;
+  let isVmListUnavailable = false;
+  let repliesToDrop = 0;
+  let delayMs = 0;
 
-  /** Counts a call; says whether it may be carried out. */
-  async function admit(kind: Kind, reply: FastifyReply): Promise<boolean> {
-    if (slownessMs > 0) {
-      await new Promise((resolve) => setTimeout(resolve, slownessMs));
+  /** Counts a call; returns false after refusing it. */
+  async function admit(kind: CallKind, reply: FastifyReply): Promise<boolean> {
+    if (delayMs > 0) {
+      await new Promise((resolve) => setTimeout(resolve, delayMs));
     }
-    const hasBudget = kind === 'write' ? writeBudget(clock.now()) : readBudget(clock.now());
-    if (isOut || !hasBudget) {
+    const isWithinRate =
+      kind === 'write' ? takeWriteToken(clock.now()) : takeReadToken(clock.now());
+    if (isUnavailable || !isWithinRate) {
       counts.refused += 1;
-      await reply.code(isOut ? 503 : 429).send({});
+      await reply.code(isUnavailable ? 503 : 429).send({});
       return false;
     }
     const name = ({ read: 'reads', write: 'writes', watch: 'watches' } as const)[kind];
@@ -86,7 +86,7 @@
   function route<Body>(
     server: FastifyInstance,
     path: string,
-    kind: Kind,
+    kind: CallKind,
     run: (body: Body, request: FastifyRequest) => unknown,
   ): void {
     server.post(path, async (request, reply) =>
@@ -105,8 +105,8 @@
       throw new Error('the value is too large');
     }
     const outcome = values.compareAndSwap(key, expectedVersion, value);
-    if (repliesToLose > 0) {
-      repliesToLose -= 1;
+    if (repliesToDrop > 0) {
+      repliesToDrop -= 1;
       request.raw.socket.destroy();
     }
     return outcome;
@@ -140,7 +140,7 @@
       },
     );
     server.get(PLATFORM_PATHS.vms, async (_, reply) =>
-      isListOut ? reply.code(503).send({}) : vms.read(),
+      isVmListUnavailable ? reply.code(503).send({}) : vms.read(),
     );
     server.post(PLATFORM_PATHS.weights, async () => ({ bytes: WEIGHT_BYTES }));
   }
@@ -154,16 +154,16 @@
     keyValueState: values,
     vms,
     counts: () => ({ ...counts }),
-    setOutage: (next) => void (isOut = next),
-    setVmListOutage: (next) => void (isListOut = next),
-    dropSwapReplies: (count) => void (repliesToLose = count),
-    setDelayMs: (milliseconds) => void (slownessMs = milliseconds),
+    setOutage: (next) => void (isUnavailable = next),
+    setVmListOutage: (next) => void (isVmListUnavailable = next),
+    dropSwapReplies: (count) => void (repliesToDrop = count),
+    setDelayMs: (milliseconds) => void (delayMs = milliseconds),
     stop: () => server.crash(),
   };
 }
 
-/** A token bucket of one second's worth. */
-function createBudget(perSecond: number): (now: number) => boolean {
+/** Creates a token bucket that holds the calls of one second. */
+function createTokenBucket(perSecond: number): (now: number) => boolean {
   let tokens = perSecond;
   let refilledAtMs = 0;
   return (now) => {
