--- a/packages/measure/src/capacity/front-door-rows.ts
+++ b/packages/measure/src/capacity/front-door-rows.ts
@@ -4,7 +4,7 @@
  * beside them are in the figures, which are those of the middle VM and of the busiest.
  * Lists and watches of the store are of wcfs-route-large trouble-1 (e059878e), 195 VMs.
  */
-import { fillRow, type CapacityRow } from './rows.js';
+import { createCapacityRow, type CapacityRow } from './rows.js';
 import { CONTROL_BUDGET, SERVICE_BUDGET, type SystemSize } from './sizes.js';
 
 /** A figure at the two largest sizes of the sweep. */
@@ -35,9 +35,9 @@
   return [
     ...assembleVmRows('front door VM, middle', SWEPT.middle),
     ...assembleVmRows('front door VM, busiest', SWEPT.busiest),
-    fillRow((size) => size.vms * STORE_CALLS_PER_SECOND, {
+    createCapacityRow((size) => size.vms * STORE_CALLS_PER_SECOND, {
       role: 'front door fleet',
-      what: 'lists and watches of the store',
+      quantity: 'lists and watches of the store',
       mechanism: 'four VMs follow it for all, each VM lists it once (`follow-store`)',
       formula: 'VMs × 0.069',
       unit: 'reads/s',
@@ -51,17 +51,17 @@
   swept: Record<'memoryMb' | 'kbPerSecond' | 'cpuMsPerSecond', SweptFigure>,
 ): CapacityRow[] {
   return [
-    fillRow(growAsSwept(swept.memoryMb), {
+    createCapacityRow(growAsSwept(swept.memoryMb), {
       role,
-      what: 'memory at its peak',
+      quantity: 'memory at its peak',
       mechanism: 'bounded bodies and logs; one entry a target (`track-service-targets`)',
       formula: describeGrowth(swept.memoryMb, 'MB'),
       unit: 'MB',
       budget: CONTROL_BUDGET.memoryMb,
     }),
-    fillRow(growAsSwept(swept.kbPerSecond), {
+    createCapacityRow(growAsSwept(swept.kbPerSecond), {
       role,
-      what: 'bytes, requests included',
+      quantity: 'bytes, requests included',
       mechanism: '12 links for gossip, load to schedulers (`share-evidence`)',
       formula: describeGrowth(swept.kbPerSecond, 'KB/s'),
       unit: 'KB/s',
@@ -69,9 +69,9 @@
       remedy:
         'Measured while each VM that lacked something of the store got the keys of all its items; it is told what went now, and this has to be swept again.',
     }),
-    fillRow(growAsSwept(swept.cpuMsPerSecond), {
+    createCapacityRow(growAsSwept(swept.cpuMsPerSecond), {
       role,
-      what: 'processor time, requests included',
+      quantity: 'processor time, requests included',
       mechanism: 'one loop; choices look at each target of a service once',
       formula: describeGrowth(swept.cpuMsPerSecond, 'ms/s'),
       unit: 'ms/s',
--- a/packages/measure/src/capacity/measure-slopes.ts
+++ b/packages/measure/src/capacity/measure-slopes.ts
@@ -44,9 +44,9 @@
   const snapshotMs: [number, number][] = [];
   const changeMs: [number, number][] = [];
   for (const count of ORGANISATIONS) {
-    const before = usedKb();
+    const before = measureHeapKb();
     const configuration = createConfiguration(count);
-    held.push([count, usedKb() - before]);
+    held.push([count, measureHeapKb() - before]);
     const parts = splitIntoParts(configuration);
     encoded.push([count, sum(parts.map((part) => JSON.stringify(part).length)) / KB]);
     snapshotMs.push([
@@ -82,9 +82,9 @@
   const listKb: [number, number][] = [];
   const listMs: [number, number][] = [];
   for (const count of TARGETS) {
-    const before = usedKb();
+    const before = measureHeapKb();
     const table = createTable(count);
-    held.push([count, usedKb() - before]);
+    held.push([count, measureHeapKb() - before]);
     const { list } = table.list();
     listKb.push([count, encodeMessage({ kind: 'list', list, ageMs: 0 }).length / KB]);
     let { version } = list;
@@ -259,7 +259,7 @@
 }
 
 /** Memory in use after a collection; needs `--expose-gc`. */
-export function usedKb(): number {
+export function measureHeapKb(): number {
   globalThis.gc?.();
   return process.memoryUsage().heapUsed / KB;
 }
--- a/packages/measure/src/capacity/open-streams.ts
+++ b/packages/measure/src/capacity/open-streams.ts
@@ -1,7 +1,7 @@
 /** Memory and processor time of open streams, in daemons of their own. */
 import { DEMO_KEYS } from '@limelead/demo';
 import { createClient } from '@limelead/client';
-import startProcesses, { type ProcessGroup } from '../processes.js';
+import startDaemonAndStandIns, { type DaemonProcesses } from '../processes.js';
 import fitSlope, { type Slope } from './slope.js';
 
 const STREAMS = [250, 500, 1_000, 1_500];
@@ -29,9 +29,9 @@
 
 async function withProcesses<Result>(
   engine: typeof SLOW_ENGINE,
-  run: (group: ProcessGroup) => Promise<Result>,
+  run: (group: DaemonProcesses) => Promise<Result>,
 ): Promise<Result> {
-  const group = await startProcesses(engine);
+  const group = await startDaemonAndStandIns(engine);
   try {
     return await run(group);
   } finally {
@@ -40,7 +40,7 @@
 }
 
 /** Resident memory with so many streams open at a time. */
-async function measureHeld(group: ProcessGroup): Promise<Slope> {
+async function measureHeld(group: DaemonProcesses): Promise<Slope> {
   const points: [number, number][] = [];
   const aborts: AbortController[] = [];
   const client = createClient({ urls: [group.url], key: DEMO_KEYS.routing });
@@ -90,21 +90,21 @@
 }
 
 /** Processor time of requests with a single token. */
-async function measureRequests(group: ProcessGroup): Promise<Slope> {
+async function measureRequests(group: DaemonProcesses): Promise<Slope> {
   const points: [number, number][] = [];
   for (const count of REQUESTS) {
-    const spent = await spend(group, () => sendMany(group, `short-${count}`, count, 1));
+    const spent = await measureCpuMs(group, () => sendMany(group, `short-${count}`, count, 1));
     points.push([count, spent]);
   }
   return fitSlope('processor time of the daemon', 'request', 'ms', points);
 }
 
 /** Processor time of tokens, each in a message of its own. */
-async function measureTokens(group: ProcessGroup): Promise<Slope> {
+async function measureTokens(group: DaemonProcesses): Promise<Slope> {
   const points: [number, number][] = [];
   for (const length of TOKEN_LENGTHS) {
     let tokens = 0;
-    const spent = await spend(group, async () => {
+    const spent = await measureCpuMs(group, async () => {
       tokens = await sendMany(group, `long-${length}`, TOKEN_STREAMS, length, TOKEN_STREAMS);
     });
     points.push([tokens, spent]);
@@ -113,23 +113,23 @@
 }
 
 /** Processor time and nothing to do; the size is seconds. */
-async function measureIdle(group: ProcessGroup): Promise<Slope> {
+async function measureIdle(group: DaemonProcesses): Promise<Slope> {
   const points: [number, number][] = [];
   for (const seconds of [1, 2, 3, 4]) {
     const wait = () => new Promise<void>((resolve) => setTimeout(resolve, seconds * 1_000));
-    points.push([seconds, await spend(group, wait)]);
+    points.push([seconds, await measureCpuMs(group, wait)]);
   }
   return fitSlope('processor time of an idle daemon (1 engine polled)', 'second', 'ms', points);
 }
 
-async function spend(group: ProcessGroup, run: () => Promise<unknown>): Promise<number> {
+async function measureCpuMs(group: DaemonProcesses, run: () => Promise<unknown>): Promise<number> {
   const before = await group.readGauge('limelead_cpu_milliseconds');
   await run();
   return (await group.readGauge('limelead_cpu_milliseconds')) - before;
 }
 
 async function sendMany(
-  group: ProcessGroup,
+  group: DaemonProcesses,
   idPrefix: string,
   count: number,
   maxTokens: number,
--- a/packages/measure/src/capacity/render-capacity.ts
+++ b/packages/measure/src/capacity/render-capacity.ts
@@ -17,7 +17,7 @@
   const service = assembleServiceRows();
   const frontDoor = assembleFrontDoorRows();
   const misfits = [...roles, ...control, ...service, ...frontDoor].filter(
-    ({ fits }) => fits === false,
+    ({ isWithinBudget }) => isWithinBudget === false,
   );
   return [
     '# Capacity',
@@ -74,26 +74,29 @@
     '| --- | --- | --- | --- | ---: | ---: | ---: | --- |',
     ...rows.map(
       (row) =>
-        `| ${row.role} | ${row.what} | ${row.mechanism} | ${row.formula} | ${show(row.today)} ${row.unit} | ${show(row.target)} ${row.unit} | ${row.budget === undefined ? '' : `${show(row.budget)} ${row.unit}`} | ${describeFit(row)} |`,
+        `| ${row.role} | ${row.quantity} | ${row.mechanism} | ${row.formula} | ${show(row.valueAtCurrentSize)} ${row.unit} | ${show(row.valueAtTargetSize)} ${row.unit} | ${row.budget === undefined ? '' : `${show(row.budget)} ${row.unit}`} | ${describeFit(row)} |`,
     ),
   ];
 }
 
 function renderMisfits(rows: CapacityRow[]): string[] {
-  const excess = ({ target, budget }: CapacityRow): number => target / (budget ?? target);
+  const excess = ({ valueAtTargetSize, budget }: CapacityRow): number =>
+    valueAtTargetSize / (budget ?? valueAtTargetSize);
   return [...rows]
     .sort((a, b) => excess(b) - excess(a))
     .map(
       (row, index) =>
-        `${index + 1}. **${row.what}** (${row.role}): ${show(row.target)} ${row.unit} against ${show(row.budget ?? 0)}, ${show(excess(row))} times too much. ${row.remedy ?? ''}`,
+        `${index + 1}. **${row.quantity}** (${row.role}): ${show(row.valueAtTargetSize)} ${row.unit} against ${show(row.budget ?? 0)}, ${show(excess(row))} times too much. ${row.remedy ?? ''}`,
     );
 }
 
-function describeFit({ fits, target, budget }: CapacityRow): string {
-  if (fits === undefined || budget === undefined) {
+function describeFit({ isWithinBudget, valueAtTargetSize, budget }: CapacityRow): string {
+  if (isWithinBudget === undefined || budget === undefined) {
     return '';
   }
-  return fits ? `yes, ${show(budget / Math.max(target, 1e-9))} times` : '**no**';
+  return isWithinBudget
+    ? `yes, ${show(budget / Math.max(valueAtTargetSize, 1e-9))} times`
+    : '**no**';
 }
 
 function renderFailures(rows: FailureRow[]): string[] {
@@ -102,7 +105,7 @@
     '| --- | ---: | ---: | ---: | --- |',
     ...rows.map(
       (row) =>
-        `| ${row.failure} | ${show(row.broken)} | ${show(row.repeatedTokens)} tokens | ${show(row.seconds)} s | ${row.limit} |`,
+        `| ${row.failure} | ${show(row.brokenStreams)} | ${show(row.recomputedTokens)} tokens | ${show(row.recoverySeconds)} s | ${row.containment} |`,
     ),
   ];
 }
--- a/packages/measure/src/capacity/rows.ts
+++ b/packages/measure/src/capacity/rows.ts
@@ -3,33 +3,33 @@
 import {
   CONTROL_BUDGET,
   FLEET_SETTINGS,
-  MB_IN_KB,
+  KB_PER_MB,
   POLL_OVERHEAD_BYTES,
   SERVICE_BUDGET,
-  TARGET,
-  TODAY,
+  TARGET_SIZE,
+  CURRENT_SIZE,
   TOKEN_GAP_SECONDS,
   type SystemSize,
 } from './sizes.js';
-import { valueAt, type Slope } from './slope.js';
+import { evaluateSlope, type Slope } from './slope.js';
 
 /** One row. */
 export interface CapacityRow {
   role: string;
-  what: string;
+  quantity: string;
   mechanism: string;
   formula: string;
   unit: string;
-  today: number;
-  target: number;
+  valueAtCurrentSize: number;
+  valueAtTargetSize: number;
   budget?: number;
   /** Undefined where there is no budget to hold it against. */
-  fits?: boolean;
+  isWithinBudget?: boolean;
   /** What would make it fit. */
   remedy?: string;
 }
 
-type RowText = Omit<CapacityRow, 'today' | 'target' | 'fits'>;
+type RowText = Omit<CapacityRow, 'valueAtCurrentSize' | 'valueAtTargetSize' | 'isWithinBudget'>;
 
 /** Seconds after which an organisation's demand has decayed out of the heartbeats. */
 const DEMAND_MEMORY_SECONDS = 13;
@@ -49,27 +49,27 @@
   const table = find('target table held');
   const signing = find('signing handles');
   return [
-    fillRow(streams, {
+    createCapacityRow(streams, {
       role: 'request path',
-      what: 'open streams on a VM',
+      quantity: 'open streams on a VM',
       mechanism: 'balancer; any VM takes any request',
       formula: 'tokens/s × 32 ms ÷ VMs',
       unit: 'streams',
     }),
-    fillRow((size) => (streams(size) * memory.slope) / MB_IN_KB, {
+    createCapacityRow((size) => (streams(size) * memory.slope) / KB_PER_MB, {
       role: 'request path',
-      what: 'memory of open streams',
+      quantity: 'memory of open streams',
       mechanism: 'bounded mailbox and pulled reading (`run-generation`)',
       formula: `streams × ${memory.slope} KB`,
       unit: 'MB',
     }),
-    fillRow(
+    createCapacityRow(
       (size) =>
         (size.tokensPerSecond * perToken.slope + size.requestsPerSecond * perRequest.slope) /
         size.vms,
       {
         role: 'request path',
-        what: 'processor time of relaying',
+        quantity: 'processor time of relaying',
         mechanism: 'one loop; tokens that arrive together stay together',
         formula: `tokens/s × ${perToken.slope} ms + requests/s × ${perRequest.slope} ms`,
         unit: 'ms/s',
@@ -77,60 +77,66 @@
         remedy: 'Fewer messages a token, or more processes a VM.',
       },
     ),
-    fillRow((size) => (size.requestsPerSecond * 1.1 * signing.slope) / size.vms, {
+    createCapacityRow((size) => (size.requestsPerSecond * 1.1 * signing.slope) / size.vms, {
       role: 'request path',
-      what: 'signing handles',
+      quantity: 'signing handles',
       mechanism: 'HMAC over a digest (`resume-handle`)',
       formula: `requests/s × 1.1 × ${signing.slope} ms`,
       unit: 'ms/s',
     }),
-    fillRow((size) => valueAt(held, size.organisations) / MB_IN_KB, {
+    createCapacityRow((size) => evaluateSlope(held, size.organisations) / KB_PER_MB, {
       role: 'holder of the configuration',
-      what: 'configuration in memory',
+      quantity: 'configuration in memory',
       mechanism: 'one index of resources (`configuration-state`)',
       formula: `organisations × ${held.slope} KB`,
       unit: 'MB',
       budget: CONTROL_BUDGET.memoryMb,
     }),
-    fillRow((size) => valueAt(find('applying a change'), size.organisations), {
+    createCapacityRow((size) => evaluateSlope(find('applying a change'), size.organisations), {
       role: 'holder of the configuration',
-      what: 'one change',
+      quantity: 'one change',
       mechanism: 'a copy of the index',
       formula: `organisations × ${find('applying a change').slope} ms`,
       unit: 'ms',
     }),
-    fillRow((size) => valueAt(find('configuration as a snapshot'), size.organisations) / MB_IN_KB, {
-      role: 'holder of the configuration',
-      what: 'a snapshot, for a new VM or every 96 changes',
-      mechanism: 'parts of half a megabyte (`store-configuration`)',
-      formula: `organisations × ${find('configuration as a snapshot').slope} KB`,
-      unit: 'MB',
-    }),
-    fillRow((size) => valueAt(table, size.targets) / MB_IN_KB, {
+    createCapacityRow(
+      (size) => evaluateSlope(find('configuration as a snapshot'), size.organisations) / KB_PER_MB,
+      {
+        role: 'holder of the configuration',
+        quantity: 'a snapshot, for a new VM or every 96 changes',
+        mechanism: 'parts of half a megabyte (`store-configuration`)',
+        formula: `organisations × ${find('configuration as a snapshot').slope} KB`,
+        unit: 'MB',
+      },
+    ),
+    createCapacityRow((size) => evaluateSlope(table, size.targets) / KB_PER_MB, {
       role: 'router',
-      what: 'target table in memory',
+      quantity: 'target table in memory',
       mechanism: 'every VM knows every target',
       formula: `targets × ${table.slope} KB`,
       unit: 'MB',
       budget: CONTROL_BUDGET.memoryMb,
     }),
-    fillRow((size) => valueAt(find('choosing a target'), Math.min(size.targets, 64)) / 1_000, {
-      role: 'router',
-      what: 'choosing a target',
-      mechanism: 'at most 64 are looked at (`choose-target`)',
-      formula: `64 × ${find('choosing a target').slope} µs`,
-      unit: 'ms',
-    }),
-    fillRow(
+    createCapacityRow(
+      (size) => evaluateSlope(find('choosing a target'), Math.min(size.targets, 64)) / 1_000,
+      {
+        role: 'router',
+        quantity: 'choosing a target',
+        mechanism: 'at most 64 are looked at (`choose-target`)',
+        formula: `64 × ${find('choosing a target').slope} µs`,
+        unit: 'ms',
+      },
+    ),
+    createCapacityRow(
       (size) =>
-        memory.intercept / MB_IN_KB +
-        valueAt(held, size.organisations) / MB_IN_KB +
-        valueAt(table, size.targets) / MB_IN_KB,
+        memory.intercept / KB_PER_MB +
+        evaluateSlope(held, size.organisations) / KB_PER_MB +
+        evaluateSlope(table, size.targets) / KB_PER_MB,
       {
         role: 'node',
-        what: 'memory for control, with the runtime itself',
+        quantity: 'memory for control, with the runtime itself',
         mechanism: 'the rows above',
-        formula: `${Math.round(memory.intercept / MB_IN_KB)} MB of an idle daemon + configuration + target table`,
+        formula: `${Math.round(memory.intercept / KB_PER_MB)} MB of an idle daemon + configuration + target table`,
         unit: 'MB',
         budget: CONTROL_BUDGET.memoryMb,
         remedy: 'Most of it is the runtime with its libraries; fewer of them loaded at start.',
@@ -150,9 +156,9 @@
   const demands = (size: SystemSize): number =>
     Math.min(size.organisations, (size.requestsPerSecond / size.vms) * DEMAND_MEMORY_SECONDS);
   const heartbeatKb = (size: SystemSize): number =>
-    (valueAt(heartbeat, demands(size)) * linksOf(size) * 2 * KB_PER_BYTE) / heartbeatSeconds;
+    (evaluateSlope(heartbeat, demands(size)) * linksOf(size) * 2 * KB_PER_BYTE) / heartbeatSeconds;
   const listKb = (size: SystemSize): number =>
-    valueAt(list, size.targets + size.vms) / listPollSeconds;
+    evaluateSlope(list, size.targets + size.vms) / listPollSeconds;
   const reportBytes = JSON.stringify(createReport()).length + POLL_OVERHEAD_BYTES;
   const reportKb = (size: SystemSize): number =>
     (size.targets * reportBytes * KB_PER_BYTE) / loadPollSeconds;
@@ -162,58 +168,58 @@
     heartbeatKb(size) + listKb(size) + reportKb(size) + changeKb(size);
   const budget = CONTROL_BUDGET.kbPerSecond;
   return [
-    fillRow(heartbeatKb, {
+    createCapacityRow(heartbeatKb, {
       role: 'peer',
-      what: 'heartbeats, with the demand of organisations',
+      quantity: 'heartbeats, with the demand of organisations',
       mechanism: `ring links, ${links} at the most (\`track-members\`)`,
       formula: `(${heartbeat.intercept} + organisations seen × ${heartbeat.slope} bytes) × links × 2 ÷ 1 s`,
       unit: 'KB/s',
       budget,
       remedy: 'Send demand every 10 s, and only of organisations near their limit.',
     }),
-    fillRow(listKb, {
+    createCapacityRow(listKb, {
       role: 'reader of the list',
-      what: 'the list of VMs',
+      quantity: 'the list of VMs',
       mechanism: 'every VM reads the whole list each second',
       formula: `listed VMs × ${list.slope} KB ÷ 1 s`,
       unit: 'KB/s',
       budget,
       remedy: 'A few VMs read it; peers spread what changed, as with the configuration.',
     }),
-    fillRow(reportKb, {
+    createCapacityRow(reportKb, {
       role: 'router',
-      what: 'polls of load reports',
+      quantity: 'polls of load reports',
       mechanism: 'every VM polls every engine twice a second',
       formula: `targets × ${reportBytes} bytes ÷ 0.5 s`,
       unit: 'KB/s',
       budget,
       remedy: 'Each VM sees a subset of about 60 targets and polls it every 5 s: 8 KB/s.',
     }),
-    fillRow(changeKb, {
+    createCapacityRow(changeKb, {
       role: 'peer',
-      what: 'changes of the configuration',
+      quantity: 'changes of the configuration',
       mechanism: 'deltas to linked peers (`peer-links`)',
       formula: `changes × ${CHANGE_KB} KB × links × 2`,
       unit: 'KB/s',
       budget,
     }),
-    fillRow(all, {
+    createCapacityRow(all, {
       role: 'node',
-      what: 'all control traffic',
+      quantity: 'all control traffic',
       mechanism: 'the rows above',
       formula: 'sum',
       unit: 'KB/s',
       budget,
       remedy: 'The three remedies above bring it to about 20 KB/s.',
     }),
-    fillRow(
+    createCapacityRow(
       (size) =>
-        (valueAt(coding, demands(size)) * linksOf(size)) / 1_000 / heartbeatSeconds +
-        valueAt(listTaking, size.targets + size.vms) / listPollSeconds +
+        (evaluateSlope(coding, demands(size)) * linksOf(size)) / 1_000 / heartbeatSeconds +
+        evaluateSlope(listTaking, size.targets + size.vms) / listPollSeconds +
         size.targets * (pollMs(slopes) / loadPollSeconds),
       {
         role: 'node',
-        what: 'processor time of control',
+        quantity: 'processor time of control',
         mechanism: 'heartbeats, list, polls',
         formula: `heartbeats + list + targets × ${pollMs(slopes).toPrecision(2)} ms ÷ 0.5 s`,
         unit: 'ms/s',
@@ -229,41 +235,41 @@
   const { ownLookSeconds, watchSeconds, leaseSeconds, watchers, claimBuckets } = FLEET_SETTINGS;
   const role = 'whole fleet';
   return [
-    fillRow((size) => size.vms / ownLookSeconds, {
+    createCapacityRow((size) => size.vms / ownLookSeconds, {
       role,
-      what: 'VMs that look by themselves',
+      quantity: 'VMs that look by themselves',
       mechanism: 'every 30 s (`watch-configuration`)',
       formula: 'VMs ÷ 30 s',
       unit: 'reads/s',
       budget: SERVICE_BUDGET.readsPerSecond,
     }),
-    fillRow(() => watchers / watchSeconds, {
+    createCapacityRow(() => watchers / watchSeconds, {
       role,
-      what: 'watches of the head',
+      quantity: 'watches of the head',
       mechanism: 'two watchers, chosen by hash (`track-members`)',
       formula: '2 ÷ 5 s',
       unit: 'reads/s',
       budget: SERVICE_BUDGET.readsPerSecond,
     }),
-    fillRow(() => watchers / leaseSeconds, {
+    createCapacityRow(() => watchers / leaseSeconds, {
       role,
-      what: 'the placement lease',
+      quantity: 'the placement lease',
       mechanism: 'only the watchers ask for it',
       formula: '2 ÷ 1.5 s',
       unit: 'writes/s',
       budget: SERVICE_BUDGET.writesPerSecond,
     }),
-    fillRow((size) => size.changesPerDay / SECONDS_A_DAY, {
+    createCapacityRow((size) => size.changesPerDay / SECONDS_A_DAY, {
       role,
-      what: 'changes of the configuration',
+      quantity: 'changes of the configuration',
       mechanism: 'one compare-and-swap each',
       formula: 'changes a day',
       unit: 'writes/s',
       budget: SERVICE_BUDGET.writesPerSecond,
     }),
-    fillRow((size) => size.requestsPerSecond * size.nonRepeatableShare, {
+    createCapacityRow((size) => size.requestsPerSecond * size.nonRepeatableCallShare, {
       role,
-      what: 'claims of calls, 5% of requests assumed',
+      quantity: 'claims of calls, 5% of requests assumed',
       mechanism: `${claimBuckets} buckets, shared writes on one VM (\`claim-call\`)`,
       formula: 'requests/s × 5%; sharing hardly helps when every VM has few',
       unit: 'writes/s',
@@ -282,11 +288,14 @@
 }
 
 /** Works a row out for both sizes. */
-export function fillRow(valueOf: (size: SystemSize) => number, text: RowText): CapacityRow {
-  const today = valueOf(TODAY);
-  const target = valueOf(TARGET);
+export function createCapacityRow(
+  valueOf: (size: SystemSize) => number,
+  text: RowText,
+): CapacityRow {
+  const today = valueOf(CURRENT_SIZE);
+  const target = valueOf(TARGET_SIZE);
   const fits = text.budget === undefined ? undefined : target <= text.budget;
-  return { ...text, today, target, fits };
+  return { ...text, valueAtCurrentSize: today, valueAtTargetSize: target, isWithinBudget: fits };
 }
 
 /** Finds a slope. Throws where it was not measured. */
--- a/packages/measure/src/capacity/sizes.ts
+++ b/packages/measure/src/capacity/sizes.ts
@@ -10,11 +10,11 @@
   changesPerDay: number;
   failureDomains: number;
   /** Part of the requests that are calls which may not be repeated; the users name none, so this is assumed. */
-  nonRepeatableShare: number;
+  nonRepeatableCallShare: number;
 }
 
 /** Today's size of one user; rates are assumed, the users name none. */
-export const TODAY: SystemSize = {
+export const CURRENT_SIZE: SystemSize = {
   vms: 7,
   targets: 21,
   requestsPerSecond: 20,
@@ -22,11 +22,11 @@
   organisations: 10,
   changesPerDay: 20,
   failureDomains: 4,
-  nonRepeatableShare: 0.05,
+  nonRepeatableCallShare: 0.05,
 };
 
 /** The size that the users' first letter asks for. */
-export const TARGET: SystemSize = {
+export const TARGET_SIZE: SystemSize = {
   vms: 410,
   targets: 3_500,
   requestsPerSecond: 4_700,
@@ -34,7 +34,7 @@
   organisations: 40_000,
   changesPerDay: 2_000,
   failureDomains: 20,
-  nonRepeatableShare: 0.05,
+  nonRepeatableCallShare: 0.05,
 };
 
 /** What a node may spend on control. */
@@ -64,4 +64,4 @@
 /** Bytes of HTTP around one poll of a target, both ways; counted from one exchange. */
 export const POLL_OVERHEAD_BYTES = 420;
 export const TOKEN_GAP_SECONDS = 0.032;
-export const MB_IN_KB = 1_024;
+export const KB_PER_MB = 1_024;
--- a/packages/measure/src/capacity/slope.ts
+++ b/packages/measure/src/capacity/slope.ts
@@ -47,7 +47,7 @@
 }
 
 /** Value of the line at a size; never below 0. */
-export function valueAt({ slope, intercept }: Slope, size: number): number {
+export function evaluateSlope({ slope, intercept }: Slope, size: number): number {
   return Math.max(0, intercept + slope * size);
 }
 
--- a/packages/measure/src/experiments/domain-loss.ts
+++ b/packages/measure/src/experiments/domain-loss.ts
@@ -5,7 +5,7 @@
 import createRecoveryPacer from '@limelead/pace-recoveries';
 import { delay, systemTimers } from '@limelead/types';
 import ResultTable, { type Experiment } from '../experiment.js';
-import runCell from '../run-cell.js';
+import runLoadOnCluster from '../run-load-on-cluster.js';
 
 const ENGINES = 9;
 const DOMAINS = ['depot-north', 'depot-south', 'civic-hall'];
@@ -51,7 +51,7 @@
         ['all at once', unpaced],
         ['paced, most urgent first', undefined],
       ] as const) {
-        const { summary, extra } = await runCell({
+        const { summary, repeatedWork } = await runLoadOnCluster({
           cluster: {
             vms: 3,
             engines: ENGINES,
@@ -61,7 +61,7 @@
           },
           mix: MIX,
           seed,
-          during: loseDomain,
+          disturb: loseDomain,
         });
         const { prompt, brief } = summary.kinds;
         table.add(name, {
@@ -70,8 +70,8 @@
           'other resume p50 ms': brief?.resumeLatencyMs.p50 ?? 0,
           'other resume max ms': brief?.resumeLatencyMs.max ?? 0,
           'broken streams': summary.all.resumeLatencyMs.count,
-          'prefilled again': extra.prefillTokens,
-          'decoded again': extra.decodedTokens,
+          'prefilled again': repeatedWork.prefillTokens,
+          'decoded again': repeatedWork.decodedTokens,
           'first token p95 ms': summary.all.firstTokenMs.p95,
           'gap p95 ms': summary.all.tokenGapMs.p95,
           'not whole': summary.all.sent - summary.all.whole,
--- a/packages/measure/src/experiments/overload.ts
+++ b/packages/measure/src/experiments/overload.ts
@@ -2,7 +2,7 @@
 import { DEMO_KEYS } from '@limelead/demo';
 import type { Mix, MixKind } from '@limelead/load';
 import ResultTable, { type Experiment } from '../experiment.js';
-import runCell, { withPriorities } from '../run-cell.js';
+import runLoadOnCluster, { withPriorities } from '../run-load-on-cluster.js';
 
 const ENGINES = 3;
 /** Requests a second that three engines of four slots can serve within the deadline; measured. */
@@ -39,7 +39,7 @@
             durationMs: 5_000,
             kinds: [LARGE, SMALL],
           };
-          const { summary, extra } = await runCell({
+          const { summary, repeatedWork } = await runLoadOnCluster({
             cluster: {
               vms: 3,
               engines: ENGINES,
@@ -61,8 +61,8 @@
             'large: first token p95 ms': large?.firstTokenMs.p95 ?? 0,
             'gap p95 ms': summary.all.tokenGapMs.p95,
             'resume max ms': summary.all.resumeLatencyMs.max,
-            'prefilled again': extra.prefillTokens,
-            'decoded for nothing': extra.decodedTokens,
+            'prefilled again': repeatedWork.prefillTokens,
+            'decoded for nothing': repeatedWork.decodedTokens,
           });
         }
       }
--- a/packages/measure/src/experiments/recovery.ts
+++ b/packages/measure/src/experiments/recovery.ts
@@ -3,7 +3,7 @@
 import type { Mix } from '@limelead/load';
 import { delay, systemTimers, type RecoveryPolicy } from '@limelead/types';
 import ResultTable, { type Experiment } from '../experiment.js';
-import runCell, { withPriorities } from '../run-cell.js';
+import runLoadOnCluster, { withPriorities } from '../run-load-on-cluster.js';
 
 const ENGINES = 8;
 const PAUSE_MS = 2_500;
@@ -73,7 +73,7 @@
     const table = new ResultTable();
     for (const seed of seeds) {
       for (const [name, policy] of Object.entries(POLICIES)) {
-        const { summary, extra, counter } = await runCell({
+        const { summary, repeatedWork, sumCounter } = await runLoadOnCluster({
           cluster: {
             vms: 3,
             engines: ENGINES,
@@ -82,16 +82,16 @@
           },
           mix: MIX,
           seed,
-          during: disturb,
+          disturb: disturb,
         });
         table.add(name, {
           'resume p50 ms': summary.all.resumeLatencyMs.p50,
           'resume p95 ms': summary.all.resumeLatencyMs.p95,
           'resume max ms': summary.all.resumeLatencyMs.max,
           'longest gap ms': Math.max(summary.all.tokenGapMs.max, summary.all.resumeLatencyMs.max),
-          breaks: counter('limelead_streams_broken_total'),
-          'prefilled again': extra.prefillTokens,
-          'decoded again': extra.decodedTokens,
+          breaks: sumCounter('limelead_streams_broken_total'),
+          'prefilled again': repeatedWork.prefillTokens,
+          'decoded again': repeatedWork.decodedTokens,
           'first token p95 ms': summary.all.firstTokenMs.p95,
           'gap p95 ms': summary.all.tokenGapMs.p95,
           'not whole': summary.all.sent - summary.all.whole,
--- a/packages/measure/src/experiments/relay.ts
+++ b/packages/measure/src/experiments/relay.ts
@@ -5,7 +5,11 @@
 import { fileURLToPath } from 'node:url';
 import { Agent } from 'undici';
 import ResultTable, { type Experiment } from '../experiment.js';
-import startProcesses, { endProcess, readLine, type ProcessGroup } from '../processes.js';
+import startDaemonAndStandIns, {
+  killProcess,
+  readLine,
+  type DaemonProcesses,
+} from '../processes.js';
 
 const BARE_RELAY = fileURLToPath(new URL('../../bin/bare-relay.js', import.meta.url));
 const STREAMS = 200;
@@ -27,7 +31,7 @@
   async run({ seeds }) {
     const table = new ResultTable();
     for (const seed of seeds) {
-      const group = await startProcesses({ slots: 1_000, baseGapMs: 10, loadSlowdown: 0 });
+      const group = await startDaemonAndStandIns({ slots: 1_000, baseGapMs: 10, loadSlowdown: 0 });
       try {
         await measure(table, 'limelead', createLimelead(group), seed);
         await withBareRelay(group, (bare) => measure(table, 'bare relay', bare, seed));
@@ -100,7 +104,7 @@
   return tokens;
 }
 
-function createLimelead(group: ProcessGroup): Relay {
+function createLimelead(group: DaemonProcesses): Relay {
   const client = createClient({ urls: [group.url], key: DEMO_KEYS.routing });
   return {
     async read(requestId, maxTokens) {
@@ -117,7 +121,7 @@
 }
 
 async function withBareRelay(
-  group: ProcessGroup,
+  group: DaemonProcesses,
   run: (bare: Relay) => Promise<void>,
 ): Promise<void> {
   const list = (await (await fetch(`http://127.0.0.1:${group.platformPort}/v1/vms`)).json()) as {
@@ -133,7 +137,7 @@
     await run(createBare(origin, agent));
   } finally {
     await agent.destroy();
-    await endProcess(child);
+    await killProcess(child);
   }
 }
 
--- a/packages/measure/src/experiments/routing.ts
+++ b/packages/measure/src/experiments/routing.ts
@@ -4,7 +4,7 @@
 import type { Mix } from '@limelead/load';
 import ResultTable, { type Experiment } from '../experiment.js';
 import { sum } from '../statistics.js';
-import runCell from '../run-cell.js';
+import runLoadOnCluster from '../run-load-on-cluster.js';
 
 const VMS = 7;
 const ENGINES = 12;
@@ -64,7 +64,7 @@
     ];
     for (const seed of seeds) {
       for (const [name, create] of routers) {
-        const { summary, extra, cluster } = await runCell({
+        const { summary, repeatedWork, cluster } = await runLoadOnCluster({
           cluster: {
             vms: VMS,
             engines: ENGINES,
@@ -90,8 +90,8 @@
             cluster.engines.flatMap((engine) => engine.records().map((r) => r.prefillTokens)),
           ),
           'resume max ms': summary.all.resumeLatencyMs.max,
-          'prefilled again': extra.prefillTokens,
-          'decoded again': extra.decodedTokens,
+          'prefilled again': repeatedWork.prefillTokens,
+          'decoded again': repeatedWork.decodedTokens,
           'tokens/s': summary.goodTokensPerSecond,
         });
       }
--- a/packages/measure/src/processes.ts
+++ b/packages/measure/src/processes.ts
@@ -35,7 +35,7 @@
 };
 
 /** Running processes. */
-export interface ProcessGroup {
+export interface DaemonProcesses {
   /** Base URL of the daemon. */
   url: string;
   platformPort: number;
@@ -45,9 +45,9 @@
 }
 
 /** Starts one daemon and stand-ins with one engine of the given behaviour. */
-export default async function startProcesses(
+export default async function startDaemonAndStandIns(
   engine: Partial<EngineOptions>,
-): Promise<ProcessGroup> {
+): Promise<DaemonProcesses> {
   const folder = mkdtempSync(join(tmpdir(), 'limelead-measure-'));
   const children: ChildProcess[] = [];
   const start = (file: string, ...args: string[]): ChildProcess => {
@@ -68,9 +68,9 @@
   writeFileSync(file, JSON.stringify({ ...settings, limits, rpc: { host: HOST, port } }));
   start(DAEMON, '--settings', file);
   const url = `http://${HOST}:${port}`;
-  await untilStatus(`${url}/readyz`, (status) => status !== 0);
+  await waitForStatus(`${url}/readyz`, (status) => status !== 0);
   await applyResources(url);
-  await untilStatus(`${url}/readyz`, (status) => status === 200);
+  await waitForStatus(`${url}/readyz`, (status) => status === 200);
 
   return {
     url,
@@ -81,14 +81,14 @@
       return Number(line?.split(' ')[1] ?? 0);
     },
     async stop() {
-      await Promise.all(children.map(endProcess));
+      await Promise.all(children.map(killProcess));
       rmSync(folder, { recursive: true });
     },
   };
 }
 
 /** Ends one process that was started here. */
-export function endProcess(child: ChildProcess): Promise<void> {
+export function killProcess(child: ChildProcess): Promise<void> {
   return new Promise((resolve) => {
     child.once('close', () => resolve());
     child.kill('SIGKILL');
@@ -106,7 +106,7 @@
 
 async function applyResources(url: string): Promise<void> {
   const client = createClient({ urls: [url], key: DEMO_KEYS.operator });
-  const operations = toOperations(createDemoResources().map(relax));
+  const operations = toOperations(createDemoResources().map(removeLimits));
   await client.administration.apply(
     create(ApplyRequestSchema, { changeId: 'setup', operations, reason: 'measure' }),
     { headers: client.headers },
@@ -115,7 +115,7 @@
 }
 
 /** Costs are measured: neither limits nor suspicions may get in between. */
-function relax(resource: Resource): Resource {
+function removeLimits(resource: Resource): Resource {
   switch (resource.kind) {
     case 'organisation':
       return {
@@ -132,7 +132,7 @@
   }
 }
 
-async function untilStatus(url: string, holds: (status: number) => boolean): Promise<void> {
+async function waitForStatus(url: string, holds: (status: number) => boolean): Promise<void> {
   for (;;) {
     const status = await fetch(url)
       .then(async (response) => (await response.arrayBuffer(), response.status))
--- a/packages/measure/src/extra-use.ts
+++ b/packages/measure/src/repeated-work.ts
@@ -2,13 +2,16 @@
 import type { Engine } from '@limelead/stand-ins';
 
 /** Work that was spent again, in tokens. */
-export interface ExtraUse {
+export interface RepeatedWork {
   prefillTokens: number;
   decodedTokens: number;
 }
 
 /** Compares what the engines did with what callers got. */
-export default function measureExtraUse(engines: Engine[], deliveredTokens: number): ExtraUse {
+export default function measureRepeatedWork(
+  engines: Engine[],
+  deliveredTokens: number,
+): RepeatedWork {
   const records = engines.flatMap((engine) => engine.records());
   const seen = new Set<string>();
   let prefillTokens = 0;
--- a/packages/measure/src/run-cell.ts
+++ b/packages/measure/src/run-load-on-cluster.ts
@@ -8,30 +8,30 @@
 } from '@limelead/demo';
 import { planArrivals, runLoad, type LoadSummary, type Mix } from '@limelead/load';
 import { systemTimers, type Priority, type Resource } from '@limelead/types';
-import measureExtraUse, { type ExtraUse } from './extra-use.js';
+import measureRepeatedWork, { type RepeatedWork } from './repeated-work.js';
 
 /** What is run. */
-export interface Cell {
+export interface LoadRun {
   cluster: Partial<DemoClusterOptions>;
   mix: Mix;
   seed: number;
   /** Tries of one request; 1 shows every refusal. */
   maxTries?: number;
   /** Runs beside the load. */
-  during?: (cluster: DemoCluster) => Promise<void>;
+  disturb?: (cluster: DemoCluster) => Promise<void>;
 }
 
 /** What was found. */
-export interface CellResult {
+export interface LoadRunResult {
   summary: LoadSummary;
-  extra: ExtraUse;
+  repeatedWork: RepeatedWork;
   cluster: DemoCluster;
   /** Sum of a counter over all VMs. */
-  counter(name: string): number;
+  sumCounter(name: string): number;
 }
 
 /** Runs a cell and stops everything that it started. */
-export default async function runCell(cell: Cell): Promise<CellResult> {
+export default async function runLoadOnCluster(cell: LoadRun): Promise<LoadRunResult> {
   const cluster = await startDemoCluster(cell.cluster);
   try {
     const arrivals = planArrivals(cell.mix, createSeededRandom(cell.seed), `s${cell.seed}`);
@@ -41,14 +41,14 @@
         timers: systemTimers,
         maxTries: cell.maxTries ?? 10,
       }),
-      cell.during?.(cluster),
+      cell.disturb?.(cluster),
     ]);
     const pages = cluster.vms.map(({ daemon }) => daemon.metricsPage());
     return {
       summary,
-      extra: measureExtraUse(cluster.engines, summary.all.tokens),
+      repeatedWork: measureRepeatedWork(cluster.engines, summary.all.tokens),
       cluster,
-      counter: (name) => pages.reduce((sum, page) => sum + readCounter(page, name), 0),
+      sumCounter: (name) => pages.reduce((sum, page) => sum + readCounter(page, name), 0),
     };
   } finally {
     await cluster.stop();
