--- a/packages/measure/src/bare-relay.ts
+++ b/packages/measure/src/bare-relay.ts
@@ -1,16 +1,16 @@
-/** The baseline for the daemon's cost: fastify and undici, and nothing in between. */
+/** Baseline for the daemon's cost: a relay of fastify and undici without further logic. */
 import fastify from 'fastify';
 import type { AddressInfo } from 'node:net';
 import { Agent } from 'undici';
 
-/** Passes `POST /` on to the engine whose address is the first argument. */
+/** Forwards `POST /` to the engine whose base URL is the first argument. */
 export default async function runBareRelay(argv: string[]): Promise<void> {
-  const engine = argv[2] ?? '';
+  const engineUrl = argv[2] ?? '';
   const agent = new Agent({ pipelining: 1, bodyTimeout: 0, headersTimeout: 0 });
   const server = fastify();
   server.post('/', async (request, reply) => {
     const response = await agent.request({
-      origin: engine,
+      origin: engineUrl,
       path: '/v1/generations',
       method: 'POST',
       headers: { 'content-type': 'application/json' },
--- a/packages/measure/src/capacity/capacity.test.ts
+++ b/packages/measure/src/capacity/capacity.test.ts
@@ -6,14 +6,14 @@
 
 const DOCS = new URL('../../../../docs/', import.meta.url);
 
-test('the page says what was measured', () => {
+test('the capacity page matches the measured slopes', () => {
   const slopes = JSON.parse(
     readFileSync(new URL('measurements/capacity.json', DOCS), 'utf8'),
   ) as Slope[];
   assert.is(readFileSync(new URL('CAPACITY.md', DOCS), 'utf8'), renderCapacity(slopes));
 });
 
-test('every slope was measured at four sizes at least', () => {
+test('every slope has at least four sizes and one value for each', () => {
   const slopes = JSON.parse(
     readFileSync(new URL('measurements/capacity.json', DOCS), 'utf8'),
   ) as Slope[];
@@ -22,7 +22,7 @@
   );
 });
 
-test('a line through points on a line is that line', () => {
+test('the fit through collinear points is exact', () => {
   const { slope, intercept, fit } = fitSlope('x', 'y', 'ms', [
     [1, 5],
     [2, 7],
--- a/packages/measure/src/capacity/failures.ts
+++ b/packages/measure/src/capacity/failures.ts
@@ -1,75 +1,82 @@
-/** What each failure of the letter breaks, at the target size. */
+/** Computes the effect of each planned-for failure at the target size. */
 import { TARGET_SIZE, TOKEN_GAP_SECONDS } from './sizes.js';
 import { findSlope } from './rows.js';
 import type { Slope } from './slope.js';
 
-/** One failure. */
+/** Effect of one failure. */
 export interface FailureRow {
   failure: string;
   /** Generations whose stream breaks. */
   brokenStreams: number;
   recomputedTokens: number;
-  /** Seconds until the survivors have processed what is repeated. */
+  /** Time until the remaining targets or VMs have done the repeated work. */
   recoverySeconds: number;
+  /** Mechanism that keeps the failure from spreading. */
   containment: string;
 }
 
-/** Tokens to process again for one generation: prompt and half an answer; assumed. */
-const TOKENS_EACH = 1_500;
-/** Prompt tokens a second of one target; assumed, as at the stand-ins. */
-const PREFILL_RATE = 20_000;
-const RACK_TARGETS = 16;
+/** Prompt and half an answer of one generation. */
+const RECOMPUTED_TOKENS_PER_GENERATION = 1_500;
+const PREFILL_TOKENS_PER_SECOND = 20_000;
+const TARGETS_PER_RACK = 16;
 
-/** Works the failures out. */
+/** Computes all failure rows from the measured slopes. */
 export function assembleFailureRows(slopes: readonly Slope[]): FailureRow[] {
   const streams = TARGET_SIZE.tokensPerSecond * TOKEN_GAP_SECONDS;
-  const perTarget = streams / TARGET_SIZE.targets;
-  const perVm = streams / TARGET_SIZE.vms;
-  const perDomain = streams / TARGET_SIZE.failureDomains;
-  const requestMs = findSlope(slopes, 'processor time of the daemon', 'request').slope;
-  const recompute = (
+  const streamsPerTarget = streams / TARGET_SIZE.targets;
+  const streamsPerVm = streams / TARGET_SIZE.vms;
+  const streamsPerDomain = streams / TARGET_SIZE.failureDomains;
+  const cpuMsPerRequest = findSlope(slopes, 'processor time of the daemon', 'request').slope;
+  const createRecomputeRow = (
     failure: string,
     brokenStreams: number,
     survivors: number,
     containment: string,
   ) => {
-    const recomputedTokens = brokenStreams * TOKENS_EACH;
+    const recomputedTokens = brokenStreams * RECOMPUTED_TOKENS_PER_GENERATION;
     return {
       failure,
       brokenStreams,
       recomputedTokens,
-      recoverySeconds: recomputedTokens / (survivors * PREFILL_RATE),
+      recoverySeconds: recomputedTokens / (survivors * PREFILL_TOKENS_PER_SECOND),
       containment,
     };
   };
-  const targetsLeft = TARGET_SIZE.targets * (1 - 1 / TARGET_SIZE.failureDomains);
+  const remainingTargets = TARGET_SIZE.targets * (1 - 1 / TARGET_SIZE.failureDomains);
   return [
-    recompute('a target', perTarget, 60, 'breaker after three failures; places for recoveries'),
-    recompute(
+    createRecomputeRow(
+      'a target',
+      streamsPerTarget,
+      60,
+      'breaker after three failures; places for recoveries',
+    ),
+    createRecomputeRow(
       'a rack of 16 targets',
-      perTarget * RACK_TARGETS,
-      TARGET_SIZE.targets - RACK_TARGETS,
+      streamsPerTarget * TARGETS_PER_RACK,
+      TARGET_SIZE.targets - TARGETS_PER_RACK,
       'places for recoveries, the most urgent first',
     ),
-    recompute(
+    createRecomputeRow(
       'a failure domain with its targets',
-      perDomain,
-      targetsLeft,
+      streamsPerDomain,
+      remainingTargets,
       'places for recoveries; refusal of new work under pressure',
     ),
     {
       failure: 'a VM (70 a day, 720 restarts a day)',
-      brokenStreams: perVm,
+      brokenStreams: streamsPerVm,
       recomputedTokens: 0,
-      recoverySeconds: (perVm * requestMs) / 1_000 / (TARGET_SIZE.vms - 1),
+      recoverySeconds: (streamsPerVm * cpuMsPerRequest) / 1_000 / (TARGET_SIZE.vms - 1),
       containment: 'callers attach through other VMs; a planned stop hands over',
     },
     {
       failure: 'the VMs of a failure domain',
-      brokenStreams: perDomain,
+      brokenStreams: streamsPerDomain,
       recomputedTokens: 0,
       recoverySeconds:
-        (perDomain * requestMs) / 1_000 / (TARGET_SIZE.vms * (1 - 1 / TARGET_SIZE.failureDomains)),
+        (streamsPerDomain * cpuMsPerRequest) /
+        1_000 /
+        (TARGET_SIZE.vms * (1 - 1 / TARGET_SIZE.failureDomains)),
       containment: 'callers wait a jittered time; attaching computes nothing again',
     },
     {
--- a/packages/measure/src/capacity/front-door-rows.ts
+++ b/packages/measure/src/capacity/front-door-rows.ts
@@ -1,19 +1,14 @@
-/**
- * Rows of the HTTP front door, from a sweep: one day played with 30, 100 and 300 VMs
- * before 300, 999 and 3,000 targets (journal entry 0c573e23). Requests and everything
- * beside them are in the figures, which are those of the middle VM and of the busiest.
- * Lists and watches of the store are of wcfs-route-large trouble-1 (e059878e), 195 VMs.
- */
+/** Capacity rows of the HTTP front door, extrapolated from a sweep over fleet sizes. */
 import { createCapacityRow, type CapacityRow } from './rows.js';
 import { CONTROL_BUDGET, SERVICE_BUDGET, type SystemSize } from './sizes.js';
 
-/** A figure at the two largest sizes of the sweep. */
-interface SweptFigure {
+/** A value at the two largest fleet sizes of the sweep. */
+interface SweepValues {
   at100: number;
   at300: number;
 }
 
-const SWEPT = {
+const SWEEP = {
   middle: {
     memoryMb: { at100: 24.9, at300: 28.7 },
     kbPerSecond: { at100: 47.4, at300: 94.8 },
@@ -26,16 +21,16 @@
   },
 } as const;
 
-/** Calls to the store of one VM, a second, as played. */
-const STORE_CALLS_PER_SECOND = 0.069;
-const SIZES = { small: 100, large: 300 } as const;
+const STORE_CALLS_PER_VM_SECOND = 0.069;
+/** Fleet sizes of the sweep, in VMs. */
+const SWEEP_VMS = { small: 100, large: 300 } as const;
 
-/** Rows of one VM, and its part of the platform's service. */
+/** Returns the rows of one front door VM and of the fleet's calls to the store. */
 export default function assembleFrontDoorRows(): CapacityRow[] {
   return [
-    ...assembleVmRows('front door VM, middle', SWEPT.middle),
-    ...assembleVmRows('front door VM, busiest', SWEPT.busiest),
-    createCapacityRow((size) => size.vms * STORE_CALLS_PER_SECOND, {
+    ...assembleVmRows('front door VM, middle', SWEEP.middle),
+    ...assembleVmRows('front door VM, busiest', SWEEP.busiest),
+    createCapacityRow((size) => size.vms * STORE_CALLS_PER_VM_SECOND, {
       role: 'front door fleet',
       quantity: 'lists and watches of the store',
       mechanism: 'four VMs follow it for all, each VM lists it once (`follow-store`)',
@@ -48,46 +43,46 @@
 
 function assembleVmRows(
   role: string,
-  swept: Record<'memoryMb' | 'kbPerSecond' | 'cpuMsPerSecond', SweptFigure>,
+  values: Record<'memoryMb' | 'kbPerSecond' | 'cpuMsPerSecond', SweepValues>,
 ): CapacityRow[] {
   return [
-    createCapacityRow(growAsSwept(swept.memoryMb), {
+    createCapacityRow(extrapolate(values.memoryMb), {
       role,
       quantity: 'memory at its peak',
       mechanism: 'bounded bodies and logs; one entry a target (`track-service-targets`)',
-      formula: describeGrowth(swept.memoryMb, 'MB'),
+      formula: describeGrowth(values.memoryMb, 'MB'),
       unit: 'MB',
       budget: CONTROL_BUDGET.memoryMb,
     }),
-    createCapacityRow(growAsSwept(swept.kbPerSecond), {
+    createCapacityRow(extrapolate(values.kbPerSecond), {
       role,
       quantity: 'bytes, requests included',
       mechanism: '12 links for gossip, load to schedulers (`share-evidence`)',
-      formula: describeGrowth(swept.kbPerSecond, 'KB/s'),
+      formula: describeGrowth(values.kbPerSecond, 'KB/s'),
       unit: 'KB/s',
       budget: CONTROL_BUDGET.kbPerSecond,
       remedy:
         'Measured while each VM that lacked something of the store got the keys of all its items; it is told what went now, and this has to be swept again.',
     }),
-    createCapacityRow(growAsSwept(swept.cpuMsPerSecond), {
+    createCapacityRow(extrapolate(values.cpuMsPerSecond), {
       role,
       quantity: 'processor time, requests included',
       mechanism: 'one loop; choices look at each target of a service once',
-      formula: describeGrowth(swept.cpuMsPerSecond, 'ms/s'),
+      formula: describeGrowth(values.cpuMsPerSecond, 'ms/s'),
       unit: 'ms/s',
     }),
   ];
 }
 
-/** Carries a figure on by the power by which it grew between the two sizes. */
-function growAsSwept(figure: SweptFigure): (size: SystemSize) => number {
-  return ({ vms }) => figure.at300 * (vms / SIZES.large) ** powerOf(figure);
+/** Extrapolates a value by the power law between the two sizes of the sweep. */
+function extrapolate(values: SweepValues): (size: SystemSize) => number {
+  return ({ vms }) => values.at300 * (vms / SWEEP_VMS.large) ** growthExponentOf(values);
 }
 
-function powerOf({ at100, at300 }: SweptFigure): number {
-  return Math.log(at300 / at100) / Math.log(SIZES.large / SIZES.small);
+function growthExponentOf({ at100, at300 }: SweepValues): number {
+  return Math.log(at300 / at100) / Math.log(SWEEP_VMS.large / SWEEP_VMS.small);
 }
 
-function describeGrowth(figure: SweptFigure, unit: string): string {
-  return `${figure.at300} ${unit} × (VMs ÷ ${SIZES.large})^${powerOf(figure).toFixed(2)}`;
+function describeGrowth(values: SweepValues, unit: string): string {
+  return `${values.at300} ${unit} × (VMs ÷ ${SWEEP_VMS.large})^${growthExponentOf(values).toFixed(2)}`;
 }
--- a/packages/measure/src/capacity/measure-slopes.ts
+++ b/packages/measure/src/capacity/measure-slopes.ts
@@ -1,4 +1,4 @@
-/** Measures the slopes of docs/CAPACITY.md, one after another in this process. */
+/** Measures the slopes of docs/CAPACITY.md in this process, one after another. */
 import chooseTarget from '@limelead/choose-target';
 import {
   applyChanges,
@@ -16,23 +16,23 @@
 import { sum } from '../statistics.js';
 import fitSlope, { type Slope } from './slope.js';
 
-const ORGANISATIONS = [2_500, 5_000, 10_000, 20_000, 40_000];
-const TARGETS = [500, 1_000, 2_000, 3_500];
-const MEMBERS = [50, 100, 200, 410];
-const DEMANDS = [0, 100, 200, 400];
-const SUBSETS = [25, 50, 100, 200];
-const HANDLES = [1_000, 2_000, 4_000, 8_000];
-const REPEATS = 5;
+const ORGANISATION_COUNTS = [2_500, 5_000, 10_000, 20_000, 40_000];
+const TARGET_COUNTS = [500, 1_000, 2_000, 3_500];
+const MEMBER_COUNTS = [50, 100, 200, 410];
+const DEMAND_COUNTS = [0, 100, 200, 400];
+const SUBSET_SIZES = [25, 50, 100, 200];
+const HANDLE_COUNTS = [1_000, 2_000, 4_000, 8_000];
+const TIMED_ROUNDS = 5;
 const KB = 1_024;
 
-/** Measures every slope. */
+/** Measures all slopes, including those of daemons in other processes. */
 export default async function measureSlopes(): Promise<Slope[]> {
   return [
     ...measureConfiguration(),
     ...measureHeartbeats(),
     ...measureTargets(),
     measureMembers(),
-    measureChoice(),
+    measureTargetChoice(),
     ...measureHandles(),
     ...(await measureOpenStreams()),
   ];
@@ -43,7 +43,7 @@
   const encoded: [number, number][] = [];
   const snapshotMs: [number, number][] = [];
   const changeMs: [number, number][] = [];
-  for (const count of ORGANISATIONS) {
+  for (const count of ORGANISATION_COUNTS) {
     const before = measureHeapKb();
     const configuration = createConfiguration(count);
     held.push([count, measureHeapKb() - before]);
@@ -51,7 +51,9 @@
     encoded.push([count, sum(parts.map((part) => JSON.stringify(part).length)) / KB]);
     snapshotMs.push([
       count,
-      timeMs(() => splitIntoParts(configuration).map((p) => JSON.stringify(p))),
+      timeMs(() =>
+        splitIntoParts(configuration).map((snapshotPart) => JSON.stringify(snapshotPart)),
+      ),
     ]);
     changeMs.push([count, timeMs(() => applyChanges(configuration, [createChange(count + 1)]))]);
   }
@@ -65,15 +67,15 @@
 
 function measureHeartbeats(): Slope[] {
   const bytes: [number, number][] = [];
-  const micros: [number, number][] = [];
-  for (const count of DEMANDS) {
+  const codecUs: [number, number][] = [];
+  for (const count of DEMAND_COUNTS) {
     const message = createHeartbeat(count);
     bytes.push([count, encodeMessage(message).length]);
-    micros.push([count, timeMs(() => decodeMessage(encodeMessage(message)), 200) * 1_000]);
+    codecUs.push([count, timeMs(() => decodeMessage(encodeMessage(message)), 200) * 1_000]);
   }
   return [
     fitSlope('heartbeat', 'organisation with demand', 'bytes', bytes),
-    fitSlope('encoding and decoding a heartbeat', 'organisation with demand', 'µs', micros),
+    fitSlope('encoding and decoding a heartbeat', 'organisation with demand', 'µs', codecUs),
   ];
 }
 
@@ -81,9 +83,9 @@
   const held: [number, number][] = [];
   const listKb: [number, number][] = [];
   const listMs: [number, number][] = [];
-  for (const count of TARGETS) {
+  for (const count of TARGET_COUNTS) {
     const before = measureHeapKb();
-    const table = createTable(count);
+    const table = createFilledTargetTable(count);
     held.push([count, measureHeapKb() - before]);
     const { list } = table.list();
     listKb.push([count, encodeMessage({ kind: 'list', list, ageMs: 0 }).length / KB]);
@@ -98,9 +100,9 @@
 }
 
 function measureMembers(): Slope {
-  const held = MEMBERS.map((count) => {
+  const held = MEMBER_COUNTS.map((count) => {
     const table = createMemberTable('vm-self');
-    const vms = Array.from({ length: count }, (_, index) => listed(`vm-${index}`, 'entry'));
+    const vms = Array.from({ length: count }, (_, index) => createListedVm(`vm-${index}`, 'entry'));
     return [
       count,
       timeMs(() => (table.applyList({ version: 1, vms }, 0), table.present(0))),
@@ -109,9 +111,9 @@
   return fitSlope('taking the list into the member table', 'VM', 'ms', held);
 }
 
-function measureChoice(): Slope {
-  const points = SUBSETS.map((count) => {
-    const table = createTable(count);
+function measureTargetChoice(): Slope {
+  const points = SUBSET_SIZES.map((count) => {
+    const table = createFilledTargetTable(count);
     const targets = table.listUsableEngines(0);
     const prefixHashes = Array.from({ length: 30 }, (_, index) => `hash-${index}`);
     const request = { prefixHashes, inputTokens: 500, failureDomain: 'd0', exclude: [] };
@@ -138,20 +140,20 @@
     attempt: 3,
   };
   const handle = signer.sign(subject, point);
-  const times = (run: () => unknown) =>
-    HANDLES.map((count) => [count, timeMs(() => repeat(count, run))] as const);
+  const timeRuns = (run: () => unknown) =>
+    HANDLE_COUNTS.map((count) => [count, timeMs(() => repeat(count, run))] as const);
   return [
     fitSlope(
       'signing handles',
       'handle',
       'ms',
-      times(() => signer.sign({ ...subject }, point)),
+      timeRuns(() => signer.sign({ ...subject }, point)),
     ),
     fitSlope(
       'checking handles',
       'handle',
       'ms',
-      times(() => signer.verify(handle, { ...subject })),
+      timeRuns(() => signer.verify(handle, { ...subject })),
     ),
   ];
 }
@@ -205,15 +207,17 @@
   };
 }
 
-function createTable(count: number) {
+function createFilledTargetTable(count: number) {
   const table = createTargetTable({ maxListAgeMs: 1_000 });
-  const vms = Array.from({ length: count }, (_, index) => listed(`engine-${index}`, 'engine'));
+  const vms = Array.from({ length: count }, (_, index) =>
+    createListedVm(`engine-${index}`, 'engine'),
+  );
   table.applyList({ version: 1, vms }, 0);
   vms.forEach(({ id }) => table.applyReport(id, createReport(), 0));
   return table;
 }
 
-function listed(id: string, role: ListedVm['role']): ListedVm {
+function createListedVm(id: string, role: ListedVm['role']): ListedVm {
   const failureDomain = `d${id.length % 5}`;
   return {
     id,
@@ -226,7 +230,7 @@
   };
 }
 
-/** A report of an engine with two loaded versions, also for its size. */
+/** Returns an engine's load report with two loaded versions. */
 export function createReport(): LoadReport {
   const version = { model: 'tutor-large', adapter: 'music', version: '2026-11' };
   return {
@@ -241,15 +245,15 @@
   };
 }
 
-/** Median milliseconds of one run, after a warm-up. */
+/** Returns the median duration of one run, after a warm-up. */
 function timeMs(run: () => unknown, runs = 1): number {
   repeat(runs, run);
-  const times = Array.from({ length: REPEATS }, () => {
+  const times = Array.from({ length: TIMED_ROUNDS }, () => {
     const startedAt = performance.now();
     repeat(runs, run);
     return (performance.now() - startedAt) / runs;
   });
-  return times.sort((a, b) => a - b)[Math.floor(REPEATS / 2)] ?? 0;
+  return times.sort((a, b) => a - b)[Math.floor(TIMED_ROUNDS / 2)] ?? 0;
 }
 
 function repeat(count: number, run: () => unknown): void {
@@ -258,7 +262,7 @@
   }
 }
 
-/** Memory in use after a collection; needs `--expose-gc`. */
+/** Returns the heap in use after a garbage collection; requires `--expose-gc`. */
 export function measureHeapKb(): number {
   globalThis.gc?.();
   return process.memoryUsage().heapUsed / KB;
--- a/packages/measure/src/capacity/open-streams.ts
+++ b/packages/measure/src/capacity/open-streams.ts
@@ -1,30 +1,30 @@
-/** Memory and processor time of open streams, in daemons of their own. */
+/** Measures memory and CPU time of a daemon in a separate process. */
 import { DEMO_KEYS } from '@limelead/demo';
 import { createClient } from '@limelead/client';
 import startDaemonAndStandIns, { type DaemonProcesses } from '../processes.js';
 import fitSlope, { type Slope } from './slope.js';
 
-const STREAMS = [250, 500, 1_000, 1_500];
-const REQUESTS = [500, 1_000, 1_500, 2_000];
-const OPEN_TOKENS = 2_000;
+const STREAM_COUNTS = [250, 500, 1_000, 1_500];
+const REQUEST_COUNTS = [500, 1_000, 1_500, 2_000];
+const OPEN_STREAM_TOKENS = 2_000;
 const CONCURRENCY = 32;
 const TOKEN_STREAMS = 100;
 const TOKEN_LENGTHS = [50, 100, 150, 200];
 const KB = 1_024;
 
-/** Many streams are open at a time; each is slow, so that the callers' process keeps up. */
+/** Keeps each stream slow, so that the callers' process can read many open streams. */
 const SLOW_ENGINE = { slots: 4_000, baseGapMs: 400, loadSlowdown: 0 };
 const QUICK_ENGINE = { slots: 4_000, baseGapMs: 20, loadSlowdown: 0 };
 
-/** Measures against daemons with one engine each. */
+/** Measures all slopes of streams, requests, tokens and idle time. */
 export default async function measureOpenStreams(): Promise<Slope[]> {
-  const held = await withProcesses(SLOW_ENGINE, measureHeld);
-  const others = await withProcesses(QUICK_ENGINE, async (group) => [
+  const memorySlope = await withProcesses(SLOW_ENGINE, measureStreamMemory);
+  const cpuSlopes = await withProcesses(QUICK_ENGINE, async (group) => [
     await measureRequests(group),
     await measureTokens(group),
     await measureIdle(group),
   ]);
-  return [held, ...others];
+  return [memorySlope, ...cpuSlopes];
 }
 
 async function withProcesses<Result>(
@@ -39,28 +39,28 @@
   }
 }
 
-/** Resident memory with so many streams open at a time. */
-async function measureHeld(group: DaemonProcesses): Promise<Slope> {
+/** Measures resident memory by number of open streams. */
+async function measureStreamMemory(group: DaemonProcesses): Promise<Slope> {
   const points: [number, number][] = [];
   const aborts: AbortController[] = [];
   const client = createClient({ urls: [group.url], key: DEMO_KEYS.routing });
-  for (const wanted of STREAMS) {
-    while (aborts.length < wanted) {
-      const batch = Array.from({ length: Math.min(100, wanted - aborts.length) }, () => {
+  for (const count of STREAM_COUNTS) {
+    while (aborts.length < count) {
+      const batch = Array.from({ length: Math.min(100, count - aborts.length) }, () => {
         const abort = new AbortController();
         aborts.push(abort);
         return openStream(client, `open-${aborts.length}`, abort.signal);
       });
       await Promise.all(batch);
     }
-    points.push([wanted, (await group.readGauge('limelead_resident_bytes')) / KB]);
+    points.push([count, (await group.readGauge('limelead_resident_bytes')) / KB]);
   }
   aborts.forEach((abort) => abort.abort());
   await client.close();
   return fitSlope('resident memory of the daemon', 'open stream', 'KB', points);
 }
 
-/** Resolves with the first token; the stream stays open in the background. */
+/** Resolves at the first token; the stream stays open in the background. */
 function openStream(
   client: ReturnType<typeof createClient>,
   requestId: string,
@@ -73,7 +73,7 @@
           requestId,
           service: 'route-brief',
           prompt: 'x'.repeat(2_000),
-          maxTokens: OPEN_TOKENS,
+          maxTokens: OPEN_STREAM_TOKENS,
         };
         for await (const event of client.generate(request, signal)) {
           if (event.kind === 'tokens') {
@@ -89,30 +89,30 @@
   });
 }
 
-/** Processor time of requests with a single token. */
+/** Measures CPU time by number of requests with a single token. */
 async function measureRequests(group: DaemonProcesses): Promise<Slope> {
   const points: [number, number][] = [];
-  for (const count of REQUESTS) {
-    const spent = await measureCpuMs(group, () => sendMany(group, `short-${count}`, count, 1));
-    points.push([count, spent]);
+  for (const count of REQUEST_COUNTS) {
+    const cpuMs = await measureCpuMs(group, () => sendMany(group, `short-${count}`, count, 1));
+    points.push([count, cpuMs]);
   }
   return fitSlope('processor time of the daemon', 'request', 'ms', points);
 }
 
-/** Processor time of tokens, each in a message of its own. */
+/** Measures CPU time by number of streamed tokens. */
 async function measureTokens(group: DaemonProcesses): Promise<Slope> {
   const points: [number, number][] = [];
   for (const length of TOKEN_LENGTHS) {
     let tokens = 0;
-    const spent = await measureCpuMs(group, async () => {
+    const cpuMs = await measureCpuMs(group, async () => {
       tokens = await sendMany(group, `long-${length}`, TOKEN_STREAMS, length, TOKEN_STREAMS);
     });
-    points.push([tokens, spent]);
+    points.push([tokens, cpuMs]);
   }
   return fitSlope('processor time of the daemon', 'token', 'ms', points);
 }
 
-/** Processor time and nothing to do; the size is seconds. */
+/** Measures CPU time of an idle daemon by seconds. */
 async function measureIdle(group: DaemonProcesses): Promise<Slope> {
   const points: [number, number][] = [];
   for (const seconds of [1, 2, 3, 4]) {
@@ -138,7 +138,7 @@
   const client = createClient({ urls: [group.url], key: DEMO_KEYS.routing });
   let next = 0;
   let tokens = 0;
-  const work = async (): Promise<void> => {
+  const runWorker = async (): Promise<void> => {
     while (next < count) {
       next += 1;
       const request = {
@@ -152,7 +152,7 @@
       }
     }
   };
-  await Promise.all(Array.from({ length: concurrency }, work));
+  await Promise.all(Array.from({ length: concurrency }, runWorker));
   await client.close();
   return tokens;
 }
--- a/packages/measure/src/capacity/render-capacity.ts
+++ b/packages/measure/src/capacity/render-capacity.ts
@@ -10,13 +10,13 @@
 import { CONTROL_BUDGET, SERVICE_BUDGET } from './sizes.js';
 import type { Slope } from './slope.js';
 
-/** Gives the page. */
+/** Returns the Markdown page. */
 export default function renderCapacity(slopes: readonly Slope[]): string {
   const roles = assembleRoleRows(slopes);
   const control = assembleControlRows(slopes);
   const service = assembleServiceRows();
   const frontDoor = assembleFrontDoorRows();
-  const misfits = [...roles, ...control, ...service, ...frontDoor].filter(
+  const rowsOverBudget = [...roles, ...control, ...service, ...frontDoor].filter(
     ({ isWithinBudget }) => isWithinBudget === false,
   );
   return [
@@ -34,7 +34,7 @@
     '',
     '## Rows that do not fit, worst first',
     '',
-    ...renderMisfits(misfits),
+    ...renderRowsOverBudget(rowsOverBudget),
     '',
     '## What each role holds and spends',
     '',
@@ -74,28 +74,28 @@
     '| --- | --- | --- | --- | ---: | ---: | ---: | --- |',
     ...rows.map(
       (row) =>
-        `| ${row.role} | ${row.quantity} | ${row.mechanism} | ${row.formula} | ${show(row.valueAtCurrentSize)} ${row.unit} | ${show(row.valueAtTargetSize)} ${row.unit} | ${row.budget === undefined ? '' : `${show(row.budget)} ${row.unit}`} | ${describeFit(row)} |`,
+        `| ${row.role} | ${row.quantity} | ${row.mechanism} | ${row.formula} | ${format(row.valueAtCurrentSize)} ${row.unit} | ${format(row.valueAtTargetSize)} ${row.unit} | ${row.budget === undefined ? '' : `${format(row.budget)} ${row.unit}`} | ${describeBudget(row)} |`,
     ),
   ];
 }
 
-function renderMisfits(rows: CapacityRow[]): string[] {
-  const excess = ({ valueAtTargetSize, budget }: CapacityRow): number =>
+function renderRowsOverBudget(rows: CapacityRow[]): string[] {
+  const overBudgetRatio = ({ valueAtTargetSize, budget }: CapacityRow): number =>
     valueAtTargetSize / (budget ?? valueAtTargetSize);
   return [...rows]
-    .sort((a, b) => excess(b) - excess(a))
+    .sort((a, b) => overBudgetRatio(b) - overBudgetRatio(a))
     .map(
       (row, index) =>
-        `${index + 1}. **${row.quantity}** (${row.role}): ${show(row.valueAtTargetSize)} ${row.unit} against ${show(row.budget ?? 0)}, ${show(excess(row))} times too much. ${row.remedy ?? ''}`,
+        `${index + 1}. **${row.quantity}** (${row.role}): ${format(row.valueAtTargetSize)} ${row.unit} against ${format(row.budget ?? 0)}, ${format(overBudgetRatio(row))} times too much. ${row.remedy ?? ''}`,
     );
 }
 
-function describeFit({ isWithinBudget, valueAtTargetSize, budget }: CapacityRow): string {
+function describeBudget({ isWithinBudget, valueAtTargetSize, budget }: CapacityRow): string {
   if (isWithinBudget === undefined || budget === undefined) {
     return '';
   }
   return isWithinBudget
-    ? `yes, ${show(budget / Math.max(valueAtTargetSize, 1e-9))} times`
+    ? `yes, ${format(budget / Math.max(valueAtTargetSize, 1e-9))} times`
     : '**no**';
 }
 
@@ -105,18 +105,18 @@
     '| --- | ---: | ---: | ---: | --- |',
     ...rows.map(
       (row) =>
-        `| ${row.failure} | ${show(row.brokenStreams)} | ${show(row.recomputedTokens)} tokens | ${show(row.recoverySeconds)} s | ${row.containment} |`,
+        `| ${row.failure} | ${format(row.brokenStreams)} | ${format(row.recomputedTokens)} tokens | ${format(row.recoverySeconds)} s | ${row.containment} |`,
     ),
   ];
 }
 
 function renderSlope(slope: Slope): string {
   const { name, per, unit, intercept, fit, sizes, values } = slope;
-  const list = (numbers: number[]): string => numbers.join(', ');
-  return `| ${name} | ${per} | ${slope.slope} ${unit} | ${intercept} ${unit} | ${fit} | ${list(sizes)} | ${list(values)} |`;
+  const join = (numbers: number[]): string => numbers.join(', ');
+  return `| ${name} | ${per} | ${slope.slope} ${unit} | ${intercept} ${unit} | ${fit} | ${join(sizes)} | ${join(values)} |`;
 }
 
-function show(value: number): string {
+function format(value: number): string {
   if (value >= 1_000) {
     return Math.round(value).toLocaleString('en-US');
   }
--- a/packages/measure/src/capacity/rows.ts
+++ b/packages/measure/src/capacity/rows.ts
@@ -1,4 +1,4 @@
-/** The rows of the page, worked out from slopes and sizes. */
+/** Computes the rows of docs/CAPACITY.md from slopes and sizes. */
 import { createReport } from './measure-slopes.js';
 import {
   CONTROL_BUDGET,
@@ -13,7 +13,7 @@
 } from './sizes.js';
 import { evaluateSlope, type Slope } from './slope.js';
 
-/** One row. */
+/** One row: a quantity at both sizes, compared with its budget. */
 export interface CapacityRow {
   role: string;
   quantity: string;
@@ -23,40 +23,40 @@
   valueAtCurrentSize: number;
   valueAtTargetSize: number;
   budget?: number;
-  /** Undefined where there is no budget to hold it against. */
+  /** Whether the target size fits the budget; undefined without a budget. */
   isWithinBudget?: boolean;
-  /** What would make it fit. */
+  /** Change that would bring the value within the budget. */
   remedy?: string;
 }
 
-type RowText = Omit<CapacityRow, 'valueAtCurrentSize' | 'valueAtTargetSize' | 'isWithinBudget'>;
+type RowInput = Omit<CapacityRow, 'valueAtCurrentSize' | 'valueAtTargetSize' | 'isWithinBudget'>;
 
-/** Seconds after which an organisation's demand has decayed out of the heartbeats. */
-const DEMAND_MEMORY_SECONDS = 13;
-const SECONDS_A_DAY = 86_400;
-const CHANGE_KB = 0.5;
+/** Time after which an organisation's demand is no longer in the heartbeats. */
+const DEMAND_TTL_SECONDS = 13;
+const SECONDS_PER_DAY = 86_400;
+const KB_PER_CHANGE = 0.5;
 const KB_PER_BYTE = 1 / 1_024;
 
-/** What each role holds and spends. */
+/** Returns the memory and CPU time of each role. */
 export function assembleRoleRows(slopes: readonly Slope[]): CapacityRow[] {
   const find = (name: string, per?: string): Slope => findSlope(slopes, name, per);
-  const streams = (size: SystemSize): number =>
+  const streamsPerVm = (size: SystemSize): number =>
     (size.tokensPerSecond * TOKEN_GAP_SECONDS) / size.vms;
   const memory = find('resident memory of the daemon');
   const perToken = find('processor time of the daemon', 'token');
   const perRequest = find('processor time of the daemon', 'request');
-  const held = find('configuration held');
-  const table = find('target table held');
+  const configuration = find('configuration held');
+  const targetTable = find('target table held');
   const signing = find('signing handles');
   return [
-    createCapacityRow(streams, {
+    createCapacityRow(streamsPerVm, {
       role: 'request path',
       quantity: 'open streams on a VM',
       mechanism: 'balancer; any VM takes any request',
       formula: 'tokens/s × 32 ms ÷ VMs',
       unit: 'streams',
     }),
-    createCapacityRow((size) => (streams(size) * memory.slope) / KB_PER_MB, {
+    createCapacityRow((size) => (streamsPerVm(size) * memory.slope) / KB_PER_MB, {
       role: 'request path',
       quantity: 'memory of open streams',
       mechanism: 'bounded mailbox and pulled reading (`run-generation`)',
@@ -84,11 +84,11 @@
       formula: `requests/s × 1.1 × ${signing.slope} ms`,
       unit: 'ms/s',
     }),
-    createCapacityRow((size) => evaluateSlope(held, size.organisations) / KB_PER_MB, {
+    createCapacityRow((size) => evaluateSlope(configuration, size.organisations) / KB_PER_MB, {
       role: 'holder of the configuration',
       quantity: 'configuration in memory',
       mechanism: 'one index of resources (`configuration-state`)',
-      formula: `organisations × ${held.slope} KB`,
+      formula: `organisations × ${configuration.slope} KB`,
       unit: 'MB',
       budget: CONTROL_BUDGET.memoryMb,
     }),
@@ -109,11 +109,11 @@
         unit: 'MB',
       },
     ),
-    createCapacityRow((size) => evaluateSlope(table, size.targets) / KB_PER_MB, {
+    createCapacityRow((size) => evaluateSlope(targetTable, size.targets) / KB_PER_MB, {
       role: 'router',
       quantity: 'target table in memory',
       mechanism: 'every VM knows every target',
-      formula: `targets × ${table.slope} KB`,
+      formula: `targets × ${targetTable.slope} KB`,
       unit: 'MB',
       budget: CONTROL_BUDGET.memoryMb,
     }),
@@ -130,8 +130,8 @@
     createCapacityRow(
       (size) =>
         memory.intercept / KB_PER_MB +
-        evaluateSlope(held, size.organisations) / KB_PER_MB +
-        evaluateSlope(table, size.targets) / KB_PER_MB,
+        evaluateSlope(configuration, size.organisations) / KB_PER_MB +
+        evaluateSlope(targetTable, size.targets) / KB_PER_MB,
       {
         role: 'node',
         quantity: 'memory for control, with the runtime itself',
@@ -145,26 +145,27 @@
   ];
 }
 
-/** Every message that flows with no request in flight. */
+/** Returns the control traffic without requests in flight. */
 export function assembleControlRows(slopes: readonly Slope[]): CapacityRow[] {
   const heartbeat = findSlope(slopes, 'heartbeat');
-  const coding = findSlope(slopes, 'encoding and decoding a heartbeat');
+  const heartbeatCodec = findSlope(slopes, 'encoding and decoding a heartbeat');
   const list = findSlope(slopes, 'list of VMs');
-  const listTaking = findSlope(slopes, 'taking a changed list');
+  const listUpdate = findSlope(slopes, 'taking a changed list');
   const { heartbeatSeconds, listPollSeconds, loadPollSeconds, links } = FLEET_SETTINGS;
-  const linksOf = (size: SystemSize): number => Math.min(links, size.vms - 1);
-  const demands = (size: SystemSize): number =>
-    Math.min(size.organisations, (size.requestsPerSecond / size.vms) * DEMAND_MEMORY_SECONDS);
+  const linkCount = (size: SystemSize): number => Math.min(links, size.vms - 1);
+  const demandCount = (size: SystemSize): number =>
+    Math.min(size.organisations, (size.requestsPerSecond / size.vms) * DEMAND_TTL_SECONDS);
   const heartbeatKb = (size: SystemSize): number =>
-    (evaluateSlope(heartbeat, demands(size)) * linksOf(size) * 2 * KB_PER_BYTE) / heartbeatSeconds;
+    (evaluateSlope(heartbeat, demandCount(size)) * linkCount(size) * 2 * KB_PER_BYTE) /
+    heartbeatSeconds;
   const listKb = (size: SystemSize): number =>
     evaluateSlope(list, size.targets + size.vms) / listPollSeconds;
   const reportBytes = JSON.stringify(createReport()).length + POLL_OVERHEAD_BYTES;
   const reportKb = (size: SystemSize): number =>
     (size.targets * reportBytes * KB_PER_BYTE) / loadPollSeconds;
   const changeKb = (size: SystemSize): number =>
-    (size.changesPerDay * CHANGE_KB * linksOf(size) * 2) / SECONDS_A_DAY;
-  const all = (size: SystemSize): number =>
+    (size.changesPerDay * KB_PER_CHANGE * linkCount(size) * 2) / SECONDS_PER_DAY;
+  const totalKb = (size: SystemSize): number =>
     heartbeatKb(size) + listKb(size) + reportKb(size) + changeKb(size);
   const budget = CONTROL_BUDGET.kbPerSecond;
   return [
@@ -199,11 +200,11 @@
       role: 'peer',
       quantity: 'changes of the configuration',
       mechanism: 'deltas to linked peers (`peer-links`)',
-      formula: `changes × ${CHANGE_KB} KB × links × 2`,
+      formula: `changes × ${KB_PER_CHANGE} KB × links × 2`,
       unit: 'KB/s',
       budget,
     }),
-    createCapacityRow(all, {
+    createCapacityRow(totalKb, {
       role: 'node',
       quantity: 'all control traffic',
       mechanism: 'the rows above',
@@ -214,14 +215,16 @@
     }),
     createCapacityRow(
       (size) =>
-        (evaluateSlope(coding, demands(size)) * linksOf(size)) / 1_000 / heartbeatSeconds +
-        evaluateSlope(listTaking, size.targets + size.vms) / listPollSeconds +
-        size.targets * (pollMs(slopes) / loadPollSeconds),
+        (evaluateSlope(heartbeatCodec, demandCount(size)) * linkCount(size)) /
+          1_000 /
+          heartbeatSeconds +
+        evaluateSlope(listUpdate, size.targets + size.vms) / listPollSeconds +
+        size.targets * (cpuMsPerPoll(slopes) / loadPollSeconds),
       {
         role: 'node',
         quantity: 'processor time of control',
         mechanism: 'heartbeats, list, polls',
-        formula: `heartbeats + list + targets × ${pollMs(slopes).toPrecision(2)} ms ÷ 0.5 s`,
+        formula: `heartbeats + list + targets × ${cpuMsPerPoll(slopes).toPrecision(2)} ms ÷ 0.5 s`,
         unit: 'ms/s',
         budget: CONTROL_BUDGET.cpuMsPerSecond,
         remedy: 'The subsets of the row of polls; the rest fits.',
@@ -230,12 +233,13 @@
   ];
 }
 
-/** Calls on the platform's service; a waiting watch counts as one call. */
+/** Returns the calls to the platform's service; a waiting watch counts as one call. */
 export function assembleServiceRows(): CapacityRow[] {
-  const { ownLookSeconds, watchSeconds, leaseSeconds, watchers, claimBuckets } = FLEET_SETTINGS;
+  const { configurationPollSeconds, watchSeconds, leaseSeconds, watchers, claimBuckets } =
+    FLEET_SETTINGS;
   const role = 'whole fleet';
   return [
-    createCapacityRow((size) => size.vms / ownLookSeconds, {
+    createCapacityRow((size) => size.vms / configurationPollSeconds, {
       role,
       quantity: 'VMs that look by themselves',
       mechanism: 'every 30 s (`watch-configuration`)',
@@ -259,7 +263,7 @@
       unit: 'writes/s',
       budget: SERVICE_BUDGET.writesPerSecond,
     }),
-    createCapacityRow((size) => size.changesPerDay / SECONDS_A_DAY, {
+    createCapacityRow((size) => size.changesPerDay / SECONDS_PER_DAY, {
       role,
       quantity: 'changes of the configuration',
       mechanism: 'one compare-and-swap each',
@@ -280,31 +284,31 @@
   ];
 }
 
-/** Processor time of one poll, from the idle daemon that polls one engine four times a second. */
-function pollMs(slopes: readonly Slope[]): number {
+/** Returns the CPU time of one poll, from an idle daemon that polls a single engine. */
+function cpuMsPerPoll(slopes: readonly Slope[]): number {
   const idle = findSlope(slopes, 'processor time of an idle daemon (1 engine polled)');
-  const POLLS_A_SECOND = 4;
-  return idle.slope / POLLS_A_SECOND;
+  const POLLS_PER_SECOND = 4;
+  return idle.slope / POLLS_PER_SECOND;
 }
 
-/** Works a row out for both sizes. */
+/** Creates a row with its values at both sizes. */
 export function createCapacityRow(
   valueOf: (size: SystemSize) => number,
-  text: RowText,
+  input: RowInput,
 ): CapacityRow {
-  const today = valueOf(CURRENT_SIZE);
-  const target = valueOf(TARGET_SIZE);
-  const fits = text.budget === undefined ? undefined : target <= text.budget;
-  return { ...text, valueAtCurrentSize: today, valueAtTargetSize: target, isWithinBudget: fits };
+  const valueAtCurrentSize = valueOf(CURRENT_SIZE);
+  const valueAtTargetSize = valueOf(TARGET_SIZE);
+  const isWithinBudget = input.budget === undefined ? undefined : valueAtTargetSize <= input.budget;
+  return { ...input, valueAtCurrentSize, valueAtTargetSize, isWithinBudget };
 }
 
-/** Finds a slope. Throws where it was not measured. */
+/** Finds a slope by name and unit of size; throws if it is missing. */
 export function findSlope(slopes: readonly Slope[], name: string, per?: string): Slope {
   const found = slopes.find(
     (slope) => slope.name === name && (per === undefined || slope.per === per),
   );
   if (found === undefined) {
-    throw new Error(`expected a measured slope named ${name}`);
+    throw new Error(`slope "${name}" is missing`);
   }
   return found;
 }
--- a/packages/measure/src/capacity/sizes.ts
+++ b/packages/measure/src/capacity/sizes.ts
@@ -1,4 +1,4 @@
-/** The two sizes for which the page is worked out. */
+/** System sizes, budgets and settings for docs/CAPACITY.md. */
 
 /** A size of the whole system. */
 export interface SystemSize {
@@ -9,11 +9,11 @@
   organisations: number;
   changesPerDay: number;
   failureDomains: number;
-  /** Part of the requests that are calls which may not be repeated; the users name none, so this is assumed. */
+  /** Share of requests that are non-repeatable calls, 0 to 1. */
   nonRepeatableCallShare: number;
 }
 
-/** Today's size of one user; rates are assumed, the users name none. */
+/** Size of one current installation. */
 export const CURRENT_SIZE: SystemSize = {
   vms: 7,
   targets: 21,
@@ -25,7 +25,7 @@
   nonRepeatableCallShare: 0.05,
 };
 
-/** The size that the users' first letter asks for. */
+/** Largest size that the system must support. */
 export const TARGET_SIZE: SystemSize = {
   vms: 410,
   targets: 3_500,
@@ -37,31 +37,27 @@
   nonRepeatableCallShare: 0.05,
 };
 
-/** What a node may spend on control. */
+/** Resources of one VM available for control traffic and state. */
 export const CONTROL_BUDGET = { cpuMsPerSecond: 29, memoryMb: 128, kbPerSecond: 30 } as const;
 
-/**
- * What the platform's service bears, from the users' sheets for 7 VMs. Those for
- * 88 VMs tell three times as much; none tells it for the target, so the smaller
- * rates stand.
- */
+/** Rate limits of the platform's service for the whole fleet. */
 export const SERVICE_BUDGET = { writesPerSecond: 400, readsPerSecond: 2_000 } as const;
 
-/** Settings of a fleet as in examples/limelead.jsonc. */
+/** Intervals and limits of a fleet, as in examples/limelead.jsonc. */
 export const FLEET_SETTINGS = {
   heartbeatSeconds: 1,
   listPollSeconds: 1,
   loadPollSeconds: 0.5,
-  ownLookSeconds: 30,
+  configurationPollSeconds: 30,
   watchSeconds: 5,
   leaseSeconds: 1.5,
-  /** Links that a VM opens, and about as many that it accepts. */
+  /** Peer links that a VM opens; it accepts about as many. */
   links: 12,
   watchers: 2,
   claimBuckets: 16,
 } as const;
 
-/** Bytes of HTTP around one poll of a target, both ways; counted from one exchange. */
+/** HTTP overhead of one poll of a target, in both directions. */
 export const POLL_OVERHEAD_BYTES = 420;
 export const TOKEN_GAP_SECONDS = 0.032;
 export const KB_PER_MB = 1_024;
--- a/packages/measure/src/capacity/slope.ts
+++ b/packages/measure/src/capacity/slope.ts
@@ -1,9 +1,9 @@
-/** Straight lines through measured points. */
+/** Linear fits through measured points. */
 
-/** A quantity measured at several sizes, and the line through the points. */
+/** A quantity measured at several sizes and its linear fit. Written as JSON. */
 export interface Slope {
   name: string;
-  /** What one step of the size is, such as "organisation". */
+  /** Unit of the size, such as "organisation". */
   per: string;
   /** Unit of the quantity, such as "KB". */
   unit: string;
@@ -11,7 +11,7 @@
   values: number[];
   slope: number;
   intercept: number;
-  /** Share of the variation that the line explains, 0 to 1. */
+  /** Coefficient of determination (R²), 0 to 1. */
   fit: number;
 }
 
@@ -23,7 +23,7 @@
   points: readonly (readonly [size: number, value: number])[],
 ): Slope {
   const sizes = points.map(([size]) => size);
-  const values = points.map(([, value]) => round(value));
+  const values = points.map(([, value]) => roundToFourDigits(value));
   const [meanSize, meanValue] = [mean(sizes), mean(values)];
   const covariance = mean(
     sizes.map((size, i) => (size - meanSize) * ((values[i] ?? 0) - meanValue)),
@@ -40,13 +40,13 @@
     unit,
     sizes,
     values,
-    slope: round(slope),
-    intercept: round(intercept),
+    slope: roundToFourDigits(slope),
+    intercept: roundToFourDigits(intercept),
     fit: Math.round(fit * 1_000) / 1_000,
   };
 }
 
-/** Value of the line at a size; never below 0. */
+/** Returns the fitted value at a size, at least 0. */
 export function evaluateSlope({ slope, intercept }: Slope, size: number): number {
   return Math.max(0, intercept + slope * size);
 }
@@ -55,7 +55,6 @@
   return values.reduce((sum, value) => sum + value, 0) / Math.max(1, values.length);
 }
 
-/** Four significant digits. */
-function round(value: number): number {
+function roundToFourDigits(value: number): number {
   return value === 0 ? 0 : Number(value.toPrecision(4));
 }
--- a/packages/measure/src/experiment.ts
+++ b/packages/measure/src/experiment.ts
@@ -1,56 +1,56 @@
-/** Shapes of experiments and their results. */
+/** Types of experiments and their results. */
 
-/** How long and how often an experiment runs. */
+/** Seeds for which an experiment runs. */
 export interface ExperimentOptions {
   seeds: number[];
 }
 
-/** One row: a candidate or baseline, with the value of each column at each seed. */
+/** A candidate or baseline with its values. */
 export interface ResultRow {
   name: string;
-  /** The values of each column, one for each seed. */
+  /** Values by column, one for each seed. */
   values: Record<string, number[]>;
 }
 
-/** What an experiment found. */
+/** Result of an experiment, written as JSON. */
 export interface ExperimentResult {
   name: string;
   question: string;
-  /** How it was measured. */
+  /** Fleet and load of the experiment. */
   setting: string;
-  /** Columns in their order, with unit. */
+  /** Column names in order, with their units. */
   columns: string[];
-  /** Name of the row that the others are compared with. */
+  /** Name of the row that the other rows are compared with. */
   baseline: string;
   rows: ResultRow[];
 }
 
-/** An experiment. */
+/** A named experiment that can be run. */
 export interface Experiment {
   name: string;
   run(options: ExperimentOptions): Promise<ExperimentResult>;
 }
 
-/** Collects the cells of a table as they are measured. */
+/** Collects values by row and column while an experiment runs. */
 export default class ResultTable {
   private readonly rows = new Map<string, ResultRow>();
 
-  /** Adds one run's figures to a row. */
+  /** Appends the values of one run to a row. */
   add(name: string, figures: Record<string, number>): void {
     const row = this.rows.get(name) ?? { name, values: {} };
     for (const [column, value] of Object.entries(figures)) {
-      row.values[column] = [...(row.values[column] ?? []), round(value)];
+      row.values[column] = [...(row.values[column] ?? []), roundToThousandths(value)];
     }
     this.rows.set(name, row);
     process.stderr.write(`${name}: ${JSON.stringify(figures)}\n`);
   }
 
-  /** All rows in the order in which they were first added. */
+  /** Returns all rows in insertion order. */
   list(): ResultRow[] {
     return [...this.rows.values()];
   }
 }
 
-function round(value: number): number {
+function roundToThousandths(value: number): number {
   return Math.round(value * 1_000) / 1_000;
 }
--- a/packages/measure/src/experiments/domain-loss.ts
+++ b/packages/measure/src/experiments/domain-loss.ts
@@ -1,4 +1,4 @@
-/** Loss of a failure domain with many open streams: paced recoveries against all at once. */
+/** Compares paced with unpaced recoveries after the loss of a failure domain with many open streams. */
 import chooseTarget from '@limelead/choose-target';
 import { DEMO_KEYS, type DemoCluster } from '@limelead/demo';
 import type { Mix } from '@limelead/load';
@@ -8,8 +8,8 @@
 import runLoadOnCluster from '../run-load-on-cluster.js';
 
 const ENGINES = 9;
-const DOMAINS = ['depot-north', 'depot-south', 'civic-hall'];
-const LOSS_AFTER_MS = 2_500;
+const FAILURE_DOMAINS = ['depot-north', 'depot-south', 'civic-hall'];
+const DOMAIN_LOSS_AT_MS = 2_500;
 
 const MIX: Mix = {
   requestsPerSecond: 40,
@@ -34,13 +34,12 @@
   ],
 };
 
-async function loseDomain({ engines }: DemoCluster): Promise<void> {
-  await delay(systemTimers, LOSS_AFTER_MS);
-  const lost = engines.filter((_, index) => index % DOMAINS.length === 0);
+async function crashDomain({ engines }: DemoCluster): Promise<void> {
+  await delay(systemTimers, DOMAIN_LOSS_AT_MS);
+  const lost = engines.filter((_, index) => index % FAILURE_DOMAINS.length === 0);
   await Promise.all(lost.map((engine) => engine.crash()));
 }
 
-/** Compares both under the same loss. */
 const domainLoss: Experiment = {
   name: 'domain-loss',
   async run({ seeds }) {
@@ -55,13 +54,13 @@
           cluster: {
             vms: 3,
             engines: ENGINES,
-            domains: DOMAINS,
+            domains: FAILURE_DOMAINS,
             strategies: { chooseTarget, pacer },
             engine: { slots: 24, baseGapMs: 20, prefillTokensPerSecond: 30_000 },
           },
           mix: MIX,
           seed,
-          disturb: loseDomain,
+          disturb: crashDomain,
         });
         const { prompt, brief } = summary.kinds;
         table.add(name, {
--- a/packages/measure/src/experiments/front-door.ts
+++ b/packages/measure/src/experiments/front-door.ts
@@ -1,4 +1,4 @@
-/** Cost of the HTTP front door against a bare relay on the same libraries. */
+/** Compares the CPU cost of the HTTP front door with a bare relay on the same libraries. */
 import {
   CachedPromptFinder,
   filterEndToEndHeaders,
@@ -40,14 +40,14 @@
 const HOST = '127.0.0.1';
 const CALLS = 4_000;
 const STREAMS = 300;
-const PIECES = 140;
+const PIECES_PER_STREAM = 140;
 const CONCURRENCY = 16;
 const clock = { now: () => performance.now() };
 
-/** What a child process runs. */
+/** Server that a child process runs. */
 export type FrontDoorRole = 'target' | 'front door' | 'bare relay';
 
-/** Runs one child: listens, tells its port, and tells its processor time when asked. */
+/** Runs one server: sends its port to the parent, and its CPU time and memory on each message. */
 export async function runFrontDoorChild(role: string, targetPort: number): Promise<void> {
   const port = await startRole(role as FrontDoorRole, targetPort);
   process.on('message', () => {
@@ -68,7 +68,7 @@
   }
 }
 
-/** Answers calls at once and streams pieces without a pause of its own. */
+/** Answers calls at once and streams one piece every 5 ms. */
 async function startTarget(): Promise<number> {
   const server = createServer((request, response) => {
     request.resume();
@@ -77,30 +77,31 @@
       response.end('x'.repeat(800));
       return;
     }
-    let number = 0;
-    const next = (): void => {
-      number += 1;
-      response.write(`id: ${number}\ndata: ${'x'.repeat(40)}\n\n`);
-      if (number === PIECES) {
+    let pieceNumber = 0;
+    const writeNextPiece = (): void => {
+      pieceNumber += 1;
+      response.write(`id: ${pieceNumber}\ndata: ${'x'.repeat(40)}\n\n`);
+      if (pieceNumber === PIECES_PER_STREAM) {
         response.end();
       } else {
-        setTimeout(next, 5);
+        setTimeout(writeNextPiece, 5);
       }
     };
-    next();
+    writeNextPiece();
   });
   await new Promise<void>((resolve) => server.listen(0, HOST, resolve));
   return (server.address() as AddressInfo).port;
 }
 
-/** One client a connection, as the front door has, and nothing decided. */
+/** Relays each request over its own connection, as the front door does, without decisions. */
 async function startBareRelay(targetPort: number): Promise<number> {
-  const idle: Client[] = [];
+  const idleClients: Client[] = [];
   const server = createServer((request, response) => {
     const chunks: Buffer[] = [];
     request.on('data', (chunk: Buffer) => chunks.push(chunk));
     request.on('end', () => {
-      const client = idle.pop() ?? new Client(`http://${HOST}:${targetPort}`, { pipelining: 1 });
+      const client =
+        idleClients.pop() ?? new Client(`http://${HOST}:${targetPort}`, { pipelining: 1 });
       client.dispatch(
         {
           method: 'POST',
@@ -113,7 +114,7 @@
           onResponseStart: (_, status) => void response.writeHead(status),
           onResponseData: (_, chunk) => void response.write(chunk),
           onResponseEnd: () => {
-            idle.push(client);
+            idleClients.push(client);
             response.end();
           },
           onResponseError: () => response.destroy(),
@@ -127,16 +128,16 @@
 
 async function startFrontDoor(targetPort: number): Promise<number> {
   const directory = new TargetDirectory(clock);
-  const where = { host: HOST, port: targetPort, failureDomain: 'd1', leaving: false };
-  directory.replaceAll([{ ...where, id: 't1', service: 's', slots: 1_000 }]);
-  const door = new HttpFrontDoor({
+  const location = { host: HOST, port: targetPort, failureDomain: 'd1', leaving: false };
+  directory.replaceAll([{ ...location, id: 't1', service: 's', slots: 1_000 }]);
+  const frontDoorServer = new HttpFrontDoor({
     host: HOST,
     port: 0,
     context: createContext(directory),
-    dialect: ingress,
+    dialect: ingressDialect,
   });
-  await door.listen();
-  return door.port;
+  await frontDoorServer.listen();
+  return frontDoorServer.port;
 }
 
 function createContext(directory: TargetDirectory): ForwardContext {
@@ -153,7 +154,7 @@
     connectTimeoutMs: 1_000,
     maxIdlePerTarget: 64,
   });
-  const table = compileRoutes({
+  const routeTable = compileRoutes({
     version: 1,
     routes: [createRoute('/call/', false), createRoute('/stream/', true)],
     services: [{ name: 's', maxConnections: 1_000 }],
@@ -165,7 +166,7 @@
       idleTimeoutMs: 9_000,
     },
   });
-  const spender = new RetryBudgetTracker({ ratio: 1, slack: 1e6, windowMs: 10_000 });
+  const retryBudget = new RetryBudgetTracker({ ratio: 1, slack: 1e6, windowMs: 10_000 });
   const locality = createLocality({ failureDomain: 'd1', regionOf: {} });
   return {
     ...shared,
@@ -190,10 +191,10 @@
     log,
     metrics: createMetrics(),
     observer: {},
-    readRouteTable: () => table,
+    readRouteTable: () => routeTable,
     readKnowledgeAgeMs: () => 0,
     readConfigurationSource: () => 'store',
-    retryBudgetOf: () => spender,
+    retryBudgetOf: () => retryBudget,
     countVms: () => 1,
   };
 }
@@ -215,12 +216,12 @@
   };
 }
 
-const ingress: IngressDialect = {
+const ingressDialect: IngressDialect = {
   parseHeaders(rawHeaders) {
-    const read = (name: string): string => rawHeaders[rawHeaders.indexOf(name) + 1] ?? '';
+    const readHeader = (name: string): string => rawHeaders[rawHeaders.indexOf(name) + 1] ?? '';
     return E.right({
-      requestId: read('id'),
-      key: read('key'),
+      requestId: readHeader('id'),
+      key: readHeader('key'),
       lastPiece: 0,
       affinityKey: '',
       promptTokens: 0,
@@ -228,13 +229,13 @@
   },
 };
 
-const OWN_HEADERS: ReadonlySet<string> = new Set(['key', 'content-length']);
+const REMOVED_HEADERS: ReadonlySet<string> = new Set(['key', 'content-length']);
 
 const dialect: TargetDialect = {
   composeCall: ({ request }) => ({
     method: request.method,
     path: request.path,
-    headers: filterEndToEndHeaders(request.rawHeaders, OWN_HEADERS),
+    headers: filterEndToEndHeaders(request.rawHeaders, REMOVED_HEADERS),
     body: request.body,
   }),
   readAnswer: (request, { headers }) => ({
@@ -254,17 +255,17 @@
   readCachedPrompts: () => new Set(),
 };
 
-/** A child process and what it tells. */
-class Child {
+/** A server in a child process. */
+class ChildServer {
   private constructor(
     private readonly process: ChildProcess,
     readonly port: number,
   ) {}
 
-  static async start(role: FrontDoorRole, targetPort: number): Promise<Child> {
+  static async start(role: FrontDoorRole, targetPort: number): Promise<ChildServer> {
     const child = fork(CHILD, [role, String(targetPort)]);
     const { port } = await nextMessage<{ port: number }>(child);
-    return new Child(child, port);
+    return new ChildServer(child, port);
   }
 
   async readCost(): Promise<{ cpuMs: number; residentMb: number }> {
@@ -281,20 +282,20 @@
   return new Promise((resolve) => child.once('message', (message) => resolve(message as Message)));
 }
 
-async function readMany(port: number, path: string, count: number): Promise<void> {
+async function sendMany(port: number, path: string, count: number): Promise<void> {
   const agent = new Agent({ keepAlive: true, maxSockets: CONCURRENCY });
   let next = 0;
-  const work = async (): Promise<void> => {
+  const runWorker = async (): Promise<void> => {
     while (next < count) {
       next += 1;
-      await readOne(port, path, `r${next}`, agent);
+      await sendOne(port, path, `r${next}`, agent);
     }
   };
-  await Promise.all(Array.from({ length: CONCURRENCY }, work));
+  await Promise.all(Array.from({ length: CONCURRENCY }, runWorker));
   agent.destroy();
 }
 
-function readOne(port: number, path: string, id: string, agent: Agent): Promise<void> {
+function sendOne(port: number, path: string, id: string, agent: Agent): Promise<void> {
   return new Promise((resolve, reject) => {
     const headers = { host: 'x', id, key: 'k' };
     const options = { host: HOST, port, path, method: 'POST', headers, agent };
@@ -311,32 +312,32 @@
 }
 
 async function measure(table: ResultTable, name: FrontDoorRole, targetPort: number): Promise<void> {
-  const child = await Child.start(name, targetPort);
-  // A first round lets the code be compiled in both.
-  await readMany(child.port, '/call/1', CALLS / 4);
-  await readMany(child.port, '/stream/1', STREAMS / 10);
+  const child = await ChildServer.start(name, targetPort);
+  // Warms up the JIT compiler.
+  await sendMany(child.port, '/call/1', CALLS / 4);
+  await sendMany(child.port, '/stream/1', STREAMS / 10);
   const start = await child.readCost();
-  await readMany(child.port, '/call/1', CALLS);
+  await sendMany(child.port, '/call/1', CALLS);
   const afterCalls = await child.readCost();
-  await readMany(child.port, '/stream/1', STREAMS);
+  await sendMany(child.port, '/stream/1', STREAMS);
   const afterStreams = await child.readCost();
   child.stop();
   const streamMs = afterStreams.cpuMs - afterCalls.cpuMs;
   table.add(name, {
     'ms per call': (afterCalls.cpuMs - start.cpuMs) / CALLS,
     'ms per stream': streamMs / STREAMS,
-    'microseconds per piece': (streamMs * 1_000) / (STREAMS * PIECES),
+    'microseconds per piece': (streamMs * 1_000) / (STREAMS * PIECES_PER_STREAM),
     'resident MB': afterStreams.residentMb,
   });
 }
 
-/** Measures both over the same target, one after the other. */
+/** Measures both relays with the same target, one after the other. */
 const frontDoor: Experiment = {
   name: 'front-door',
   async run({ seeds }) {
     const table = new ResultTable();
     for (const _ of seeds) {
-      const target = await Child.start('target', 0);
+      const target = await ChildServer.start('target', 0);
       await measure(table, 'front door', target.port);
       await measure(table, 'bare relay', target.port);
       target.stop();
@@ -345,7 +346,7 @@
       name: 'front-door',
       question:
         'What does a call, a stream and a piece cost in the HTTP front door, against a relay on the same libraries that decides nothing?',
-      setting: `one process each for target and relay; ${CALLS} calls of 800 bytes, then ${STREAMS} streams of ${PIECES} pieces, ${CONCURRENCY} at a time`,
+      setting: `one process each for target and relay; ${CALLS} calls of 800 bytes, then ${STREAMS} streams of ${PIECES_PER_STREAM} pieces, ${CONCURRENCY} at a time`,
       columns: ['ms per call', 'ms per stream', 'microseconds per piece', 'resident MB'],
       baseline: 'bare relay',
       rows: table.list(),
--- a/packages/measure/src/experiments/overload.ts
+++ b/packages/measure/src/experiments/overload.ts
@@ -1,18 +1,18 @@
-/** Goodput at multiples of the capacity, and a small organisation beside a large one. */
+/** Measures goodput at multiples of the capacity, with a small organisation beside a large one. */
 import { DEMO_KEYS } from '@limelead/demo';
 import type { Mix, MixKind } from '@limelead/load';
 import ResultTable, { type Experiment } from '../experiment.js';
 import runLoadOnCluster, { withPriorities } from '../run-load-on-cluster.js';
 
 const ENGINES = 3;
-/** Requests a second that three engines of four slots can serve within the deadline; measured. */
+/** Requests per second that the engines serve within the deadline. */
 const CAPACITY_PER_SECOND = 36;
-const MULTIPLES = [0.5, 1, 2, 4];
+const CAPACITY_MULTIPLES = [0.5, 1, 2, 4];
 const DEADLINE_MS = 3_000;
-const NO_LIMIT_MS = 86_400_000;
+const UNLIMITED_QUEUE_MS = 86_400_000;
 const MAX_QUEUE_MS = 1_000;
 
-const LARGE: MixKind = {
+const LARGE_ORGANISATION: MixKind = {
   name: 'large',
   share: 10,
   service: 'route-brief',
@@ -21,23 +21,28 @@
   promptCharacters: { median: 400, sigma: 0.3, max: 1_000 },
   maxTokens: { median: 16, sigma: 0.4, max: 60 },
 };
-const SMALL: MixKind = { ...LARGE, name: 'small', share: 1, key: DEMO_KEYS.haneul };
+const SMALL_ORGANISATION: MixKind = {
+  ...LARGE_ORGANISATION,
+  name: 'small',
+  share: 1,
+  key: DEMO_KEYS.haneul,
+};
 
-/** Compares refusing before queues grow with taking everything. */
+/** Compares early refusal with unlimited queues. */
 const overload: Experiment = {
   name: 'overload',
   async run({ seeds }) {
     const table = new ResultTable();
     for (const seed of seeds) {
-      for (const multiple of MULTIPLES) {
+      for (const multiple of CAPACITY_MULTIPLES) {
         for (const [name, maxQueueMs] of [
-          ['takes everything', NO_LIMIT_MS],
+          ['takes everything', UNLIMITED_QUEUE_MS],
           ['refuses in time', MAX_QUEUE_MS],
         ] as const) {
           const mix: Mix = {
             requestsPerSecond: CAPACITY_PER_SECOND * multiple,
             durationMs: 5_000,
-            kinds: [LARGE, SMALL],
+            kinds: [LARGE_ORGANISATION, SMALL_ORGANISATION],
           };
           const { summary, repeatedWork } = await runLoadOnCluster({
             cluster: {
@@ -53,10 +58,10 @@
           const { large, small } = summary.kinds;
           table.add(`${name}, ${multiple} × capacity`, {
             'good requests/s': summary.goodRequestsPerSecond,
-            'deadline misses': countLate(summary.all),
+            'deadline misses': countMissedDeadlines(summary.all),
             refused: summary.all.errors['overloaded'] ?? 0,
-            'small: good share': goodShare(small),
-            'large: good share': goodShare(large),
+            'small: good share': completedShare(small),
+            'large: good share': completedShare(large),
             'small: first token p95 ms': small?.firstTokenMs.p95 ?? 0,
             'large: first token p95 ms': large?.firstTokenMs.p95 ?? 0,
             'gap p95 ms': summary.all.tokenGapMs.p95,
@@ -91,18 +96,18 @@
   },
 };
 
-interface Counted {
+interface OutcomeCounts {
   sent: number;
   whole: number;
   missedDeadlines: number;
   errors: Record<string, number>;
 }
 
-function countLate({ errors, missedDeadlines }: Counted): number {
+function countMissedDeadlines({ errors, missedDeadlines }: OutcomeCounts): number {
   return Math.max(missedDeadlines, errors['deadline-passed'] ?? 0);
 }
 
-function goodShare(kind: Counted | undefined): number {
+function completedShare(kind: OutcomeCounts | undefined): number {
   return kind === undefined || kind.sent === 0 ? 0 : kind.whole / kind.sent;
 }
 
--- a/packages/measure/src/experiments/recovery.ts
+++ b/packages/measure/src/experiments/recovery.ts
@@ -1,4 +1,4 @@
-/** The curve of resume latency against extra use: fixed timeouts, adaptive bounds, hedges, probes. */
+/** Compares resume latency and repeated work of fixed timeouts, adaptive timeouts, hedges and probes. */
 import { DEMO_KEYS, FRUGAL_RECOVERY, URGENT_RECOVERY, type DemoCluster } from '@limelead/demo';
 import type { Mix } from '@limelead/load';
 import { delay, systemTimers, type RecoveryPolicy } from '@limelead/types';
@@ -6,7 +6,7 @@
 import runLoadOnCluster, { withPriorities } from '../run-load-on-cluster.js';
 
 const ENGINES = 8;
-const PAUSE_MS = 2_500;
+const ENGINE_PAUSE_MS = 2_500;
 
 const MIX: Mix = {
   requestsPerSecond: 14,
@@ -23,7 +23,7 @@
   ],
 };
 
-function fixed(silenceMs: number): RecoveryPolicy {
+function createFixedTimeout(silenceMs: number): RecoveryPolicy {
   return {
     suspicionFactor: 1,
     minSilenceMs: silenceMs,
@@ -34,9 +34,9 @@
 }
 
 const POLICIES: Record<string, RecoveryPolicy> = {
-  'fixed 150 ms': fixed(150),
-  'fixed 500 ms': fixed(500),
-  'fixed 2000 ms': fixed(2_000),
+  'fixed 150 ms': createFixedTimeout(150),
+  'fixed 500 ms': createFixedTimeout(500),
+  'fixed 2000 ms': createFixedTimeout(2_000),
   'adaptive, factor 4': {
     suspicionFactor: 4,
     minSilenceMs: 100,
@@ -48,8 +48,8 @@
   'Haneul: adaptive, probe first': FRUGAL_RECOVERY,
 };
 
-/** Some engines stutter for a moment, two stop for longer, one dies. */
-async function disturb({ engines }: DemoCluster): Promise<void> {
+/** Slows some engines briefly, pauses two engines and crashes one. */
+async function disturbEngines({ engines }: DemoCluster): Promise<void> {
   for (let round = 0; round < 10; round += 1) {
     await delay(systemTimers, 300);
     const engine = engines[round % (ENGINES - 3)];
@@ -57,8 +57,8 @@
     await delay(systemTimers, 220);
     engine?.setSlowdown(1);
     if (round === 3) {
-      engines.slice(-2).forEach((stopped) => stopped.pause());
-      setTimeout(() => engines.slice(-2).forEach((stopped) => stopped.resume()), PAUSE_MS);
+      engines.slice(-2).forEach((paused) => paused.pause());
+      setTimeout(() => engines.slice(-2).forEach((paused) => paused.resume()), ENGINE_PAUSE_MS);
     }
     if (round === 6) {
       await engines.at(-3)?.crash();
@@ -66,7 +66,7 @@
   }
 }
 
-/** Compares the policies under the same disturbances. */
+/** Compares recovery policies under the same disturbances. */
 const recovery: Experiment = {
   name: 'recovery',
   async run({ seeds }) {
@@ -82,7 +82,7 @@
           },
           mix: MIX,
           seed,
-          disturb: disturb,
+          disturb: disturbEngines,
         });
         table.add(name, {
           'resume p50 ms': summary.all.resumeLatencyMs.p50,
--- a/packages/measure/src/experiments/relay.ts
+++ b/packages/measure/src/experiments/relay.ts
@@ -1,4 +1,4 @@
-/** Cost of the daemon against a bare relay over the same engine. */
+/** Compares the CPU cost of the daemon with a bare relay to the same engine. */
 import { createClient } from '@limelead/client';
 import { DEMO_KEYS, DEMO_VERSIONS } from '@limelead/demo';
 import { spawn } from 'node:child_process';
@@ -13,19 +13,20 @@
 
 const BARE_RELAY = fileURLToPath(new URL('../../bin/bare-relay.js', import.meta.url));
 const STREAMS = 200;
-const TOKENS = 300;
+const TOKENS_PER_STREAM = 300;
 const SHORT_REQUESTS = 1_000;
 const SHORT_CONCURRENCY = 32;
 
-/** Something that relays, and what it has spent so far. */
-interface Relay {
-  /** Reads one answer; gives its number of tokens. */
+/** A relay under measurement and its resource usage. */
+interface MeasuredRelay {
+  /** Reads one answer and returns its number of tokens. */
   read(requestId: string, maxTokens: number): Promise<number>;
+  /** Returns the CPU time used since the start of the process. */
   cpuMs(): Promise<number>;
   residentMb(): Promise<number>;
 }
 
-/** Measures both over the same engine, one after the other. */
+/** Measures both relays with the same engine, one after the other. */
 const relay: Experiment = {
   name: 'relay',
   async run({ seeds }) {
@@ -33,8 +34,8 @@
     for (const seed of seeds) {
       const group = await startDaemonAndStandIns({ slots: 1_000, baseGapMs: 10, loadSlowdown: 0 });
       try {
-        await measure(table, 'limelead', createLimelead(group), seed);
-        await withBareRelay(group, (bare) => measure(table, 'bare relay', bare, seed));
+        await measure(table, 'limelead', createLimeleadRelay(group), seed);
+        await withBareRelay(group, (bareRelay) => measure(table, 'bare relay', bareRelay, seed));
       } finally {
         await group.stop();
       }
@@ -43,7 +44,7 @@
       name: 'relay',
       question:
         'What does a token and a request cost in the daemon, against a relay that does nothing else?',
-      setting: `one process each for engine, relay and callers; ${STREAMS} streams of up to ${TOKENS} tokens at 10 ms, then ${SHORT_REQUESTS} requests of one token`,
+      setting: `one process each for engine, relay and callers; ${STREAMS} streams of up to ${TOKENS_PER_STREAM} tokens at 10 ms, then ${SHORT_REQUESTS} requests of one token`,
       columns: [
         'tokens/s',
         'ms per 1,000 tokens',
@@ -60,20 +61,26 @@
 async function measure(
   table: ResultTable,
   name: string,
-  relayed: Relay,
+  measuredRelay: MeasuredRelay,
   seed: number,
 ): Promise<void> {
-  // A first round lets the code be compiled in both.
-  await readMany(relayed, `warm-${name}-${seed}`, 100, 50, 100);
+  // Warms up the JIT compiler.
+  await readMany(measuredRelay, `warm-${name}-${seed}`, 100, 50, 100);
   const startedAt = performance.now();
-  const beforeTokens = await relayed.cpuMs();
-  const tokens = await readMany(relayed, `long-${name}-${seed}`, STREAMS, TOKENS, STREAMS);
+  const beforeTokens = await measuredRelay.cpuMs();
+  const tokens = await readMany(
+    measuredRelay,
+    `long-${name}-${seed}`,
+    STREAMS,
+    TOKENS_PER_STREAM,
+    STREAMS,
+  );
   const seconds = (performance.now() - startedAt) / 1_000;
-  const tokenMs = (await relayed.cpuMs()) - beforeTokens;
-  const residentMb = await relayed.residentMb();
-  const beforeShort = await relayed.cpuMs();
-  await readMany(relayed, `short-${name}-${seed}`, SHORT_REQUESTS, 1, SHORT_CONCURRENCY);
-  const shortMs = (await relayed.cpuMs()) - beforeShort;
+  const tokenMs = (await measuredRelay.cpuMs()) - beforeTokens;
+  const residentMb = await measuredRelay.residentMb();
+  const beforeShort = await measuredRelay.cpuMs();
+  await readMany(measuredRelay, `short-${name}-${seed}`, SHORT_REQUESTS, 1, SHORT_CONCURRENCY);
+  const shortMs = (await measuredRelay.cpuMs()) - beforeShort;
   table.add(name, {
     'tokens/s': tokens / seconds,
     'ms per 1,000 tokens': (tokenMs / tokens) * 1_000,
@@ -84,7 +91,7 @@
 }
 
 async function readMany(
-  relayed: Relay,
+  measuredRelay: MeasuredRelay,
   idPrefix: string,
   count: number,
   maxTokens: number,
@@ -92,19 +99,22 @@
 ): Promise<number> {
   let next = 0;
   let tokens = 0;
-  const work = async (): Promise<void> => {
+  const runWorker = async (): Promise<void> => {
     while (next < count) {
       next += 1;
-      // `tokens += await …` would lose what others added in the meantime.
-      const own = await relayed.read(`${idPrefix}-${next}`.replaceAll(' ', '-'), maxTokens);
-      tokens += own;
+      // `tokens += await …` would lose the tokens added by other workers meanwhile.
+      const answerTokens = await measuredRelay.read(
+        `${idPrefix}-${next}`.replaceAll(' ', '-'),
+        maxTokens,
+      );
+      tokens += answerTokens;
     }
   };
-  await Promise.all(Array.from({ length: concurrency }, work));
+  await Promise.all(Array.from({ length: concurrency }, runWorker));
   return tokens;
 }
 
-function createLimelead(group: DaemonProcesses): Relay {
+function createLimeleadRelay(group: DaemonProcesses): MeasuredRelay {
   const client = createClient({ urls: [group.url], key: DEMO_KEYS.routing });
   return {
     async read(requestId, maxTokens) {
@@ -122,7 +132,7 @@
 
 async function withBareRelay(
   group: DaemonProcesses,
-  run: (bare: Relay) => Promise<void>,
+  run: (bareRelay: MeasuredRelay) => Promise<void>,
 ): Promise<void> {
   const list = (await (await fetch(`http://127.0.0.1:${group.platformPort}/v1/vms`)).json()) as {
     vms: { role: string; port: number }[];
@@ -134,14 +144,14 @@
   const origin = `http://127.0.0.1:${await readLine(child)}`;
   const agent = new Agent({ pipelining: 1, bodyTimeout: 0, headersTimeout: 0 });
   try {
-    await run(createBare(origin, agent));
+    await run(createBareRelay(origin, agent));
   } finally {
     await agent.destroy();
     await killProcess(child);
   }
 }
 
-function createBare(origin: string, agent: Agent): Relay {
+function createBareRelay(origin: string, agent: Agent): MeasuredRelay {
   const readCost = async () =>
     (await (await fetch(`${origin}/cpu`)).json()) as {
       milliseconds: number;
--- a/packages/measure/src/experiments/routing.ts
+++ b/packages/measure/src/experiments/routing.ts
@@ -1,4 +1,4 @@
-/** Routing against random, round robin, and the least loaded by report. */
+/** Compares the router with random, round-robin and least-reported-load routing. */
 import { createTargetChooser, type ChooseTarget } from '@limelead/choose-target';
 import { DEMO_KEYS } from '@limelead/demo';
 import type { Mix } from '@limelead/load';
@@ -41,7 +41,7 @@
   };
 }
 
-const chooseLeastReported: ChooseTarget = (targets, request) => {
+const chooseLeastReportedLoad: ChooseTarget = (targets, request) => {
   const allowed = targets.filter(({ id }) => !request.exclude.includes(id));
   const loadOf = ({ report }: (typeof allowed)[number]): number =>
     report === undefined ? 0 : report.running + report.waiting;
@@ -49,7 +49,7 @@
   return target === undefined ? undefined : { target, considered: [] };
 };
 
-/** Compares the routers under the same arrivals. */
+/** Compares routers under the same arrivals. */
 const routing: Experiment = {
   name: 'routing',
   async run({ seeds }) {
@@ -57,7 +57,7 @@
     const routers: [string, () => ChooseTarget][] = [
       ['random', () => chooseRandom],
       ['round robin', createRoundRobin],
-      ['least by report', () => chooseLeastReported],
+      ['least by report', () => chooseLeastReportedLoad],
       ['limelead, draws 2', () => createTargetChooser(2)],
       ['limelead, draws 4', () => createTargetChooser(4)],
       ['limelead, looks at all', () => createTargetChooser(ENGINES)],
@@ -80,14 +80,17 @@
           mix: MIX,
           seed,
         });
-        const begun = cluster.engines.map((engine) => engine.records().length);
+        const generationsByEngine = cluster.engines.map((engine) => engine.records().length);
         table.add(name, {
           'first token p50 ms': summary.all.firstTokenMs.p50,
           'first token p95 ms': summary.all.firstTokenMs.p95,
           'gap p95 ms': summary.all.tokenGapMs.p95,
-          'busiest engine / mean': Math.max(...begun) / (sum(begun) / ENGINES),
+          'busiest engine / mean':
+            Math.max(...generationsByEngine) / (sum(generationsByEngine) / ENGINES),
           'prefill tokens': sum(
-            cluster.engines.flatMap((engine) => engine.records().map((r) => r.prefillTokens)),
+            cluster.engines.flatMap((engine) =>
+              engine.records().map((record) => record.prefillTokens),
+            ),
           ),
           'resume max ms': summary.all.resumeLatencyMs.max,
           'prefilled again': repeatedWork.prefillTokens,
--- a/packages/measure/src/index.ts
+++ b/packages/measure/src/index.ts
@@ -1,4 +1,4 @@
-/** Named experiments on loopback: each candidate beside its baseline, over several seeds. */
+/** Named experiments on loopback that compare candidates with a baseline over several seeds. */
 export { default as runMeasure } from './run-measure.js';
 export { default as runBareRelay } from './bare-relay.js';
 export { runFrontDoorChild } from './experiments/front-door.js';
--- a/packages/measure/src/processes.ts
+++ b/packages/measure/src/processes.ts
@@ -1,4 +1,4 @@
-/** A daemon and its stand-ins as processes of their own, so that their costs can be told apart. */
+/** Runs a daemon and its stand-ins as separate processes, so that their costs can be measured separately. */
 import { create } from '@bufbuild/protobuf';
 import { createClient } from '@limelead/client';
 import {
@@ -25,26 +25,26 @@
 );
 const READY_CHECK_MS = 30;
 const HOST = '127.0.0.1';
-const PATIENCE_MS = 60_000;
-const PATIENT_RECOVERY: RecoveryPolicy = {
+const MAX_WAIT_MS = 60_000;
+const SLOW_RECOVERY: RecoveryPolicy = {
   suspicionFactor: 100,
-  minSilenceMs: PATIENCE_MS,
-  maxSilenceMs: PATIENCE_MS,
+  minSilenceMs: MAX_WAIT_MS,
+  maxSilenceMs: MAX_WAIT_MS,
   hedge: false,
   probeFirst: false,
 };
 
-/** Running processes. */
+/** A daemon and its stand-ins, each in its own process. */
 export interface DaemonProcesses {
   /** Base URL of the daemon. */
   url: string;
   platformPort: number;
-  /** Reads a gauge from the daemon's metrics page. */
+  /** Reads a metric from the daemon's metrics page; 0 if it is missing. */
   readGauge(name: string): Promise<number>;
   stop(): Promise<void>;
 }
 
-/** Starts one daemon and stand-ins with one engine of the given behaviour. */
+/** Starts a daemon and stand-ins with one engine; resolves when the daemon is ready. */
 export default async function startDaemonAndStandIns(
   engine: Partial<EngineOptions>,
 ): Promise<DaemonProcesses> {
@@ -87,7 +87,7 @@
   };
 }
 
-/** Ends one process that was started here. */
+/** Kills a process and waits until it has exited. */
 export function killProcess(child: ChildProcess): Promise<void> {
   return new Promise((resolve) => {
     child.once('close', () => resolve());
@@ -95,11 +95,11 @@
   });
 }
 
-/** Resolves with the first line that a process writes. */
+/** Resolves with the first line of a process's output. */
 export function readLine(child: ChildProcess): Promise<string> {
   const { stdout } = child;
   if (stdout === null) {
-    throw new Error('expected a process with a readable output');
+    throw new Error('the process has no readable output');
   }
   return new Promise((resolve) => createInterface({ input: stdout }).once('line', resolve));
 }
@@ -114,7 +114,7 @@
   await client.close();
 }
 
-/** Costs are measured: neither limits nor suspicions may get in between. */
+/** Removes limits and early recoveries, which would distort the measured costs. */
 function removeLimits(resource: Resource): Resource {
   switch (resource.kind) {
     case 'organisation':
@@ -125,19 +125,19 @@
     case 'priority':
       return {
         kind: 'priority',
-        spec: { ...resource.spec, recovery: PATIENT_RECOVERY, maxQueueMs: PATIENCE_MS },
+        spec: { ...resource.spec, recovery: SLOW_RECOVERY, maxQueueMs: MAX_WAIT_MS },
       };
     default:
       return resource;
   }
 }
 
-async function waitForStatus(url: string, holds: (status: number) => boolean): Promise<void> {
+async function waitForStatus(url: string, isExpected: (status: number) => boolean): Promise<void> {
   for (;;) {
     const status = await fetch(url)
       .then(async (response) => (await response.arrayBuffer(), response.status))
       .catch(() => 0);
-    if (holds(status)) {
+    if (isExpected(status)) {
       return;
     }
     await delay(systemTimers, READY_CHECK_MS);
--- a/packages/measure/src/render-curve.ts
+++ b/packages/measure/src/render-curve.ts
@@ -1,4 +1,4 @@
-/** Draws rows as points of a curve, as SVG: one column against another. */
+/** Renders rows as points of an SVG chart: one column against another. */
 import type { ExperimentResult } from './experiment.js';
 import { median } from './statistics.js';
 
@@ -6,7 +6,7 @@
 const HEIGHT = 420;
 const MARGIN = 60;
 
-/** Gives the drawing. */
+/** Returns the SVG with the medians of both columns. */
 export default function renderCurve(
   result: ExperimentResult,
   xColumn: string,
@@ -17,19 +17,19 @@
     x: median(values[xColumn] ?? []),
     y: median(values[yColumn] ?? []),
   }));
-  const scaleOf = (values: number[], length: number) => {
-    const greatest = Math.max(...values, 1);
-    return (value: number): number => (value / greatest) * (length - 2 * MARGIN);
+  const createScale = (values: number[], length: number) => {
+    const maximum = Math.max(...values, 1);
+    return (value: number): number => (value / maximum) * (length - 2 * MARGIN);
   };
-  const toX = scaleOf(
+  const toX = createScale(
     points.map(({ x }) => x),
     WIDTH,
   );
-  const toY = scaleOf(
+  const toY = createScale(
     points.map(({ y }) => y),
     HEIGHT,
   );
-  const marks = points.map(({ name, x, y }) => {
+  const pointElements = points.map(({ name, x, y }) => {
     const [left, top] = [MARGIN + toX(x), HEIGHT - MARGIN - toY(y)];
     return (
       `<circle cx="${left.toFixed(1)}" cy="${top.toFixed(1)}" r="4" fill="#2a6"/>` +
@@ -42,7 +42,7 @@
     `<path d="M${MARGIN} ${MARGIN}V${HEIGHT - MARGIN}H${WIDTH - MARGIN}" fill="none" stroke="#444"/>`,
     `<text x="${WIDTH / 2}" y="${HEIGHT - 20}" text-anchor="middle">${xColumn}</text>`,
     `<text x="15" y="${MARGIN - 15}">${yColumn}</text>`,
-    ...marks,
+    ...pointElements,
     '</svg>',
     '',
   ].join('\n');
--- a/packages/measure/src/repeated-work.ts
+++ b/packages/measure/src/repeated-work.ts
@@ -1,27 +1,27 @@
-/** Engine work beyond one prefill and one decoding of each answer, from the engines' own records. */
+/** Measures engine work beyond one prefill and one decoding of each answer. */
 import type { Engine } from '@limelead/stand-ins';
 
-/** Work that was spent again, in tokens. */
+/** Repeated work in tokens. */
 export interface RepeatedWork {
   prefillTokens: number;
   decodedTokens: number;
 }
 
-/** Compares what the engines did with what callers got. */
+/** Compares the engines' records with the tokens delivered to callers. */
 export default function measureRepeatedWork(
   engines: Engine[],
   deliveredTokens: number,
 ): RepeatedWork {
   const records = engines.flatMap((engine) => engine.records());
-  const seen = new Set<string>();
+  const seenRequests = new Set<string>();
   let prefillTokens = 0;
   let decodedTokens = 0;
   for (const { generationId, prefillTokens: prefilled, decodedTokens: decoded } of records) {
-    // A generation's id names organisation, request, incarnation and attempt.
+    // A generation ID consists of organisation, request, incarnation and attempt.
     const request = generationId.split('.').slice(0, 2).join('.');
-    prefillTokens += seen.has(request) ? prefilled : 0;
+    prefillTokens += seenRequests.has(request) ? prefilled : 0;
     decodedTokens += decoded;
-    seen.add(request);
+    seenRequests.add(request);
   }
   return { prefillTokens, decodedTokens: decodedTokens - deliveredTokens };
 }
--- a/packages/measure/src/run-load-on-cluster.ts
+++ b/packages/measure/src/run-load-on-cluster.ts
@@ -1,4 +1,4 @@
-/** One run: a cluster, a load, and something that happens in between. */
+/** Runs a load on a demo cluster, optionally with disturbances during the load. */
 import {
   createDemoResources,
   createSeededRandom,
@@ -10,38 +10,38 @@
 import { systemTimers, type Priority, type Resource } from '@limelead/types';
 import measureRepeatedWork, { type RepeatedWork } from './repeated-work.js';
 
-/** What is run. */
+/** Cluster, load and disturbance of one run. */
 export interface LoadRun {
   cluster: Partial<DemoClusterOptions>;
   mix: Mix;
   seed: number;
-  /** Tries of one request; 1 shows every refusal. */
+  /** Attempts of one request; 1 reports every refusal as an error. */
   maxTries?: number;
-  /** Runs beside the load. */
+  /** Runs concurrently with the load. */
   disturb?: (cluster: DemoCluster) => Promise<void>;
 }
 
-/** What was found. */
+/** Load summary, repeated work and metrics of one run. */
 export interface LoadRunResult {
   summary: LoadSummary;
   repeatedWork: RepeatedWork;
   cluster: DemoCluster;
-  /** Sum of a counter over all VMs. */
+  /** Returns the sum of a counter over all VMs. */
   sumCounter(name: string): number;
 }
 
-/** Runs a cell and stops everything that it started. */
-export default async function runLoadOnCluster(cell: LoadRun): Promise<LoadRunResult> {
-  const cluster = await startDemoCluster(cell.cluster);
+/** Starts the cluster, runs the load and stops the cluster. */
+export default async function runLoadOnCluster(run: LoadRun): Promise<LoadRunResult> {
+  const cluster = await startDemoCluster(run.cluster);
   try {
-    const arrivals = planArrivals(cell.mix, createSeededRandom(cell.seed), `s${cell.seed}`);
+    const arrivals = planArrivals(run.mix, createSeededRandom(run.seed), `s${run.seed}`);
     const [summary] = await Promise.all([
       runLoad(arrivals, {
         urls: cluster.urls(),
         timers: systemTimers,
-        maxTries: cell.maxTries ?? 10,
+        maxTries: run.maxTries ?? 10,
       }),
-      cell.disturb?.(cluster),
+      run.disturb?.(cluster),
     ]);
     const pages = cluster.vms.map(({ daemon }) => daemon.metricsPage());
     return {
@@ -55,7 +55,7 @@
   }
 }
 
-/** The demonstration's resources with changed priorities. */
+/** Returns the demo resources with changed priorities. */
 export function withPriorities(change: (priority: Priority) => Priority): Resource[] {
   return createDemoResources().map((resource) =>
     resource.kind === 'priority' ? { kind: 'priority', spec: change(resource.spec) } : resource,
--- a/packages/measure/src/run-measure.ts
+++ b/packages/measure/src/run-measure.ts
@@ -1,4 +1,4 @@
-/** The command `npm run measure`: runs named experiments and writes their pages. */
+/** The command `npm run measure`: runs named experiments and writes their result files. */
 import { cac } from 'cac';
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -24,48 +24,48 @@
   relay,
   frontDoor,
 ];
-const FOLDER = join('docs', 'measurements');
-const DEFAULT_SEEDS = 3;
+const RESULTS_FOLDER = join('docs', 'measurements');
+const DEFAULT_SEED_COUNT = 3;
 const CAPACITY = 'capacity';
 
 interface MeasureOptions {
   seeds: number;
 }
 
-/** Runs the command with the process's arguments. */
+/** Runs the command with the arguments of the process. */
 export default async function runMeasure(argv: string[]): Promise<void> {
   const program = cac('measure');
   const names = [...EXPERIMENTS.map(({ name }) => name), CAPACITY].join(', ');
   program
     .command('[...names]', `Run experiments: ${names}`)
-    .option('--seeds <number>', 'Seeds of each cell', { default: DEFAULT_SEEDS })
-    .action((wanted: string[], options: MeasureOptions) => run(wanted, options));
+    .option('--seeds <number>', 'Seeds of each cell', { default: DEFAULT_SEED_COUNT })
+    .action((selected: string[], options: MeasureOptions) => run(selected, options));
   program.help();
   program.parse(argv, { run: false });
   await program.runMatchedCommand();
 }
 
-async function run(wanted: string[], options: MeasureOptions): Promise<void> {
-  mkdirSync(FOLDER, { recursive: true });
+async function run(selected: string[], options: MeasureOptions): Promise<void> {
+  mkdirSync(RESULTS_FOLDER, { recursive: true });
   const seeds = Array.from({ length: options.seeds }, (_, index) => index + 1);
   for (const experiment of EXPERIMENTS) {
-    if (wanted.length === 0 || wanted.includes(experiment.name)) {
-      write(await experiment.run({ seeds }));
+    if (selected.length === 0 || selected.includes(experiment.name)) {
+      writeResult(await experiment.run({ seeds }));
     }
   }
-  if (wanted.length === 0 || wanted.includes(CAPACITY)) {
+  if (selected.length === 0 || selected.includes(CAPACITY)) {
     await writeCapacity();
   }
 }
 
 async function writeCapacity(): Promise<void> {
   const slopes = await measureSlopes();
-  writeFileSync(join(FOLDER, `${CAPACITY}.json`), `${JSON.stringify(slopes, null, 2)}\n`);
+  writeFileSync(join(RESULTS_FOLDER, `${CAPACITY}.json`), `${JSON.stringify(slopes, null, 2)}\n`);
   writeFileSync(join('docs', 'CAPACITY.md'), renderCapacity(slopes));
 }
 
-function write(result: ExperimentResult): void {
-  const file = (ending: string): string => join(FOLDER, `${result.name}.${ending}`);
+function writeResult(result: ExperimentResult): void {
+  const file = (extension: string): string => join(RESULTS_FOLDER, `${result.name}.${extension}`);
   writeFileSync(file('json'), `${JSON.stringify(result, null, 2)}\n`);
   writeFileSync(file('md'), renderMarkdown(result));
   if (result.name === 'recovery') {
