--- a/packages/claim-call/src/call-claimer.test.ts
+++ b/packages/claim-call/src/call-claimer.test.ts
@@ -43,7 +43,10 @@
 
 test('a claim whose reply was lost is read back and granted to its holder only', async () => {
   let losses = 1;
-  const faults: StoreFaults = { isOut: false, onSwap: () => (losses-- > 0 ? 'reply-lost' : 'ok') };
+  const faults: StoreFaults = {
+    isUnavailable: false,
+    decideSwap: () => (losses-- > 0 ? 'reply-lost' : 'ok'),
+  };
   const { time, claim } = createSystem(2, faults);
   const first = claim(0, 'booking-1');
   await time.advance(1_000);
@@ -54,7 +57,7 @@
 });
 
 test('during a store outage a claim soon ends as unavailable', async () => {
-  const { time, claim } = createSystem(1, { isOut: true, onSwap: () => 'ok' });
+  const { time, claim } = createSystem(1, { isUnavailable: true, decideSwap: () => 'ok' });
   const claimed = claim(0, 'booking-1');
   await time.advance(5_000);
   assert.is((await claimed).kind, 'unavailable');
@@ -63,8 +66,8 @@
 test('a claim is not granted to a VM that was paused past the latest start time', async () => {
   let wasPaused = false;
   const faults: StoreFaults = {
-    isOut: false,
-    onSwap: () => {
+    isUnavailable: false,
+    decideSwap: () => {
       if (!wasPaused) {
         time.jump(60_001);
         wasPaused = true;
@@ -113,7 +116,7 @@
   await fc.assert(
     fc.asyncProperty(fc.array(step, { maxLength: 40 }), async (steps) => {
       const fates = steps.map(({ fate }) => fate);
-      const faults: StoreFaults = { isOut: false, onSwap: () => fates.pop() ?? 'ok' };
+      const faults: StoreFaults = { isUnavailable: false, decideSwap: () => fates.pop() ?? 'ok' };
       const { time, claim } = createSystem(3, faults);
       const claims = steps.map(async ({ vm, call }) => ({
         vm,
--- a/packages/measure/src/processes.ts
+++ b/packages/measure/src/processes.ts
@@ -1,4 +1,4 @@
-/** A daemon and its stand-ins as processes of their own, so that their costs can be told apart. */
+/** Runs a daemon and its stand-ins as separate processes, so that their costs can be measured separately. */
 import { create } from '@bufbuild/protobuf';
 import { createClient } from '@limelead/client';
 import {
@@ -25,29 +25,29 @@
 );
 const READY_CHECK_MS = 30;
 const HOST = '127.0.0.1';
-const PATIENCE_MS = 60_000;
-const PATIENT_RECOVERY: RecoveryPolicy = {
+const MAX_WAIT_MS = 60_000;
+const SLOW_RECOVERY: RecoveryPolicy = {
   suspicionFactor: 100,
-  minSilenceMs: PATIENCE_MS,
-  maxSilenceMs: PATIENCE_MS,
+  minSilenceMs: MAX_WAIT_MS,
+  maxSilenceMs: MAX_WAIT_MS,
   hedge: false,
   probeFirst: false,
 };
 
-/** Running processes. */
-export interface ProcessGroup {
+/** A daemon and its stand-ins, each in its own process. */
+export interface DaemonProcesses {
   /** Base URL of the daemon. */
   url: string;
   platformPort: number;
-  /** Reads a gauge from the daemon's metrics page. */
+  /** Reads a metric from the daemon's metrics page; 0 if it is missing. */
   readGauge(name: string): Promise<number>;
   stop(): Promise<void>;
 }
 
-/** Starts one daemon and stand-ins with one engine of the given behaviour. */
-export default async function startProcesses(
+/** Starts a daemon and stand-ins with one engine; resolves when the daemon is ready. */
+export default async function startDaemonAndStandIns(
   engine: Partial<EngineOptions>,
-): Promise<ProcessGroup> {
+): Promise<DaemonProcesses> {
   const folder = mkdtempSync(join(tmpdir(), 'limelead-measure-'));
   const children: ChildProcess[] = [];
   const start = (file: string, ...args: string[]): ChildProcess => {
@@ -68,9 +68,9 @@
   writeFileSync(file, JSON.stringify({ ...settings, limits, rpc: { host: HOST, port } }));
   start(DAEMON, '--settings', file);
   const url = `http://${HOST}:${port}`;
-  await untilStatus(`${url}/readyz`, (status) => status !== 0);
+  await waitForStatus(`${url}/readyz`, (status) => status !== 0);
   await applyResources(url);
-  await untilStatus(`${url}/readyz`, (status) => status === 200);
+  await waitForStatus(`${url}/readyz`, (status) => status === 200);
 
   return {
     url,
@@ -81,32 +81,32 @@
       return Number(line?.split(' ')[1] ?? 0);
     },
     async stop() {
-      await Promise.all(children.map(endProcess));
+      await Promise.all(children.map(killProcess));
       rmSync(folder, { recursive: true });
     },
   };
 }
 
-/** Ends one process that was started here. */
-export function endProcess(child: ChildProcess): Promise<void> {
+/** Kills a process and waits until it has exited. */
+export function killProcess(child: ChildProcess): Promise<void> {
   return new Promise((resolve) => {
     child.once('close', () => resolve());
     child.kill('SIGKILL');
   });
 }
 
-/** Resolves with the first line that a process writes. */
+/** Resolves with the first line of a process's output. */
 export function readLine(child: ChildProcess): Promise<string> {
   const { stdout } = child;
   if (stdout === null) {
-    throw new Error('expected a process with a readable output');
+    throw new Error('the process has no readable output');
   }
   return new Promise((resolve) => createInterface({ input: stdout }).once('line', resolve));
 }
 
 async function applyResources(url: string): Promise<void> {
   const client = createClient({ urls: [url], key: DEMO_KEYS.operator });
-  const operations = toOperations(createDemoResources().map(relax));
+  const operations = toOperations(createDemoResources().map(removeLimits));
   await client.administration.apply(
     create(ApplyRequestSchema, { changeId: 'setup', operations, reason: 'measure' }),
     { headers: client.headers },
@@ -114,8 +114,8 @@
   await client.close();
 }
 
-/** Costs are measured: neither limits nor suspicions may get in between. */
-function relax(resource: Resource): Resource {
+/** Removes limits and early recoveries, which would distort the measured costs. */
+function removeLimits(resource: Resource): Resource {
   switch (resource.kind) {
     case 'organisation':
       return {
@@ -125,19 +125,19 @@
     case 'priority':
       return {
         kind: 'priority',
-        spec: { ...resource.spec, recovery: PATIENT_RECOVERY, maxQueueMs: PATIENCE_MS },
+        spec: { ...resource.spec, recovery: SLOW_RECOVERY, maxQueueMs: MAX_WAIT_MS },
       };
     default:
       return resource;
   }
 }
 
-async function untilStatus(url: string, holds: (status: number) => boolean): Promise<void> {
+async function waitForStatus(url: string, isExpected: (status: number) => boolean): Promise<void> {
   for (;;) {
     const status = await fetch(url)
       .then(async (response) => (await response.arrayBuffer(), response.status))
       .catch(() => 0);
-    if (holds(status)) {
+    if (isExpected(status)) {
       return;
     }
     await delay(systemTimers, READY_CHECK_MS);
--- a/packages/stand-ins/src/engine/model-shelf.ts
+++ b/packages/stand-ins/src/engine/loaded-models.ts
@@ -1,4 +1,4 @@
-/** Which versions an engine has loaded, and the orders that changed it. */
+/** Model versions loaded by an engine and the placement orders applied to them. */
 import {
   isSameModelVersion,
   type Clock,
@@ -6,21 +6,21 @@
   type PlacementOrder,
 } from '@limelead/types';
 
-/** How orders are carried out. */
-export interface ModelShelfOptions {
+/** Initial versions, load time and fencing of an engine. */
+export interface LoadedModelsOptions {
   loaded: ModelVersion[];
   loadMs: number;
   checksFences: boolean;
   clock: Clock;
 }
 
-/** The versions of one engine. */
-export default class ModelShelf {
+/** Model versions of one engine. */
+export default class LoadedModels {
   readonly orders: PlacementOrder[] = [];
   fence = 0;
   private versions: { version: ModelVersion; readyAtMs: number }[];
 
-  constructor(private readonly options: ModelShelfOptions) {
+  constructor(private readonly options: LoadedModelsOptions) {
     this.versions = options.loaded.map((version) => ({ version, readyAtMs: 0 }));
   }
 
@@ -29,12 +29,12 @@
     return this.versions.filter(({ readyAtMs }) => readyAtMs <= now).map(({ version }) => version);
   }
 
-  has(version: ModelVersion): boolean {
+  isLoaded(version: ModelVersion): boolean {
     return this.loaded().some((loaded) => isSameModelVersion(loaded, version));
   }
 
-  /** Carries an order out; says whether its fence let it through. */
-  take(order: PlacementOrder): boolean {
+  /** Applies a placement order; returns false if its fence is outdated. */
+  applyOrder(order: PlacementOrder): boolean {
     if (this.options.checksFences && order.fence < this.fence) {
       return false;
     }
