--- a/packages/daemon/src/authenticate.ts
+++ b/packages/daemon/src/authenticator.ts
@@ -54,7 +54,7 @@
 
 /** The index is by prefix of the hash only; the whole hash is compared in constant time. */
 function findOwner<Owner>(owners: Map<string, KeyOwner<Owner>>, hash: Buffer): Owner | undefined {
-  const candidate = owners.get(indexOf(hash));
+  const candidate = owners.get(hashPrefix(hash));
   return candidate !== undefined && timingSafeEqual(candidate.hash, hash)
     ? candidate.owner
     : undefined;
@@ -75,13 +75,13 @@
   for (const owner of owners) {
     for (const keyHash of owner.keyHashes) {
       const hash = Buffer.from(keyHash, 'hex');
-      index.set(indexOf(hash), { hash, owner });
+      index.set(hashPrefix(hash), { hash, owner });
     }
   }
   return index;
 }
 
 /** Half of the hash, so that a look-up tells nothing of the other half. */
-function indexOf(hash: Buffer): string {
+function hashPrefix(hash: Buffer): string {
   return hash.toString('latin1', 0, hash.length / 2);
 }
--- a/packages/daemon/src/check-generate-request.ts
+++ b/packages/daemon/src/check-generate-request.ts
@@ -5,7 +5,7 @@
 import type { GenerationRequest, Organisation, Priority, Service } from '@limelead/types';
 import type { VmContext } from './vm-context.js';
 
-const MAX_PACE = 10_000;
+const MAX_PACE_TOKENS_PER_SECOND = 10_000;
 const REQUEST_ID = /^[\w-]{1,64}$/;
 
 /** Gives the checked request. Throws where it does not hold. */
@@ -27,8 +27,11 @@
   if (maxTokens < 1 || maxTokens > limits.maxTokens) {
     throw new LimeleadError('invalid-request', `max_tokens: expected 1 to ${limits.maxTokens}`);
   }
-  if (!(paceTokensPerSecond >= 0 && paceTokensPerSecond <= MAX_PACE)) {
-    throw new LimeleadError('invalid-request', `pace_tokens_per_second: expected 0 to ${MAX_PACE}`);
+  if (!(paceTokensPerSecond >= 0 && paceTokensPerSecond <= MAX_PACE_TOKENS_PER_SECOND)) {
+    throw new LimeleadError(
+      'invalid-request',
+      `pace_tokens_per_second: expected 0 to ${MAX_PACE_TOKENS_PER_SECOND}`,
+    );
   }
   const service = requireService(context, message.service);
   if (service.model === undefined) {
--- a/packages/daemon/src/configuration-holder.ts
+++ b/packages/daemon/src/configuration-holder.ts
@@ -30,7 +30,7 @@
   }
 
   /** The newest changes, oldest first. */
-  get recent(): readonly Change[] {
+  get latestChanges(): readonly Change[] {
     return this.recentChanges;
   }
 
@@ -54,7 +54,7 @@
       return false;
     }
     this.current = configuration;
-    this.rememberChanges(changes);
+    this.recordChanges(changes);
     this.listeners.forEach((listener) => listener(configuration, source));
     return true;
   }
@@ -65,7 +65,7 @@
     return after[0]?.revision === revision + 1 ? after : undefined;
   }
 
-  private rememberChanges(changes: readonly Change[]): void {
+  private recordChanges(changes: readonly Change[]): void {
     const { revision } = this.current;
     const byRevision = new Map(
       [...this.recentChanges, ...changes]
@@ -73,12 +73,12 @@
         .map((change) => [change.revision, change] as const),
     );
     const sorted = [...byRevision.values()].sort((a, b) => a.revision - b.revision);
-    this.recentChanges = keepUnbroken(sorted, revision).slice(-MAX_RECENT_CHANGES);
+    this.recentChanges = keepContiguousChanges(sorted, revision).slice(-MAX_RECENT_CHANGES);
   }
 }
 
 /** The longest run of changes without a gap that ends at the revision. */
-function keepUnbroken(changes: Change[], revision: number): Change[] {
+function keepContiguousChanges(changes: Change[], revision: number): Change[] {
   let index = changes.length;
   while (index > 0 && changes[index - 1]?.revision === revision - (changes.length - index)) {
     index -= 1;
--- a/packages/daemon/src/create-context.ts
+++ b/packages/daemon/src/create-context.ts
@@ -19,21 +19,21 @@
 import { createMemberTable } from '@limelead/track-members';
 import { createTargetTable } from '@limelead/track-targets';
 import { randomBytes } from 'node:crypto';
-import Authenticator from './authenticate.js';
+import Authenticator from './authenticator.js';
 import ConfigurationHolder from './configuration-holder.js';
 import OpenGenerations from './open-generations.js';
-import PeerConversation from './peer-conversation.js';
-import type { OutsideSystems, Runtime, Strategies, VmContext } from './vm-context.js';
+import PeerMessenger from './peer-messenger.js';
+import type { ExternalSystems, Runtime, Strategies, VmContext } from './vm-context.js';
 
 const INCARNATION_BYTES = 6;
 /** Recoveries under way on one engine at a time, over all VMs. */
-const RECOVERIES_PER_ENGINE = 4;
+const MAX_RECOVERIES_PER_ENGINE = 4;
 const MIN_RECOVERIES = 2;
 
 /** The parts, and the conversation that they share with the peers. */
-export interface CreatedVm {
+export interface VmComponents {
   context: VmContext;
-  peers: PeerConversation;
+  peers: PeerMessenger;
 }
 
 /** Creates the parts of one VM; nothing is started yet. */
@@ -42,12 +42,12 @@
   runtime: Runtime,
   strategies: Strategies,
   isDraining: () => boolean,
-): CreatedVm {
+): VmComponents {
   const { clock, timers, random } = runtime;
   const incarnation = `${settings.id}.${randomBytes(INCARNATION_BYTES).toString('hex')}`;
   const metrics = createMetrics();
   const bus = createEventBus(settings.id, clock);
-  const outside = connectOutside(settings);
+  const outside = connectExternalSystems(settings);
   const targets = createTargetTable({ maxListAgeMs: settings.timing.maxListAgeMs });
   const members = createMemberTable(settings.id);
   settings.peers.seeds.forEach((seed) => members.addSeed(seed));
@@ -55,7 +55,7 @@
   const countVms = (): number => members.present(clock.now()).length + 1;
   const shareOf = (organisation: string): number => {
     const own = admission.demandOf(organisation, clock.now());
-    return computeLimitShare(own, peers.demandOf(organisation), countVms());
+    return computeLimitShare(own, peers.listPeerDemands(organisation), countVms());
   };
   const admission = createAdmissionController(
     { maxOpenRequests: settings.limits.maxOpenRequests },
@@ -64,7 +64,7 @@
 
   const recoveryPlaces = (): number => {
     const engines = targets.listUsableEngines(clock.now()).length;
-    return Math.max(MIN_RECOVERIES, Math.ceil((engines * RECOVERIES_PER_ENGINE) / countVms()));
+    return Math.max(MIN_RECOVERIES, Math.ceil((engines * MAX_RECOVERIES_PER_ENGINE) / countVms()));
   };
 
   const context: VmContext = {
@@ -74,7 +74,7 @@
     logger: createLogger(settings.id, settings.log.level),
     metrics,
     bus,
-    outside,
+    externalSystems: outside,
     targets,
     gaps: createGapTable(),
     members,
@@ -95,17 +95,17 @@
       connector: outside.connector,
       claimer: createCallClaimer({ store: outside.store, clock, timers, random, incarnation }),
       askHolder: (holder, organisation, requestId) =>
-        peers.askHolder(holder, organisation, requestId),
+        peers.queryClaimHolder(holder, organisation, requestId),
     }),
     isDraining,
   };
-  const peers = new PeerConversation(context);
+  const peers = new PeerMessenger(context);
   context.configuration.onAdvance((configuration) => context.authenticator.update(configuration));
   registerGauges(context);
   return { context, peers };
 }
 
-function connectOutside(settings: Settings): OutsideSystems {
+function connectExternalSystems(settings: Settings): ExternalSystems {
   const transport = createHttpTransport();
   const { keyValue, vmList } = settings.platform;
   return {
--- a/packages/daemon/src/loop.ts
+++ b/packages/daemon/src/loop.ts
@@ -2,7 +2,7 @@
 import type { Logger } from '@limelead/logger';
 import type { Random, Timers } from '@limelead/types';
 
-const JITTER = 0.2;
+const JITTER_RATIO = 0.2;
 
 /** What a loop needs. */
 export interface LoopDependencies {
@@ -35,7 +35,7 @@
       logger.error('a task failed', { error: String(thrown) });
     }
     if (!isStopped) {
-      timers.after(pauseMs * (1 + JITTER * (random.next() - 0.5)), () => void run());
+      timers.after(pauseMs * (1 + JITTER_RATIO * (random.next() - 0.5)), () => void run());
     }
   }
 
--- a/packages/daemon/src/open-generations.ts
+++ b/packages/daemon/src/open-generations.ts
@@ -14,7 +14,7 @@
 
   /** Adds a generation; gives the function that takes it out. */
   add(organisation: string, requestId: string, generation: Generation): () => void {
-    const key = keyOf(organisation, requestId);
+    const key = createKey(organisation, requestId);
     const same = this.generations.get(key) ?? new Set();
     same.add(generation);
     this.generations.set(key, same);
@@ -24,7 +24,7 @@
 
   /** Cancels all generations of a request; says whether there were any. */
   cancel(organisation: string, requestId: string): boolean {
-    const same = this.generations.get(keyOf(organisation, requestId));
+    const same = this.generations.get(createKey(organisation, requestId));
     same?.forEach((generation) => generation.cancel());
     return same !== undefined;
   }
@@ -58,6 +58,6 @@
   }
 }
 
-function keyOf(organisation: string, requestId: string): string {
+function createKey(organisation: string, requestId: string): string {
   return JSON.stringify([organisation, requestId]);
 }
--- a/packages/daemon/src/peer-conversation.ts
+++ b/packages/daemon/src/peer-messenger.ts
@@ -10,7 +10,7 @@
 import { splitIntoParts } from '@limelead/store-configuration';
 import { chooseLinks } from '@limelead/track-members';
 import type { Change, TargetId, VmId } from '@limelead/types';
-import BreakerEvidence from './breaker-evidence.js';
+import BreakerReportTable from './breaker-report-table.js';
 import type { ConfigurationSource } from './configuration-holder.js';
 import startLoop, { type Loop } from './loop.js';
 import PendingQueries from './pending-queries.js';
@@ -18,19 +18,19 @@
 import type { VmContext } from './vm-context.js';
 
 /** Characters of one part of a snapshot, well below the limit on a message. */
-const SNAPSHOT_PART_CHARACTERS = 300_000;
+const MAX_SNAPSHOT_PART_CHARACTERS = 300_000;
 const CALL_QUERY_TIMEOUT_MS = 10_000;
 const CANCEL_QUERY_TIMEOUT_MS = 1_000;
 /** A peer's list has to be fresher by this much before it is asked for. */
-const LIST_ADVANTAGE_MS = 200;
+const MIN_LIST_ADVANTAGE_MS = 200;
 
 type DemandReports = PeerMessageOf<'heartbeat'>['demand'];
 
 /** The conversation of one VM with all its peers. */
-export default class PeerConversation {
-  private readonly evidence = new BreakerEvidence();
-  private readonly assembler = new SnapshotAssembler();
-  private readonly demands = new Map<VmId, DemandReports>();
+export default class PeerMessenger {
+  private readonly breakerReports = new BreakerReportTable();
+  private readonly snapshotAssembler = new SnapshotAssembler();
+  private readonly demandsByPeer = new Map<VmId, DemandReports>();
   private readonly callQueries: PendingQueries<RememberedCall>;
   private readonly cancelQueries: PendingQueries<boolean>;
   private links: PeerLinks<PeerMessage> | undefined;
@@ -66,9 +66,9 @@
       onLost: (peer) => this.onLost(peer),
       onDropped: () => metrics.count('limelead_peer_messages_dropped_total'),
     });
-    configuration.onAdvance((_, source) => this.spreadConfiguration(source));
+    configuration.onAdvance((_, source) => this.publishConfiguration(source));
     const { heartbeatMs } = settings.timing;
-    this.loop = startLoop(this.context, heartbeatMs, () => this.beat());
+    this.loop = startLoop(this.context, heartbeatMs, () => this.sendHeartbeat());
   }
 
   /** Tells peers that this VM is leaving. */
@@ -78,7 +78,7 @@
   }
 
   /** Tells peers that the breaker of a target opened here. */
-  spreadBreaker(target: TargetId): void {
+  publishOpenBreaker(target: TargetId): void {
     const { targets, clock } = this.context;
     const openUntilMs = targets.find(target)?.breaker.openUntilMs ?? 0;
     const openForMs = openUntilMs - clock.now();
@@ -88,29 +88,33 @@
   }
 
   /** Demand of an organisation as each linked peer reported it last. */
-  demandOf(organisation: string): { vm: VmId; requestsPerSecond: number }[] {
-    return [...this.demands].map(([vm, reports]) => {
+  listPeerDemands(organisation: string): { vm: VmId; requestsPerSecond: number }[] {
+    return [...this.demandsByPeer].map(([vm, reports]) => {
       const report = reports.find((candidate) => candidate.organisation === organisation);
       return { vm, requestsPerSecond: report?.requestsPerSecond ?? 0 };
     });
   }
 
   /** Asks the VM that holds a claim what became of its call. */
-  askHolder(holder: string, organisation: string, requestId: string): Promise<RememberedCall> {
+  queryClaimHolder(
+    holder: string,
+    organisation: string,
+    requestId: string,
+  ): Promise<RememberedCall> {
     const peer = this.context.members.findByIncarnation(holder)?.id;
     if (peer === undefined || this.links?.linked().includes(peer) !== true) {
       return Promise.resolve({ kind: 'unknown' });
     }
-    return this.callQueries.ask((query) =>
+    return this.callQueries.sendQuery((query) =>
       this.links?.send(peer, { kind: 'call-query', query, organisation, requestId }),
     );
   }
 
   /** Asks linked peers to cancel a generation; says whether one of them had it. */
-  async cancelElsewhere(organisation: string, requestId: string): Promise<boolean> {
+  async cancelOnPeers(organisation: string, requestId: string): Promise<boolean> {
     const peers = this.links?.linked() ?? [];
     const answers = peers.map((peer) =>
-      this.cancelQueries.ask((query) =>
+      this.cancelQueries.sendQuery((query) =>
         this.links?.send(peer, { kind: 'cancel-query', query, organisation, requestId }),
       ),
     );
@@ -123,7 +127,7 @@
     await this.links?.close();
   }
 
-  private async beat(): Promise<void> {
+  private async sendHeartbeat(): Promise<void> {
     const { members, clock, settings } = this.context;
     this.links?.broadcast(this.createHeartbeat());
     const present = members.all().filter(({ leaving, port }) => !leaving && port > 0);
@@ -160,18 +164,18 @@
   }
 
   private onReady(peer: VmId): void {
-    this.noteMembership(peer, 'linked');
+    this.publishMembershipChange(peer, 'linked');
     this.links?.send(peer, this.createHeartbeat());
   }
 
   private onLost(peer: VmId): void {
     this.context.members.noteLost(peer);
-    this.demands.delete(peer);
-    this.assembler.forget(peer);
-    this.noteMembership(peer, 'lost');
+    this.demandsByPeer.delete(peer);
+    this.snapshotAssembler.discard(peer);
+    this.publishMembershipChange(peer, 'lost');
   }
 
-  private noteMembership(subject: VmId, state: string): void {
+  private publishMembershipChange(subject: VmId, state: string): void {
     const { bus, logger, metrics } = this.context;
     metrics.count('limelead_peer_links_total', 1, { state });
     logger.info('a peer changed', { peer: subject, state });
@@ -211,7 +215,7 @@
     const now = clock.now();
     const { kind: _, listVersion, listAgeMs, demand, ...facts } = heartbeat;
     members.applyHeartbeat({ ...facts, id: peer }, now);
-    this.demands.set(peer, demand);
+    this.demandsByPeer.set(peer, demand);
     const { revision } = configuration.configuration;
     if (heartbeat.revision > revision) {
       this.links?.send(peer, { kind: 'want-changes', after: revision });
@@ -220,7 +224,10 @@
     const peerReadAtMs = now - listAgeMs;
     if (listVersion === own.list.version) {
       targets.applyList(own.list, peerReadAtMs);
-    } else if (listVersion > own.list.version && peerReadAtMs > own.readAtMs + LIST_ADVANTAGE_MS) {
+    } else if (
+      listVersion > own.list.version &&
+      peerReadAtMs > own.readAtMs + MIN_LIST_ADVANTAGE_MS
+    ) {
       this.links?.send(peer, { kind: 'want-list' });
     }
   }
@@ -236,20 +243,20 @@
   }
 
   private onSnapshot(peer: VmId, message: PeerMessageOf<'snapshot'>): void {
-    const whole = this.assembler.take(peer, message);
+    const whole = this.snapshotAssembler.addPart(peer, message);
     if (whole !== undefined) {
       this.context.configuration.adopt(whole, [], 'peer');
     }
   }
 
   /** Changes go to every linked peer at once; those that have them already do not pass them on. */
-  private spreadConfiguration(source: ConfigurationSource): void {
+  private publishConfiguration(source: ConfigurationSource): void {
     const { configuration, bus, metrics, logger } = this.context;
     const { revision } = configuration.configuration;
     metrics.count('limelead_configuration_advances_total', 1, { source });
     logger.info('the configuration advanced', { revision, source });
     bus.publish('', () => ({ kind: 'configurationAdvanced', revision, source }));
-    const newest = configuration.recent.at(-1);
+    const newest = configuration.latestChanges.at(-1);
     if (newest !== undefined) {
       this.links?.broadcast({ kind: 'changes', changes: [newest] });
     }
@@ -263,7 +270,7 @@
       return;
     }
     const { revision } = configuration.configuration;
-    const parts = splitIntoParts(configuration.configuration, SNAPSHOT_PART_CHARACTERS);
+    const parts = splitIntoParts(configuration.configuration, MAX_SNAPSHOT_PART_CHARACTERS);
     parts.forEach((content, part) =>
       this.links?.send(peer, {
         kind: 'snapshot',
@@ -293,7 +300,7 @@
     const saidAtMs = clock.now();
     const hasOwnFailure = (targets.find(target)?.breaker.failureCount ?? 0) > 0;
     const word = { peer, openUntilMs: saidAtMs + openForMs, saidAtMs };
-    const openUntilMs = this.evidence.take(target, word, hasOwnFailure);
+    const openUntilMs = this.breakerReports.recordReport(target, word, hasOwnFailure);
     if (openUntilMs !== undefined && targets.adoptOpenBreaker(target, openUntilMs)) {
       bus.publish('', () => ({ kind: 'breakerChanged', target, state: 'open', source: peer }));
     }
--- a/packages/daemon/src/poll-targets.ts
+++ b/packages/daemon/src/poll-targets.ts
@@ -9,14 +9,14 @@
   const { listPollMs, loadPollMs } = context.settings.timing;
   return [
     startLoop(context, listPollMs, () => readList(context)),
-    startLoop(context, loadPollMs, createReportPoll(context)),
+    startLoop(context, loadPollMs, createLoadReportPoll(context)),
   ];
 }
 
 async function readList(context: VmContext): Promise<void> {
-  const { outside, targets, members, clock, metrics, bus, gaps } = context;
+  const { externalSystems, targets, members, clock, metrics, bus, gaps } = context;
   const readAtMs = clock.now();
-  const list = await outside.vmList.read()();
+  const list = await externalSystems.vmList.read()();
   if (E.isLeft(list)) {
     metrics.count('limelead_list_reads_failed_total');
     return;
@@ -32,7 +32,7 @@
 }
 
 /** A target that does not answer must not hold the others' polls back. */
-function createReportPoll(context: VmContext): () => Promise<void> {
+function createLoadReportPoll(context: VmContext): () => Promise<void> {
   const waiting = new Set<string>();
   return async () => {
     const engines = context.targets.all().filter(({ role }) => role === 'engine');
@@ -44,8 +44,8 @@
 }
 
 async function readReport(context: VmContext, target: TrackedTarget): Promise<void> {
-  const { outside, targets, clock, metrics } = context;
-  const engine = outside.connector.engine(target.host, target.port);
+  const { externalSystems, targets, clock, metrics } = context;
+  const engine = externalSystems.connector.engine(target.host, target.port);
   const [report, events] = await Promise.all([
     engine.reportLoad()(),
     engine.readCacheEvents(target.cacheSequence)(),
--- a/packages/daemon/src/services/calls-service.ts
+++ b/packages/daemon/src/services/calls-service.ts
@@ -13,7 +13,7 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { checkRequestId, requirePriority, requireService } from '../check-generate-request.js';
 import type { VmContext } from '../vm-context.js';
-import { countError, refuseWhileDraining } from './generation-service.js';
+import { toCountedRpcError, refuseWhileDraining } from './generation-service.js';
 
 /** Time in which a call may be started whose caller named none. */
 const DEFAULT_START_WITHIN_MS = 120_000;
@@ -29,7 +29,7 @@
         const organisation = context.authenticator.requireOrganisation(rpc.requestHeader);
         return await serveCall(context, organisation, message);
       } catch (thrown) {
-        throw countError(context, thrown);
+        throw toCountedRpcError(context, thrown);
       }
     },
   };
@@ -91,12 +91,12 @@
     operation: message.operation,
     body: message.body,
     repeatable: message.repeatable,
-    notAfterMs: checkNotAfter(Number(message.notAfterMs), context.clock.now()),
+    notAfterMs: resolveNotAfterMs(Number(message.notAfterMs), context.clock.now()),
     timeoutMs: service.plain.timeoutMs,
   };
 }
 
-function checkNotAfter(notAfterMs: number, now: number): number {
+function resolveNotAfterMs(notAfterMs: number, now: number): number {
   if (notAfterMs === 0) {
     return now + DEFAULT_START_WITHIN_MS;
   }
--- a/packages/daemon/src/services/generation-service.ts
+++ b/packages/daemon/src/services/generation-service.ts
@@ -29,7 +29,7 @@
 ): ServiceImpl<typeof GenerationSchema> {
   /** The one generator between a generation and the RPC library: each layer costs every token. */
   async function* serve(
-    prepare: () => PreparedAnswer,
+    prepare: () => PreparedGeneration,
     signal: AbortSignal,
   ): AsyncGenerator<GenerateResponse> {
     const cleanUps: (() => void)[] = [];
@@ -45,7 +45,7 @@
         yield toResponse(context, request, message);
       }
     } catch (thrown) {
-      throw countError(context, thrown);
+      throw toCountedRpcError(context, thrown);
     } finally {
       cleanUps.forEach((cleanUp) => cleanUp());
     }
@@ -69,7 +69,7 @@
 }
 
 /** A checked request and where its answer begins. */
-interface PreparedAnswer {
+interface PreparedGeneration {
   organisation: Organisation;
   request: GenerationRequest;
   start: GenerationStart;
@@ -79,7 +79,7 @@
   context: VmContext,
   message: GenerateRequest,
   rpc: HandlerContext,
-): PreparedAnswer {
+): PreparedGeneration {
   const organisation = context.authenticator.requireOrganisation(rpc.requestHeader);
   const request = checkGenerateRequest(context, organisation, message);
   return { organisation, request, start: { tries: 0, delivered: [] } };
@@ -89,7 +89,7 @@
   context: VmContext,
   { request: message, handle, tries, deliveredTokens: delivered }: ResumeRequest,
   rpc: HandlerContext,
-): PreparedAnswer {
+): PreparedGeneration {
   const organisation = context.authenticator.requireOrganisation(rpc.requestHeader);
   if (message === undefined) {
     throw new LimeleadError('invalid-request', 'request: expected the request as first sent');
@@ -112,7 +112,7 @@
 }
 
 /** Counts an error of the closed list and turns it into an RPC error. */
-export function countError({ metrics }: VmContext, thrown: unknown): ConnectError {
+export function toCountedRpcError({ metrics }: VmContext, thrown: unknown): ConnectError {
   if (thrown instanceof LimeleadError) {
     metrics.count('limelead_errors_total', 1, { kind: thrown.kind });
   }
@@ -137,7 +137,7 @@
       organisation,
       rank: request.priority.rank,
       deadlineAtMs: request.deadlineAtMs,
-      expectedWaitMs: expectWait(context, request),
+      expectedWaitMs: estimateWaitMs(context, request),
       maxQueueMs: request.priority.maxQueueMs,
       isResumed,
     },
@@ -156,9 +156,9 @@
 }
 
 /** Milliseconds of waiting at the target with the shortest queue; 0 where nothing is known. */
-function expectWait(context: VmContext, request: GenerationRequest): number {
+function estimateWaitMs(context: VmContext, request: GenerationRequest): number {
   const { targets, clock, gaps } = context;
-  const version = currentVersion(context, request.service);
+  const version = findCurrentVersion(context, request.service);
   const meanAnswerTokens = gaps.readAnswerTokens();
   const waits = targets
     .listUsableEngines(clock.now(), version)
@@ -167,7 +167,7 @@
 }
 
 /** The version with which new answers of a service begin. */
-export function currentVersion(context: VmContext, service: string): ModelVersion | undefined {
+export function findCurrentVersion(context: VmContext, service: string): ModelVersion | undefined {
   return findSpec(context.configuration.configuration, 'service', service)?.model;
 }
 
--- a/packages/daemon/src/snapshot-assembler.ts
+++ b/packages/daemon/src/snapshot-assembler.ts
@@ -19,7 +19,7 @@
   private readonly assemblies = new Map<VmId, Assembly>();
 
   /** Takes a part; gives the configuration with the last one. Parts come in order on a link. */
-  take(peer: VmId, message: PeerMessageOf<'snapshot'>): Configuration | undefined {
+  addPart(peer: VmId, message: PeerMessageOf<'snapshot'>): Configuration | undefined {
     const { revision, part, parts } = message;
     const open = part === 0 ? createAssembly(revision) : this.assemblies.get(peer);
     if (open === undefined || open.revision !== revision || open.nextPart !== part) {
@@ -38,7 +38,7 @@
   }
 
   /** Forgets what a peer has begun to send. */
-  forget(peer: VmId): void {
+  discard(peer: VmId): void {
     this.assemblies.delete(peer);
   }
 }
--- a/packages/daemon/src/start-daemon.ts
+++ b/packages/daemon/src/start-daemon.ts
@@ -8,18 +8,18 @@
 import fastify, { type FastifyInstance } from 'fastify';
 import createContext from './create-context.js';
 import type { Loop } from './loop.js';
-import type PeerConversation from './peer-conversation.js';
-import placeModels, { type Placement } from './place-models.js';
+import type PeerMessenger from './peer-messenger.js';
+import startPlacement, { type PlacementLoop } from './start-placement.js';
 import pollTargets from './poll-targets.js';
 import createAdministrationService from './services/administration-service.js';
 import createCallsService from './services/calls-service.js';
-import createGenerationService, { currentVersion } from './services/generation-service.js';
+import createGenerationService, { findCurrentVersion } from './services/generation-service.js';
 import createObservationService from './services/observation-service.js';
 import type { Runtime, Strategies, VmContext } from './vm-context.js';
 import watchConfiguration from './watch-configuration.js';
 
 const MAX_MESSAGE_BYTES = 1_048_576;
-const OPEN_CHECK_MS = 20;
+const DRAIN_CHECK_INTERVAL_MS = 20;
 
 const SYSTEM_RUNTIME: Runtime = {
   clock: systemClock,
@@ -35,7 +35,7 @@
   stop(): Promise<void>;
   /** Ends everything at once, as the death of the VM would. */
   kill(): Promise<void>;
-  metricsPage(): string;
+  renderMetrics(): string;
   /** Revision of the configuration in force here. */
   revision(): number;
 }
@@ -56,10 +56,10 @@
 class RunningDaemon implements Daemon {
   rpcPort = 0;
   private readonly context: VmContext;
-  private readonly peers: PeerConversation;
+  private readonly peers: PeerMessenger;
   private readonly server: FastifyInstance;
   private loops: Loop[] = [];
-  private placement: Placement | undefined;
+  private placement: PlacementLoop | undefined;
   private phase: StopPhase = 'serving';
 
   constructor(settings: Settings, runtime: Runtime, strategies: Strategies) {
@@ -78,7 +78,7 @@
     const { rpc } = this.context.settings;
     await this.registerRoutes();
     await this.peers.start();
-    this.placement = placeModels(this.context);
+    this.placement = startPlacement(this.context);
     this.loops = [...pollTargets(this.context), watchConfiguration(this.context), this.placement];
     await this.server.listen({ host: rpc.host, port: rpc.port });
     const address = this.server.server.address();
@@ -98,7 +98,7 @@
     this.phase = 'draining';
     logger.info('draining', { openGenerations: openGenerations.size });
     openGenerations.drain();
-    await this.whenNothingIsOpen();
+    await this.waitForOpenRequests();
     await this.placement?.release();
     await this.close();
   }
@@ -108,7 +108,7 @@
     await this.close();
   }
 
-  metricsPage(): string {
+  renderMetrics(): string {
     return this.context.metrics.render();
   }
 
@@ -121,7 +121,7 @@
     const generation = createGenerationService(
       context,
       this.createGenerationDependencies(),
-      (organisation, requestId) => this.peers.cancelElsewhere(organisation, requestId),
+      (organisation, requestId) => this.peers.cancelOnPeers(organisation, requestId),
     );
     await this.server.register(fastifyConnectPlugin, {
       readMaxBytes: MAX_MESSAGE_BYTES,
@@ -154,13 +154,13 @@
 
   private createGenerationDependencies(): GenerationDependencies {
     const { context, peers } = this;
-    const { settings, outside } = context;
+    const { settings, externalSystems } = context;
     return {
       ...context,
-      connector: outside.connector,
+      connector: externalSystems.connector,
       failureDomain: settings.failureDomain,
       abandonedGraceMs: settings.timing.abandonedGraceMs,
-      currentVersion: (service) => currentVersion(context, service),
+      currentVersion: (service) => findCurrentVersion(context, service),
       onBreakerOpened: (target) => {
         context.metrics.count('limelead_breakers_opened_total');
         context.bus.publish('', () => ({
@@ -169,17 +169,17 @@
           state: 'open',
           source: 'own',
         }));
-        peers.spreadBreaker(target);
+        peers.publishOpenBreaker(target);
       },
     };
   }
 
   /** Open requests end by themselves or are handed over; the limit is for those that do neither. */
-  private async whenNothingIsOpen(): Promise<void> {
+  private async waitForOpenRequests(): Promise<void> {
     const { admission, timers, clock, settings, logger } = this.context;
     const giveUpAtMs = clock.now() + settings.timing.drainMs;
     while (admission.countOpen() > 0 && clock.now() < giveUpAtMs) {
-      await delay(timers, OPEN_CHECK_MS);
+      await delay(timers, DRAIN_CHECK_INTERVAL_MS);
     }
     if (admission.countOpen() > 0) {
       logger.error('requests were still open at the end of the drain', {
@@ -193,7 +193,7 @@
     this.loops.forEach((loop) => loop.stop());
     await this.peers.stop();
     await this.server.close();
-    await this.context.outside.close();
+    await this.context.externalSystems.close();
     this.context.logger.info('stopped');
   }
 }
--- a/packages/daemon/src/place-models.ts
+++ b/packages/daemon/src/start-placement.ts
@@ -11,22 +11,22 @@
 import type { VmContext } from './vm-context.js';
 
 /** Three tries at a renewal fit into the lease's time. */
-const WORK_INTERVAL_MS = 1_500;
+const RECONCILE_INTERVAL_MS = 1_500;
 /** The weight store serves only so many loads at a time. */
 const MAX_PENDING_LOADS = 4;
 /** Answers that began with a version that nothing wants any more have this long to end. */
-const RETAIN_MS = 600_000;
+const UNUSED_VERSION_RETENTION_MS = 600_000;
 const REPORT_MAX_AGE_MS = 5_000;
 
 /** Placement of one VM. */
-export interface Placement extends Loop {
+export interface PlacementLoop extends Loop {
   release(): Promise<void>;
 }
 
 /** Starts to place. Without rules and without a lease nothing is asked of the service. */
-export default function placeModels(context: VmContext): Placement {
-  const doer = createDoer(context);
-  const loop = startLoop(context, WORK_INTERVAL_MS, async () => {
+export default function startPlacement(context: VmContext): PlacementLoop {
+  const doer = createController(context);
+  const loop = startLoop(context, RECONCILE_INTERVAL_MS, async () => {
     // The VMs that watch already; so the lease costs the service few calls.
     if (hasRules(context) && isWatcher(context)) {
       await doer.reconcile();
@@ -35,15 +35,15 @@
   return { stop: () => loop.stop(), release: () => doer.release() };
 }
 
-function createDoer(context: VmContext): PlacementController {
-  const { outside, clock, metrics, bus, incarnation, targets } = context;
+function createController(context: VmContext): PlacementController {
+  const { externalSystems, clock, metrics, bus, incarnation, targets } = context;
   return createPlacementController({
-    store: outside.store,
+    store: externalSystems.store,
     clock,
     metrics,
     bus,
     incarnation,
-    limits: { maxPendingLoads: MAX_PENDING_LOADS, retainMs: RETAIN_MS },
+    limits: { maxPendingLoads: MAX_PENDING_LOADS, retainMs: UNUSED_VERSION_RETENTION_MS },
     readView: () => ({
       rules: listSpecs(context.configuration.configuration, 'placementRule'),
       currentVersions: listCurrentVersions(context),
@@ -51,7 +51,9 @@
     }),
     findEngine: (id) => {
       const target = targets.find(id);
-      return target === undefined ? undefined : outside.connector.engine(target.host, target.port);
+      return target === undefined
+        ? undefined
+        : externalSystems.connector.engine(target.host, target.port);
     },
   });
 }
--- a/packages/daemon/src/vm-context.ts
+++ b/packages/daemon/src/vm-context.ts
@@ -14,12 +14,12 @@
 import type { MemberTable } from '@limelead/track-members';
 import type { TargetTable } from '@limelead/track-targets';
 import type { Clock, Random, Timers } from '@limelead/types';
-import type Authenticator from './authenticate.js';
+import type Authenticator from './authenticator.js';
 import type ConfigurationHolder from './configuration-holder.js';
 import type OpenGenerations from './open-generations.js';
 
 /** The outside systems as one VM reaches them. */
-export interface OutsideSystems {
+export interface ExternalSystems {
   store: KeyValueStore;
   vmList: VmListSource;
   connector: TargetConnector;
@@ -48,7 +48,7 @@
   logger: Logger;
   metrics: Metrics;
   bus: EventBus;
-  outside: OutsideSystems;
+  externalSystems: ExternalSystems;
   targets: TargetTable;
   gaps: GapTable;
   members: MemberTable;
--- a/packages/daemon/src/watch-configuration.ts
+++ b/packages/daemon/src/watch-configuration.ts
@@ -6,24 +6,24 @@
 import startLoop, { type Loop } from './loop.js';
 import type { VmContext } from './vm-context.js';
 
-const PAUSE_MS = 250;
+const LOOP_PAUSE_MS = 250;
 /** A VM that does not watch still looks by itself now and then. */
-const OWN_LOOK_INTERVAL_MS = 30_000;
+const READ_INTERVAL_MS = 30_000;
 
 /** Starts to watch, as one of the few VMs that do, or else to look now and then. */
 export default function watchConfiguration(context: VmContext): Loop {
   const watcher = new ConfigurationWatcher(context);
-  return startLoop(context, PAUSE_MS, () => watcher.look());
+  return startLoop(context, LOOP_PAUSE_MS, () => watcher.refresh());
 }
 
 class ConfigurationWatcher {
   private headVersion = 0;
-  private nextLookMs = 0;
+  private nextReadAtMs = 0;
   private isReachable = true;
 
   constructor(private readonly context: VmContext) {}
 
-  async look(): Promise<void> {
+  async refresh(): Promise<void> {
     const { configurationStore, configuration, settings, clock, metrics } = this.context;
     const known = configuration.configuration;
     if (known.revision > 0 && isWatcher(this.context)) {
@@ -34,15 +34,15 @@
       const call = this.isReachable
         ? configurationStore.watch(known, this.headVersion, configurationWaitMs)
         : configurationStore.read(known);
-      await this.take(await call());
-    } else if (known.revision === 0 || clock.now() >= this.nextLookMs) {
-      this.nextLookMs = clock.now() + OWN_LOOK_INTERVAL_MS;
-      await this.take(await configurationStore.read(known)());
+      await this.applyResult(await call());
+    } else if (known.revision === 0 || clock.now() >= this.nextReadAtMs) {
+      this.nextReadAtMs = clock.now() + READ_INTERVAL_MS;
+      await this.applyResult(await configurationStore.read(known)());
     }
   }
 
-  private async take(result: E.Either<PortFault, StoredConfiguration>): Promise<void> {
-    this.noteReachable(E.isRight(result));
+  private async applyResult(result: E.Either<PortFault, StoredConfiguration>): Promise<void> {
+    this.recordReachability(E.isRight(result));
     if (E.isLeft(result)) {
       return;
     }
@@ -50,20 +50,20 @@
     this.headVersion = headVersion;
     this.context.configuration.adopt(configuration, changes, 'store');
     if (storedRevision < this.context.configuration.configuration.revision) {
-      await this.putBack();
+      await this.restoreStore();
     }
   }
 
   /** The service was restored from something older than what is in force here. */
-  private async putBack(): Promise<void> {
+  private async restoreStore(): Promise<void> {
     const { configurationStore, configuration, logger, metrics } = this.context;
     const { revision } = configuration.configuration;
     logger.warn('the key-value service holds an older configuration', { revision });
     metrics.count('limelead_configuration_restores_total');
-    await configurationStore.restore(configuration.configuration, configuration.recent)();
+    await configurationStore.restore(configuration.configuration, configuration.latestChanges)();
   }
 
-  private noteReachable(now: boolean): void {
+  private recordReachability(now: boolean): void {
     const { logger, metrics } = this.context;
     if (!now) {
       metrics.count('limelead_store_faults_total');
--- a/packages/measure/src/run-cell.ts
+++ b/packages/measure/src/run-cell.ts
@@ -43,7 +43,7 @@
       }),
       cell.during?.(cluster),
     ]);
-    const pages = cluster.vms.map(({ daemon }) => daemon.metricsPage());
+    const pages = cluster.vms.map(({ daemon }) => daemon.renderMetrics());
     return {
       summary,
       extra: measureExtraUse(cluster.engines, summary.all.tokens),
