--- a/packages/daemon/src/authenticator.ts
+++ b/packages/daemon/src/authenticator.ts
@@ -1,4 +1,4 @@
-/** Who a caller or operator is, by the key in the request's header. */
+/** Authenticates callers and operators by the key in the request's Authorization header. */
 import { listSpecs, type Configuration } from '@limelead/configuration-state';
 import { LimeleadError } from '@limelead/errors';
 import type { Operator, Organisation } from '@limelead/types';
@@ -12,33 +12,33 @@
   owner: Owner;
 }
 
-/** Knows the owners of all keys of the configuration in force. */
+/** Finds the organisation or operator that owns a key in the current configuration. */
 export default class Authenticator {
   private organisations = new Map<string, KeyOwner<Organisation>>();
   private operators = new Map<string, KeyOwner<Operator>>();
 
-  /** @param bootstrap operators that count while the configuration names none */
-  constructor(private readonly bootstrap: readonly Operator[]) {
-    this.operators = indexKeys(bootstrap);
+  /** @param bootstrapOperators operators that are accepted while the configuration has none */
+  constructor(private readonly bootstrapOperators: readonly Operator[]) {
+    this.operators = indexKeys(bootstrapOperators);
   }
 
-  /** Takes the keys of a newer configuration. */
+  /** Replaces all keys by those of a newer configuration. */
   update(configuration: Configuration): void {
     this.organisations = indexKeys(listSpecs(configuration, 'organisation'));
     const operators = listSpecs(configuration, 'operator');
-    this.operators = indexKeys(operators.length > 0 ? operators : this.bootstrap);
+    this.operators = indexKeys(operators.length > 0 ? operators : this.bootstrapOperators);
   }
 
-  /** The organisation of a caller. Throws where the key is not known. */
+  /** Returns the caller's organisation; throws `unauthenticated` if the key is unknown. */
   requireOrganisation(headers: Headers): Organisation {
     return requireOwner(this.organisations, headers);
   }
 
-  /** The operator. Throws where the key is not known, or is an organisation's. */
+  /** Returns the operator; throws if the key is unknown or belongs to an organisation. */
   requireOperator(headers: Headers): Operator {
     const hash = hashPresentedKey(headers);
     if (findOwner(this.organisations, hash) !== undefined) {
-      throw new LimeleadError('permission-denied', "an organisation's key can not do this");
+      throw new LimeleadError('permission-denied', 'this method needs the key of an operator');
     }
     return requireOwner(this.operators, headers);
   }
@@ -47,12 +47,12 @@
 function requireOwner<Owner>(owners: Map<string, KeyOwner<Owner>>, headers: Headers): Owner {
   const owner = findOwner(owners, hashPresentedKey(headers));
   if (owner === undefined) {
-    throw new LimeleadError('unauthenticated', 'the key is not known');
+    throw new LimeleadError('unauthenticated', 'unknown key');
   }
   return owner;
 }
 
-/** The index is by prefix of the hash only; the whole hash is compared in constant time. */
+/** Looks up by the prefix of the hash, then compares the whole hash in constant time. */
 function findOwner<Owner>(owners: Map<string, KeyOwner<Owner>>, hash: Buffer): Owner | undefined {
   const candidate = owners.get(hashPrefix(hash));
   return candidate !== undefined && timingSafeEqual(candidate.hash, hash)
@@ -81,7 +81,7 @@
   return index;
 }
 
-/** Half of the hash, so that a look-up tells nothing of the other half. */
+/** Returns the first half of the hash, so that the timing of a look-up reveals nothing of the rest. */
 function hashPrefix(hash: Buffer): string {
   return hash.toString('latin1', 0, hash.length / 2);
 }
--- a/packages/daemon/src/breaker-report-table.ts
+++ b/packages/daemon/src/breaker-report-table.ts
@@ -1,6 +1,6 @@
 /**
- * What peers said of targets' breakers. One VM's word is not enough: a VM that
- * is cut off from the targets would otherwise close them for everybody.
+ * Reports of peers about open breakers. One report alone opens no breaker: a VM
+ * without a connection to the targets would otherwise block them for all VMs.
  */
 import type { Millis, TargetId, VmId } from '@limelead/types';
 
@@ -13,22 +13,26 @@
   receivedAtMs: Millis;
 }
 
-/** Collects what peers said. */
+/** Keeps the recent reports of each target. */
 export default class BreakerReportTable {
   private readonly reports = new Map<TargetId, BreakerReport[]>();
 
   /**
-   * Takes a peer's word. Gives the time until which the breaker should be open,
-   * once two peers agree or one peer agrees with a failure that this VM saw.
+   * Records a peer's report. Returns the time until which the breaker should be
+   * open, if two peers reported it, or one peer did and this VM saw a failure too.
    */
-  recordReport(target: TargetId, word: BreakerReport, hasOwnFailure: boolean): Millis | undefined {
+  recordReport(
+    target: TargetId,
+    report: BreakerReport,
+    hasLocalFailure: boolean,
+  ): Millis | undefined {
     const others = (this.reports.get(target) ?? []).filter(
       ({ peer, receivedAtMs }) =>
-        peer !== word.peer && word.receivedAtMs - receivedAtMs <= MAX_REPORT_AGE_MS,
+        peer !== report.peer && report.receivedAtMs - receivedAtMs <= MAX_REPORT_AGE_MS,
     );
-    const words = [...others, word];
-    this.reports.set(target, words);
-    const needed = hasOwnFailure ? 1 : MIN_REPORTING_PEERS;
-    return words.length >= needed ? word.openUntilMs : undefined;
+    const reports = [...others, report];
+    this.reports.set(target, reports);
+    const minReports = hasLocalFailure ? 1 : MIN_REPORTING_PEERS;
+    return reports.length >= minReports ? report.openUntilMs : undefined;
   }
 }
--- a/packages/daemon/src/check-generate-request.ts
+++ b/packages/daemon/src/check-generate-request.ts
@@ -1,4 +1,4 @@
-/** Checks a request for a generation against the limits and the configuration. */
+/** Validates generation requests against the limits and the configuration. */
 import { findSpec } from '@limelead/configuration-state';
 import { LimeleadError } from '@limelead/errors';
 import type { GenerateRequest } from '@limelead/schema';
@@ -8,7 +8,7 @@
 const MAX_PACE_TOKENS_PER_SECOND = 10_000;
 const REQUEST_ID = /^[\w-]{1,64}$/;
 
-/** Gives the checked request. Throws where it does not hold. */
+/** Returns the request with its priority and deadline resolved; throws if it is invalid. */
 export default function checkGenerateRequest(
   context: VmContext,
   organisation: Organisation,
@@ -18,11 +18,11 @@
   const { limits } = context.settings;
   const { prompt, maxTokens, paceTokensPerSecond } = message;
   if (prompt.length === 0) {
-    throw new LimeleadError('invalid-request', 'prompt: expected a text that is not empty');
+    throw new LimeleadError('invalid-request', 'prompt: expected a non-empty text');
   }
   if (prompt.length > limits.maxPromptCharacters) {
-    const most = limits.maxPromptCharacters;
-    throw new LimeleadError('too-large', `prompt: expected at most ${most} characters`);
+    const limit = limits.maxPromptCharacters;
+    throw new LimeleadError('too-large', `prompt: expected at most ${limit} characters`);
   }
   if (maxTokens < 1 || maxTokens > limits.maxTokens) {
     throw new LimeleadError('invalid-request', `max_tokens: expected 1 to ${limits.maxTokens}`);
@@ -52,27 +52,27 @@
   };
 }
 
-/** Throws where a request id does not hold. */
+/** Throws `invalid-request` if a request id is malformed. */
 export function checkRequestId(requestId: string): void {
   if (!REQUEST_ID.test(requestId)) {
     throw new LimeleadError('invalid-request', 'request_id: expected 1 to 64 of [A-Za-z0-9_-]');
   }
 }
 
-/** Finds a service. Throws where there is none. */
+/** Finds a service by name; throws `not-found` if it does not exist. */
 export function requireService(context: VmContext, name: string): Service {
   const service = findSpec(context.configuration.configuration, 'service', name);
   if (service === undefined) {
-    throw new LimeleadError('not-found', `service: there is no ${JSON.stringify(name)}`);
+    throw new LimeleadError('not-found', `service: ${JSON.stringify(name)} does not exist`);
   }
   return service;
 }
 
-/** Finds a priority. Throws where there is none. */
+/** Finds a priority by name; throws `not-found` if it does not exist. */
 export function requirePriority(context: VmContext, name: string): Priority {
   const priority = findSpec(context.configuration.configuration, 'priority', name);
   if (priority === undefined) {
-    throw new LimeleadError('not-found', `priority: there is no ${JSON.stringify(name)}`);
+    throw new LimeleadError('not-found', `priority: ${JSON.stringify(name)} does not exist`);
   }
   return priority;
 }
--- a/packages/daemon/src/configuration-holder.ts
+++ b/packages/daemon/src/configuration-holder.ts
@@ -1,4 +1,4 @@
-/** The configuration in force on this VM. It only ever moves to a higher revision. */
+/** The current configuration of this VM. Its revision only increases. */
 import {
   applyChanges,
   EMPTY_CONFIGURATION,
@@ -6,45 +6,45 @@
 } from '@limelead/configuration-state';
 import type { Change } from '@limelead/types';
 
-/** Changes kept for peers that are a little behind. */
+/** Number of changes kept for peers with a slightly older revision. */
 const MAX_RECENT_CHANGES = 96;
 
-/** Where a newer configuration came from. */
+/** Source of a newer configuration. */
 export type ConfigurationSource = 'store' | 'peer' | 'own-change';
 
-/** Told after each move to a higher revision. */
+/** Called after each change to a higher revision. */
 export type ConfigurationListener = (
   configuration: Configuration,
   source: ConfigurationSource,
 ) => void;
 
-/** Holds the configuration of one VM. */
+/** Holds the current configuration and its latest changes. */
 export default class ConfigurationHolder {
   private current = EMPTY_CONFIGURATION;
   private recentChanges: Change[] = [];
   private readonly listeners: ConfigurationListener[] = [];
 
-  /** The configuration in force. */
+  /** The current configuration. */
   get configuration(): Configuration {
     return this.current;
   }
 
-  /** The newest changes, oldest first. */
+  /** The latest changes, oldest first. */
   get latestChanges(): readonly Change[] {
     return this.recentChanges;
   }
 
-  /** Registers a listener. */
+  /** Registers a listener for changes of the revision. */
   onAdvance(listener: ConfigurationListener): void {
     this.listeners.push(listener);
   }
 
-  /** Takes changes that follow on what is in force; says whether the revision moved. */
+  /** Applies changes to the current configuration; returns whether the revision increased. */
   adoptChanges(changes: readonly Change[], source: ConfigurationSource): boolean {
     return this.adopt(applyChanges(this.current, changes), changes, source);
   }
 
-  /** Takes a whole configuration if it is newer; says whether the revision moved. */
+  /** Replaces the configuration if the new one has a higher revision; returns whether it did. */
   adopt(
     configuration: Configuration,
     changes: readonly Change[],
@@ -59,7 +59,7 @@
     return true;
   }
 
-  /** The changes after a revision, or undefined where they are no longer all kept. */
+  /** Returns the changes after a revision, or undefined if some of them are no longer kept. */
   changesAfter(revision: number): Change[] | undefined {
     const after = this.recentChanges.filter((change) => change.revision > revision);
     return after[0]?.revision === revision + 1 ? after : undefined;
@@ -77,7 +77,7 @@
   }
 }
 
-/** The longest run of changes without a gap that ends at the revision. */
+/** Returns the longest contiguous sequence of changes that ends at the revision. */
 function keepContiguousChanges(changes: Change[], revision: number): Change[] {
   let index = changes.length;
   while (index > 0 && changes[index - 1]?.revision === revision - (changes.length - index)) {
--- a/packages/daemon/src/convert-resources.ts
+++ b/packages/daemon/src/convert-resources.ts
@@ -1,4 +1,4 @@
-/** Converts resources and changes between their plain form and the messages of limelead.v1. */
+/** Converts resources and changes to and from the messages of limelead.v1. */
 import { create, fromJson, toJson, type JsonValue } from '@bufbuild/protobuf';
 import { operationCodec } from '@limelead/configuration-state';
 import { LimeleadError } from '@limelead/errors';
@@ -16,13 +16,13 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { PathReporter } from 'io-ts/lib/PathReporter.js';
 
-/** The message of a resource. */
+/** Converts a resource to its message. */
 export function toResourceMessage(resource: Resource): ResourceMessage {
-  // Both sides have the same JSON form: the kind is the name of the field.
+  // Resource and message have the same JSON form, with the kind as the name of the field.
   return fromJson(ResourceSchema, { [resource.kind]: resource.spec } as unknown as JsonValue);
 }
 
-/** The message of a resource with its revision. */
+/** Converts a resource with its revision to its message. */
 export function toVersionedMessage(versioned: VersionedResource): VersionedResourceMessage {
   return create(VersionedResourceSchema, {
     revision: BigInt(versioned.revision),
@@ -30,7 +30,7 @@
   });
 }
 
-/** The message of an accepted change. */
+/** Converts an accepted change to its message. */
 export function toChangeMessage(change: Change): ChangeMessage {
   return create(ChangeSchema, {
     revision: BigInt(change.revision),
@@ -43,12 +43,12 @@
   });
 }
 
-/** Checks an operation that an operator sent. Throws where it does not hold. */
+/** Decodes an operation that an operator sent; throws `invalid-request` if it is invalid. */
 export function fromOperationMessage(message: OperationMessage): Operation {
   const decoded = operationCodec.decode(toPlainOperation(message));
   if (E.isLeft(decoded)) {
-    const fault = PathReporter.report(decoded)[0] ?? 'the operation does not hold';
-    throw new LimeleadError('invalid-request', fault);
+    const problem = PathReporter.report(decoded)[0] ?? 'invalid operation';
+    throw new LimeleadError('invalid-request', problem);
   }
   return decoded.right;
 }
--- a/packages/daemon/src/create-context.ts
+++ b/packages/daemon/src/create-context.ts
@@ -1,4 +1,4 @@
-/** Creates the parts of one VM and ties them together. */
+/** Creates and connects the components of one VM. */
 import { computeLimitShare, createAdmissionController } from '@limelead/admit-request';
 import { createCallClaimer } from '@limelead/claim-call';
 import {
@@ -26,17 +26,17 @@
 import type { ExternalSystems, Runtime, Strategies, VmContext } from './vm-context.js';
 
 const INCARNATION_BYTES = 6;
-/** Recoveries under way on one engine at a time, over all VMs. */
+/** Concurrent recoveries per engine, over all VMs. */
 const MAX_RECOVERIES_PER_ENGINE = 4;
 const MIN_RECOVERIES = 2;
 
-/** The parts, and the conversation that they share with the peers. */
+/** The shared context of one VM and its connection to the peers. */
 export interface VmComponents {
   context: VmContext;
   peers: PeerMessenger;
 }
 
-/** Creates the parts of one VM; nothing is started yet. */
+/** Creates the components of one VM without starting them. */
 export default function createContext(
   settings: Settings,
   runtime: Runtime,
@@ -47,22 +47,22 @@
   const incarnation = `${settings.id}.${randomBytes(INCARNATION_BYTES).toString('hex')}`;
   const metrics = createMetrics();
   const bus = createEventBus(settings.id, clock);
-  const outside = connectExternalSystems(settings);
+  const externalSystems = connectExternalSystems(settings);
   const targets = createTargetTable({ maxListAgeMs: settings.timing.maxListAgeMs });
   const members = createMemberTable(settings.id);
   settings.peers.seeds.forEach((seed) => members.addSeed(seed));
 
   const countVms = (): number => members.present(clock.now()).length + 1;
-  const shareOf = (organisation: string): number => {
+  const computeShare = (organisation: string): number => {
     const own = admission.demandOf(organisation, clock.now());
     return computeLimitShare(own, peers.listPeerDemands(organisation), countVms());
   };
   const admission = createAdmissionController(
     { maxOpenRequests: settings.limits.maxOpenRequests },
-    shareOf,
+    computeShare,
   );
 
-  const recoveryPlaces = (): number => {
+  const getRecoverySlots = (): number => {
     const engines = targets.listUsableEngines(clock.now()).length;
     return Math.max(MIN_RECOVERIES, Math.ceil((engines * MAX_RECOVERIES_PER_ENGINE) / countVms()));
   };
@@ -74,14 +74,14 @@
     logger: createLogger(settings.id, settings.log.level),
     metrics,
     bus,
-    externalSystems: outside,
+    externalSystems,
     targets,
     gaps: createGapTable(),
     members,
     configuration: new ConfigurationHolder(),
-    configurationStore: createConfigurationStore(outside.store, clock, timers),
+    configurationStore: createConfigurationStore(externalSystems.store, clock, timers),
     admission,
-    pacer: strategies.pacer ?? createRecoveryPacer(recoveryPlaces),
+    pacer: strategies.pacer ?? createRecoveryPacer(getRecoverySlots),
     chooseTarget: strategies.chooseTarget,
     authenticator: new Authenticator(settings.operators),
     signer: createHandleSigner(settings.peers.secret),
@@ -92,8 +92,14 @@
       metrics,
       bus,
       targets,
-      connector: outside.connector,
-      claimer: createCallClaimer({ store: outside.store, clock, timers, random, incarnation }),
+      connector: externalSystems.connector,
+      claimer: createCallClaimer({
+        store: externalSystems.store,
+        clock,
+        timers,
+        random,
+        incarnation,
+      }),
       askHolder: (holder, organisation, requestId) =>
         peers.queryClaimHolder(holder, organisation, requestId),
     }),
@@ -124,7 +130,7 @@
   metrics.gauge('limelead_resident_bytes', () => process.memoryUsage.rss());
 }
 
-/** Processor time of the process since its start. */
+/** CPU time that the process has used since its start. */
 function readCpuMilliseconds(): number {
   const { user, system } = process.cpuUsage();
   return (user + system) / 1000;
--- a/packages/daemon/src/is-watcher.ts
+++ b/packages/daemon/src/is-watcher.ts
@@ -1,8 +1,8 @@
-/** Whether this VM is one of the few that watch the configuration and may do placement. */
+/** Selects the few VMs that watch the configuration store and may control placement. */
 import { chooseWatchers } from '@limelead/track-members';
 import type { VmContext } from './vm-context.js';
 
-/** Decided from the VMs that are present now. */
+/** Returns whether this VM is a watcher, given the VMs that are present now. */
 export default function isWatcher({ members, clock, settings }: VmContext): boolean {
   const present = members.present(clock.now()).map(({ id }) => id);
   return chooseWatchers([...present, settings.id]).includes(settings.id);
--- a/packages/daemon/src/loop.ts
+++ b/packages/daemon/src/loop.ts
@@ -1,10 +1,10 @@
-/** Repeats an asynchronous task with a pause between its runs. */
+/** Runs an asynchronous task repeatedly with a pause between its runs. */
 import type { Logger } from '@limelead/logger';
 import type { Random, Timers } from '@limelead/types';
 
 const JITTER_RATIO = 0.2;
 
-/** What a loop needs. */
+/** Dependencies of a loop. */
 export interface LoopDependencies {
   timers: Timers;
   random: Random;
@@ -16,10 +16,7 @@
   stop(): void;
 }
 
-/**
- * Starts a loop. The pause varies by a fifth, so that VMs which started
- * together do not go on in step.
- */
+/** Starts a loop. Jitter on the pause keeps VMs that started together from running in step. */
 export default function startLoop(
   dependencies: LoopDependencies,
   pauseMs: number,
--- a/packages/daemon/src/open-generations.ts
+++ b/packages/daemon/src/open-generations.ts
@@ -1,7 +1,7 @@
-/** The generations that are open on this VM, so that they can be cancelled and drained. */
+/** Registry of the open generations of this VM, which can be cancelled or drained. */
 import type Generation from '@limelead/run-generation';
 
-/** Open generations by organisation and request. */
+/** Holds open generations by organisation and request id. */
 export default class OpenGenerations {
   private readonly generations = new Map<string, Set<Generation>>();
   private readonly emptyListeners: (() => void)[] = [];
@@ -12,27 +12,27 @@
     return this.count;
   }
 
-  /** Adds a generation; gives the function that takes it out. */
+  /** Adds a generation; returns the function that removes it. */
   add(organisation: string, requestId: string, generation: Generation): () => void {
     const key = createKey(organisation, requestId);
-    const same = this.generations.get(key) ?? new Set();
-    same.add(generation);
-    this.generations.set(key, same);
+    const generations = this.generations.get(key) ?? new Set();
+    generations.add(generation);
+    this.generations.set(key, generations);
     this.count += 1;
     return () => this.remove(key, generation);
   }
 
-  /** Cancels all generations of a request; says whether there were any. */
+  /** Cancels all generations of a request; returns whether there were any. */
   cancel(organisation: string, requestId: string): boolean {
-    const same = this.generations.get(createKey(organisation, requestId));
-    same?.forEach((generation) => generation.cancel());
-    return same !== undefined;
+    const generations = this.generations.get(createKey(organisation, requestId));
+    generations?.forEach((generation) => generation.cancel());
+    return generations !== undefined;
   }
 
-  /** Asks every generation to go on elsewhere where its caller can. */
+  /** Asks every generation to hand over to another VM if its caller supports that. */
   drain(): void {
-    for (const same of this.generations.values()) {
-      same.forEach((generation) => generation.drain());
+    for (const generations of this.generations.values()) {
+      generations.forEach((generation) => generation.drain());
     }
   }
 
@@ -44,12 +44,12 @@
   }
 
   private remove(key: string, generation: Generation): void {
-    const same = this.generations.get(key);
-    if (same?.delete(generation) !== true) {
+    const generations = this.generations.get(key);
+    if (generations?.delete(generation) !== true) {
       return;
     }
     this.count -= 1;
-    if (same.size === 0) {
+    if (generations.size === 0) {
       this.generations.delete(key);
     }
     if (this.count === 0) {
--- a/packages/daemon/src/peer-messenger.ts
+++ b/packages/daemon/src/peer-messenger.ts
@@ -1,4 +1,4 @@
-/** What this VM says to its peers, and what it makes of what they say. */
+/** Sends messages to the peers of this VM and handles the messages that they send. */
 import type { RememberedCall } from '@limelead/run-call';
 import {
   createPeerLinks,
@@ -17,16 +17,16 @@
 import SnapshotAssembler from './snapshot-assembler.js';
 import type { VmContext } from './vm-context.js';
 
-/** Characters of one part of a snapshot, well below the limit on a message. */
+/** Size of one part of a snapshot, below the limit on the size of a message. */
 const MAX_SNAPSHOT_PART_CHARACTERS = 300_000;
 const CALL_QUERY_TIMEOUT_MS = 10_000;
 const CANCEL_QUERY_TIMEOUT_MS = 1_000;
-/** A peer's list has to be fresher by this much before it is asked for. */
+/** A peer's list of VMs is requested only if it is newer by more than this. */
 const MIN_LIST_ADVANTAGE_MS = 200;
 
 type DemandReports = PeerMessageOf<'heartbeat'>['demand'];
 
-/** The conversation of one VM with all its peers. */
+/** Exchanges heartbeats, configuration, breaker reports and queries with all peers. */
 export default class PeerMessenger {
   private readonly breakerReports = new BreakerReportTable();
   private readonly snapshotAssembler = new SnapshotAssembler();
@@ -45,12 +45,12 @@
     this.cancelQueries = new PendingQueries(timers, CANCEL_QUERY_TIMEOUT_MS, false);
   }
 
-  /** Port on which peers are accepted. */
+  /** Port that accepts connections of peers. */
   get port(): number {
     return this.links?.port ?? 0;
   }
 
-  /** Starts to accept peers and to send heartbeats. */
+  /** Starts to accept connections of peers and to send heartbeats. */
   async start(): Promise<void> {
     const { settings, incarnation, timers, metrics, configuration } = this.context;
     this.links = await createPeerLinks({
@@ -71,13 +71,13 @@
     this.loop = startLoop(this.context, heartbeatMs, () => this.sendHeartbeat());
   }
 
-  /** Tells peers that this VM is leaving. */
+  /** Announces to peers that this VM is leaving. */
   announceLeaving(): void {
     this.isLeaving = true;
     this.links?.broadcast(this.createHeartbeat());
   }
 
-  /** Tells peers that the breaker of a target opened here. */
+  /** Reports to peers that this VM opened the breaker of a target. */
   publishOpenBreaker(target: TargetId): void {
     const { targets, clock } = this.context;
     const openUntilMs = targets.find(target)?.breaker.openUntilMs ?? 0;
@@ -87,7 +87,7 @@
     }
   }
 
-  /** Demand of an organisation as each linked peer reported it last. */
+  /** Returns the demand of an organisation that each linked peer reported last. */
   listPeerDemands(organisation: string): { vm: VmId; requestsPerSecond: number }[] {
     return [...this.demandsByPeer].map(([vm, reports]) => {
       const report = reports.find((candidate) => candidate.organisation === organisation);
@@ -95,7 +95,7 @@
     });
   }
 
-  /** Asks the VM that holds a claim what became of its call. */
+  /** Queries the VM that holds the claim of a call for the call's outcome. */
   queryClaimHolder(
     holder: string,
     organisation: string,
@@ -110,7 +110,7 @@
     );
   }
 
-  /** Asks linked peers to cancel a generation; says whether one of them had it. */
+  /** Asks linked peers to cancel a generation; returns whether one of them had it. */
   async cancelOnPeers(organisation: string, requestId: string): Promise<boolean> {
     const peers = this.links?.linked() ?? [];
     const answers = peers.map((peer) =>
@@ -121,7 +121,7 @@
     return (await Promise.all(answers)).some((cancelled) => cancelled);
   }
 
-  /** Ends all links. */
+  /** Stops the heartbeats and closes all links. */
   async stop(): Promise<void> {
     this.loop?.stop();
     await this.links?.close();
@@ -213,8 +213,8 @@
   private onHeartbeat(peer: VmId, heartbeat: PeerMessageOf<'heartbeat'>): void {
     const { members, configuration, targets, clock } = this.context;
     const now = clock.now();
-    const { kind: _, listVersion, listAgeMs, demand, ...facts } = heartbeat;
-    members.applyHeartbeat({ ...facts, id: peer }, now);
+    const { kind: _, listVersion, listAgeMs, demand, ...member } = heartbeat;
+    members.applyHeartbeat({ ...member, id: peer }, now);
     this.demandsByPeer.set(peer, demand);
     const { revision } = configuration.configuration;
     if (heartbeat.revision > revision) {
@@ -243,22 +243,22 @@
   }
 
   private onSnapshot(peer: VmId, message: PeerMessageOf<'snapshot'>): void {
-    const whole = this.snapshotAssembler.addPart(peer, message);
-    if (whole !== undefined) {
-      this.context.configuration.adopt(whole, [], 'peer');
+    const snapshot = this.snapshotAssembler.addPart(peer, message);
+    if (snapshot !== undefined) {
+      this.context.configuration.adopt(snapshot, [], 'peer');
     }
   }
 
-  /** Changes go to every linked peer at once; those that have them already do not pass them on. */
+  /** Sends the latest change to every linked peer; a peer forwards only changes new to it. */
   private publishConfiguration(source: ConfigurationSource): void {
     const { configuration, bus, metrics, logger } = this.context;
     const { revision } = configuration.configuration;
     metrics.count('limelead_configuration_advances_total', 1, { source });
     logger.info('the configuration advanced', { revision, source });
     bus.publish('', () => ({ kind: 'configurationAdvanced', revision, source }));
-    const newest = configuration.latestChanges.at(-1);
-    if (newest !== undefined) {
-      this.links?.broadcast({ kind: 'changes', changes: [newest] });
+    const latest = configuration.latestChanges.at(-1);
+    if (latest !== undefined) {
+      this.links?.broadcast({ kind: 'changes', changes: [latest] });
     }
   }
 
@@ -297,10 +297,10 @@
 
   private onBreaker(peer: VmId, { target, openForMs }: PeerMessageOf<'breaker'>): void {
     const { targets, clock, bus } = this.context;
-    const saidAtMs = clock.now();
-    const hasOwnFailure = (targets.find(target)?.breaker.failureCount ?? 0) > 0;
-    const word = { peer, openUntilMs: saidAtMs + openForMs, saidAtMs };
-    const openUntilMs = this.breakerReports.recordReport(target, word, hasOwnFailure);
+    const receivedAtMs = clock.now();
+    const hasLocalFailure = (targets.find(target)?.breaker.failureCount ?? 0) > 0;
+    const report = { peer, openUntilMs: receivedAtMs + openForMs, receivedAtMs };
+    const openUntilMs = this.breakerReports.recordReport(target, report, hasLocalFailure);
     if (openUntilMs !== undefined && targets.adoptOpenBreaker(target, openUntilMs)) {
       bus.publish('', () => ({ kind: 'breakerChanged', target, state: 'open', source: peer }));
     }
--- a/packages/daemon/src/pending-queries.ts
+++ b/packages/daemon/src/pending-queries.ts
@@ -1,7 +1,7 @@
-/** Questions to peers that wait for their answers, each for a bounded time. */
+/** Matches answers of peers with the queries sent to them, with a timeout per query. */
 import type { Timers } from '@limelead/types';
 
-/** Waiting questions of one kind. */
+/** Pending queries of one kind. */
 export default class PendingQueries<Answer> {
   private readonly pending = new Map<number, (answer: Answer) => void>();
   private lastQuery = 0;
@@ -9,11 +9,11 @@
   constructor(
     private readonly timers: Timers,
     private readonly timeoutMs: number,
-    /** Stands for the answer of a peer that gives none in time. */
+    /** Result of a query that gets no answer in time. */
     private readonly timeoutAnswer: Answer,
   ) {}
 
-  /** Sends a question under a number of its own, and resolves with its answer. */
+  /** Sends a query with a unique number; resolves with its answer. */
   sendQuery(send: (query: number) => void): Promise<Answer> {
     const query = (this.lastQuery += 1);
     return new Promise((resolve) => {
@@ -23,7 +23,7 @@
     });
   }
 
-  /** Takes an answer; one that comes too late is ignored. */
+  /** Resolves a query with its answer; ignores an answer after the timeout. */
   settle(query: number, answer: Answer): void {
     this.pending.get(query)?.(answer);
     this.pending.delete(query);
--- a/packages/daemon/src/poll-targets.ts
+++ b/packages/daemon/src/poll-targets.ts
@@ -1,10 +1,10 @@
-/** Reads the list of VMs, the load reports and the cache events at intervals. */
+/** Polls the list of VMs, and the load reports and cache events of the engines. */
 import * as E from 'fp-ts/lib/Either.js';
 import type { TrackedTarget } from '@limelead/track-targets';
 import startLoop, { type Loop } from './loop.js';
 import type { VmContext } from './vm-context.js';
 
-/** Starts the polls of one VM. */
+/** Starts the polling loops of one VM. */
 export default function pollTargets(context: VmContext): Loop[] {
   const { listPollMs, loadPollMs } = context.settings.timing;
   return [
@@ -31,14 +31,14 @@
   }
 }
 
-/** A target that does not answer must not hold the others' polls back. */
+/** Polls each engine independently, so that a target that does not answer delays no other. */
 function createLoadReportPoll(context: VmContext): () => Promise<void> {
-  const waiting = new Set<string>();
+  const pending = new Set<string>();
   return async () => {
     const engines = context.targets.all().filter(({ role }) => role === 'engine');
-    for (const target of engines.filter(({ id }) => !waiting.has(id))) {
-      waiting.add(target.id);
-      void readReport(context, target).finally(() => waiting.delete(target.id));
+    for (const target of engines.filter(({ id }) => !pending.has(id))) {
+      pending.add(target.id);
+      void readReport(context, target).finally(() => pending.delete(target.id));
     }
   };
 }
--- a/packages/daemon/src/run-limeleadd.ts
+++ b/packages/daemon/src/run-limeleadd.ts
@@ -1,4 +1,4 @@
-/** The command limeleadd. */
+/** Command line of limeleadd. */
 import { toLimeleadError } from '@limelead/errors';
 import readSettings from '@limelead/read-settings';
 import { cac } from 'cac';
@@ -13,7 +13,7 @@
   check?: boolean;
 }
 
-/** Runs the command with the process's arguments. */
+/** Parses the arguments of the process, then starts the daemon or checks its settings. */
 export default function runLimeleadd(argv: string[]): void {
   const program = cac('limeleadd');
   program
@@ -29,14 +29,14 @@
 
 async function run({ settings: file, check }: LimeleaddOptions): Promise<void> {
   if (file === undefined) {
-    exitWith(EXIT_BAD_SETTINGS, 'limeleadd: --settings FILE is needed; see --help');
+    exitWith(EXIT_BAD_SETTINGS, 'limeleadd: --settings FILE is required; see --help');
   }
   const settings = readSettings(file);
   if (E.isLeft(settings)) {
     exitWith(EXIT_BAD_SETTINGS, settings.left.message);
   }
   if (check === true) {
-    process.stdout.write(`${file}: the settings hold\n`);
+    process.stdout.write(`${file}: the settings are valid\n`);
     return;
   }
   try {
--- a/packages/daemon/src/services/administration-service.ts
+++ b/packages/daemon/src/services/administration-service.ts
@@ -1,4 +1,4 @@
-/** The RPC service Administration. */
+/** Implements the RPC service Administration. */
 import { create } from '@bufbuild/protobuf';
 import type { ServiceImpl } from '@connectrpc/connect';
 import { LimeleadError } from '@limelead/errors';
@@ -24,11 +24,11 @@
 const DEFAULT_CHANGES = 50;
 const MAX_CHANGES = 500;
 
-/** Creates the service of one VM. */
+/** Creates the Administration service of one VM. */
 export default function createAdministrationService(
   context: VmContext,
 ): ServiceImpl<typeof Administration> {
-  /** Runs a method for an operator and turns what it throws into RPC errors. */
+  /** Authenticates the operator, runs a method and converts its errors to RPC errors. */
   async function asOperator<Result>(
     headers: Headers,
     run: (operator: Operator) => Promise<Result> | Result,
@@ -60,10 +60,10 @@
     listChanges: ({ beforeRevision, limit }, rpc) =>
       asOperator(rpc.requestHeader, async () => {
         const before = beforeRevision === 0n ? Number.MAX_SAFE_INTEGER : Number(beforeRevision);
-        const most = Math.min(limit || DEFAULT_CHANGES, MAX_CHANGES);
-        const changes = await context.configurationStore.listChanges(before, most)();
+        const count = Math.min(limit || DEFAULT_CHANGES, MAX_CHANGES);
+        const changes = await context.configurationStore.listChanges(before, count)();
         if (E.isLeft(changes)) {
-          throw new LimeleadError('store-unavailable', "the platform's service does not answer");
+          throw new LimeleadError('store-unavailable', 'the key-value store does not answer');
         }
         return create(ListChangesResponseSchema, { changes: changes.right.map(toChangeMessage) });
       }),
@@ -105,7 +105,7 @@
   }
   const operations = message.operations.map(fromOperationMessage);
   if (JSON.stringify(operations).length > MAX_CHANGE_CHARACTERS) {
-    throw new LimeleadError('too-large', 'the change is too large; split it');
+    throw new LimeleadError('too-large', 'the change is too large; split it into several changes');
   }
   return { changeId, baseRevision: Number(baseRevision), operations, reason };
 }
--- a/packages/daemon/src/services/calls-service.ts
+++ b/packages/daemon/src/services/calls-service.ts
@@ -1,4 +1,4 @@
-/** The RPC service Calls. */
+/** Implements the RPC service Calls. */
 import { create } from '@bufbuild/protobuf';
 import type { ServiceImpl } from '@connectrpc/connect';
 import { LimeleadError } from '@limelead/errors';
@@ -15,13 +15,13 @@
 import type { VmContext } from '../vm-context.js';
 import { toCountedRpcError, refuseWhileDraining } from './generation-service.js';
 
-/** Time in which a call may be started whose caller named none. */
+/** Time within which a call must start if its caller sets no limit. */
 const DEFAULT_START_WITHIN_MS = 120_000;
-/** A call may be started at most this far in the future, because its claim is kept that long. */
+/** Longest time within which a call may start; claims are kept this long. */
 const MAX_START_WITHIN_MS = 600_000;
 const OPERATION = /^[\w.-]{1,64}$/;
 
-/** Creates the service of one VM. */
+/** Creates the Calls service of one VM. */
 export default function createCallsService(context: VmContext): ServiceImpl<typeof Calls> {
   return {
     async call(message, rpc) {
@@ -101,8 +101,11 @@
     return now + DEFAULT_START_WITHIN_MS;
   }
   if (notAfterMs > now + MAX_START_WITHIN_MS) {
-    const most = MAX_START_WITHIN_MS / 1000;
-    throw new LimeleadError('invalid-request', `not_after_ms: expected at most ${most} s from now`);
+    const maxSeconds = MAX_START_WITHIN_MS / 1000;
+    throw new LimeleadError(
+      'invalid-request',
+      `not_after_ms: expected at most ${maxSeconds} s from now`,
+    );
   }
   return notAfterMs;
 }
--- a/packages/daemon/src/services/generation-service.ts
+++ b/packages/daemon/src/services/generation-service.ts
@@ -1,4 +1,4 @@
-/** The RPC service Generation. */
+/** Implements the RPC service Generation. */
 import { create } from '@bufbuild/protobuf';
 import type { ConnectError, HandlerContext, ServiceImpl } from '@connectrpc/connect';
 import type { AdmissionTicket } from '@limelead/admit-request';
@@ -21,13 +21,13 @@
 import toRpcError from '../to-rpc-error.js';
 import type { VmContext } from '../vm-context.js';
 
-/** Creates the service of one VM. */
+/** Creates the Generation service of one VM. */
 export default function createGenerationService(
   context: VmContext,
   dependencies: GenerationDependencies,
-  cancelElsewhere: (organisation: string, requestId: string) => Promise<boolean>,
+  cancelOnPeers: (organisation: string, requestId: string) => Promise<boolean>,
 ): ServiceImpl<typeof GenerationSchema> {
-  /** The one generator between a generation and the RPC library: each layer costs every token. */
+  /** Streams an answer. Only one generator wraps it, because each layer adds cost per token. */
   async function* serve(
     prepare: () => PreparedGeneration,
     signal: AbortSignal,
@@ -58,8 +58,7 @@
       try {
         const { name } = context.authenticator.requireOrganisation(rpc.requestHeader);
         const cancelled =
-          context.openGenerations.cancel(name, requestId) ||
-          (await cancelElsewhere(name, requestId));
+          context.openGenerations.cancel(name, requestId) || (await cancelOnPeers(name, requestId));
         return create(CancelResponseSchema, { cancelled });
       } catch (thrown) {
         throw toRpcError(thrown);
@@ -68,7 +67,7 @@
   };
 }
 
-/** A checked request and where its answer begins. */
+/** A validated request and the point at which its answer starts. */
 interface PreparedGeneration {
   organisation: Organisation;
   request: GenerationRequest;
@@ -92,7 +91,7 @@
 ): PreparedGeneration {
   const organisation = context.authenticator.requireOrganisation(rpc.requestHeader);
   if (message === undefined) {
-    throw new LimeleadError('invalid-request', 'request: expected the request as first sent');
+    throw new LimeleadError('invalid-request', 'request: expected the original request');
   }
   const request = checkGenerateRequest(context, organisation, message);
   if (delivered.length > request.maxTokens) {
@@ -111,7 +110,7 @@
   };
 }
 
-/** Counts an error of the closed list and turns it into an RPC error. */
+/** Counts a limelead error by its kind and converts anything thrown to an RPC error. */
 export function toCountedRpcError({ metrics }: VmContext, thrown: unknown): ConnectError {
   if (thrown instanceof LimeleadError) {
     metrics.count('limelead_errors_total', 1, { kind: thrown.kind });
@@ -119,10 +118,10 @@
   return toRpcError(thrown);
 }
 
-/** Refuses new work once a planned stop has begun. */
+/** Throws `shutting-down` while this VM drains for a planned stop. */
 export function refuseWhileDraining(context: VmContext): void {
   if (context.isDraining()) {
-    throw new LimeleadError('shutting-down', 'this VM is stopping; another takes the request');
+    throw new LimeleadError('shutting-down', 'this VM is shutting down; retry on another VM');
   }
 }
 
@@ -155,7 +154,7 @@
   throw ticket.left;
 }
 
-/** Milliseconds of waiting at the target with the shortest queue; 0 where nothing is known. */
+/** Estimates the wait at the usable target with the shortest queue; 0 if there is no target. */
 function estimateWaitMs(context: VmContext, request: GenerationRequest): number {
   const { targets, clock, gaps } = context;
   const version = findCurrentVersion(context, request.service);
@@ -166,7 +165,7 @@
   return waits.length === 0 ? 0 : Math.min(...waits);
 }
 
-/** The version with which new answers of a service begin. */
+/** Returns the model version that new answers of a service use. */
 export function findCurrentVersion(context: VmContext, service: string): ModelVersion | undefined {
   return findSpec(context.configuration.configuration, 'service', service)?.model;
 }
--- a/packages/daemon/src/services/observation-service.ts
+++ b/packages/daemon/src/services/observation-service.ts
@@ -1,4 +1,4 @@
-/** The RPC service Observation. */
+/** Implements the RPC service Observation. */
 import { create, type MessageInitShape } from '@bufbuild/protobuf';
 import type { ServiceImpl } from '@connectrpc/connect';
 import {
@@ -13,7 +13,7 @@
 
 type DetailInit = NonNullable<MessageInitShape<typeof ObservedEventSchema>['detail']>;
 
-/** Creates the service of one VM. */
+/** Creates the Observation service of one VM. */
 export default function createObservationService(
   context: VmContext,
 ): ServiceImpl<typeof Observation> {
--- a/packages/daemon/src/snapshot-assembler.ts
+++ b/packages/daemon/src/snapshot-assembler.ts
@@ -1,4 +1,4 @@
-/** Puts the parts of a configuration together that a peer sends. */
+/** Assembles a configuration from the snapshot parts that a peer sends. */
 import {
   buildConfiguration,
   type Configuration,
@@ -14,30 +14,33 @@
   removals: Removal[];
 }
 
-/** Assembles one snapshot for each peer at a time. */
+/** Assembles at most one snapshot per peer at a time. */
 export default class SnapshotAssembler {
   private readonly assemblies = new Map<VmId, Assembly>();
 
-  /** Takes a part; gives the configuration with the last one. Parts come in order on a link. */
+  /**
+   * Adds a part; returns the configuration once the last part is added. A part
+   * out of order discards the assembly, because links deliver parts in order.
+   */
   addPart(peer: VmId, message: PeerMessageOf<'snapshot'>): Configuration | undefined {
     const { revision, part, parts } = message;
-    const open = part === 0 ? createAssembly(revision) : this.assemblies.get(peer);
-    if (open === undefined || open.revision !== revision || open.nextPart !== part) {
+    const assembly = part === 0 ? createAssembly(revision) : this.assemblies.get(peer);
+    if (assembly === undefined || assembly.revision !== revision || assembly.nextPart !== part) {
       this.assemblies.delete(peer);
       return undefined;
     }
-    open.resources.push(...message.resources);
-    open.removals.push(...message.removals);
-    open.nextPart += 1;
-    this.assemblies.set(peer, open);
-    if (open.nextPart < parts) {
+    assembly.resources.push(...message.resources);
+    assembly.removals.push(...message.removals);
+    assembly.nextPart += 1;
+    this.assemblies.set(peer, assembly);
+    if (assembly.nextPart < parts) {
       return undefined;
     }
     this.assemblies.delete(peer);
-    return buildConfiguration(revision, open.resources, open.removals);
+    return buildConfiguration(revision, assembly.resources, assembly.removals);
   }
 
-  /** Forgets what a peer has begun to send. */
+  /** Discards the incomplete snapshot of a peer. */
   discard(peer: VmId): void {
     this.assemblies.delete(peer);
   }
--- a/packages/daemon/src/start-daemon.ts
+++ b/packages/daemon/src/start-daemon.ts
@@ -31,16 +31,16 @@
 export interface Daemon {
   rpcPort: number;
   peerPort: number;
-  /** Planned stop: leaves the balancer, takes nothing new, and cuts no request. */
+  /** Stops gracefully: leaves the load balancer, refuses new requests and drains open ones. */
   stop(): Promise<void>;
-  /** Ends everything at once, as the death of the VM would. */
+  /** Stops immediately and drops open connections, as a crash of the VM does. */
   kill(): Promise<void>;
   renderMetrics(): string;
-  /** Revision of the configuration in force here. */
+  /** Revision of this VM's current configuration. */
   revision(): number;
 }
 
-/** Starts a daemon; resolves once it accepts callers and peers. */
+/** Starts a daemon; resolves once it accepts connections of callers and peers. */
 export default async function startDaemon(
   settings: Settings,
   runtime: Runtime = SYSTEM_RUNTIME,
@@ -141,14 +141,14 @@
     });
   }
 
-  /** The balancer sends callers only to a VM that is staying, configured, and can route. */
+  /** Ready: not shutting down, with a configuration and at least one target to route to. */
   private isReady(): boolean {
     const { configuration, targets, clock } = this.context;
     const now = clock.now();
     const usable = targets.all().filter((target) => targets.getState(target, now) === 'usable');
-    const listsEngines = targets.all().some(({ role }) => role === 'engine');
-    // An engine that was listed but has not reported is of no use: what it has loaded is not known.
-    const canRoute = usable.some(({ report }) => !listsEngines || report !== undefined);
+    const hasEngines = targets.all().some(({ role }) => role === 'engine');
+    // The loaded models of an engine are unknown until its first load report.
+    const canRoute = usable.some(({ report }) => !hasEngines || report !== undefined);
     return this.phase === 'serving' && configuration.configuration.revision > 0 && canRoute;
   }
 
@@ -174,11 +174,11 @@
     };
   }
 
-  /** Open requests end by themselves or are handed over; the limit is for those that do neither. */
+  /** Waits until all open requests end or are handed over, at most for the drain time. */
   private async waitForOpenRequests(): Promise<void> {
     const { admission, timers, clock, settings, logger } = this.context;
-    const giveUpAtMs = clock.now() + settings.timing.drainMs;
-    while (admission.countOpen() > 0 && clock.now() < giveUpAtMs) {
+    const drainDeadlineMs = clock.now() + settings.timing.drainMs;
+    while (admission.countOpen() > 0 && clock.now() < drainDeadlineMs) {
       await delay(timers, DRAIN_CHECK_INTERVAL_MS);
     }
     if (admission.countOpen() > 0) {
--- a/packages/daemon/src/start-placement.ts
+++ b/packages/daemon/src/start-placement.ts
@@ -1,4 +1,4 @@
-/** Does placement on this VM while it is one of the few that may, and holds the lease. */
+/** Controls model placement from this VM while it is a watcher and holds the lease. */
 import {
   createPlacementController,
   type PlacementController,
@@ -10,29 +10,29 @@
 import startLoop, { type Loop } from './loop.js';
 import type { VmContext } from './vm-context.js';
 
-/** Three tries at a renewal fit into the lease's time. */
+/** Short enough for three attempts to renew the lease before it expires. */
 const RECONCILE_INTERVAL_MS = 1_500;
-/** The weight store serves only so many loads at a time. */
+/** Limit on concurrent model loads from the weight store. */
 const MAX_PENDING_LOADS = 4;
-/** Answers that began with a version that nothing wants any more have this long to end. */
+/** Time for which an unused version stays loaded, so that answers that use it can finish. */
 const UNUSED_VERSION_RETENTION_MS = 600_000;
 const REPORT_MAX_AGE_MS = 5_000;
 
-/** Placement of one VM. */
+/** Placement loop of one VM; `release` gives up the lease. */
 export interface PlacementLoop extends Loop {
   release(): Promise<void>;
 }
 
-/** Starts to place. Without rules and without a lease nothing is asked of the service. */
+/** Starts the placement loop. It makes no calls to the store while there are no placement rules. */
 export default function startPlacement(context: VmContext): PlacementLoop {
-  const doer = createController(context);
+  const controller = createController(context);
   const loop = startLoop(context, RECONCILE_INTERVAL_MS, async () => {
-    // The VMs that watch already; so the lease costs the service few calls.
+    // Only watchers compete for the lease, which limits the calls to the key-value store.
     if (hasRules(context) && isWatcher(context)) {
-      await doer.reconcile();
+      await controller.reconcile();
     }
   });
-  return { stop: () => loop.stop(), release: () => doer.release() };
+  return { stop: () => loop.stop(), release: () => controller.release() };
 }
 
 function createController(context: VmContext): PlacementController {
--- a/packages/daemon/src/to-rpc-error.ts
+++ b/packages/daemon/src/to-rpc-error.ts
@@ -1,4 +1,4 @@
-/** Turns errors of the closed list into RPC errors with their details. */
+/** Converts limelead errors to RPC errors with error details. */
 import { Code, ConnectError } from '@connectrpc/connect';
 import {
   ConflictError,
@@ -32,7 +32,7 @@
   run: Execution.RUN,
 };
 
-/** Creates the RPC error for anything thrown. */
+/** Converts anything thrown to an RPC error. */
 export default function toRpcError(thrown: unknown): ConnectError {
   if (thrown instanceof ConnectError) {
     return thrown;
--- a/packages/daemon/src/vm-context.ts
+++ b/packages/daemon/src/vm-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of one VM share. */
+/** Context that the components of one VM share. */
 import type { AdmissionController } from '@limelead/admit-request';
 import type { ChooseTarget } from '@limelead/choose-target';
 import type { Logger } from '@limelead/logger';
@@ -18,7 +18,7 @@
 import type ConfigurationHolder from './configuration-holder.js';
 import type OpenGenerations from './open-generations.js';
 
-/** The outside systems as one VM reaches them. */
+/** Clients of the external systems that one VM uses. */
 export interface ExternalSystems {
   store: KeyValueStore;
   vmList: VmListSource;
@@ -26,24 +26,24 @@
   close(): Promise<void>;
 }
 
-/** Clock, timers and randomness. */
+/** Sources of time and randomness, replaceable in tests. */
 export interface Runtime {
   clock: Clock;
   timers: Timers;
   random: Random;
 }
 
-/** Decisions that a measurement may replace by a baseline. */
+/** Replaceable decision functions, for comparisons with a baseline. */
 export interface Strategies {
   chooseTarget: ChooseTarget;
-  /** Absent takes the pacer that follows the number of engines and VMs. */
+  /** Defaults to a pacer that scales with the number of engines and VMs. */
   pacer?: RecoveryPacer;
 }
 
-/** Shared by the parts of one VM. */
+/** Components and state that the parts of the daemon share. */
 export interface VmContext extends Runtime {
   settings: Settings;
-  /** Unique to this start of the process. */
+  /** Unique id of this run of the process. */
   incarnation: string;
   logger: Logger;
   metrics: Metrics;
@@ -61,6 +61,6 @@
   signer: HandleSigner;
   openGenerations: OpenGenerations;
   callRunner: CallRunner;
-  /** True once a planned stop has begun to refuse new work. */
+  /** True once a graceful stop refuses new requests. */
   isDraining(): boolean;
 }
--- a/packages/daemon/src/watch-configuration.test.ts
+++ b/packages/daemon/src/watch-configuration.test.ts
@@ -9,7 +9,7 @@
 import type { VmContext } from './vm-context.js';
 import watchConfiguration from './watch-configuration.js';
 
-test('a service that did not answer is asked for an answer at once, not with a long watch', async () => {
+test('after a failed watch, the store is read at once until it answers, not watched again', async () => {
   const { clock, timers, advance } = createManualTime();
   const holder = new ConfigurationHolder();
   const found: StoredConfiguration = {
--- a/packages/daemon/src/watch-configuration.ts
+++ b/packages/daemon/src/watch-configuration.ts
@@ -1,4 +1,4 @@
-/** Keeps the configuration of this VM up with the platform's service. */
+/** Keeps this VM's configuration up to date with the key-value store. */
 import type { PortFault } from '@limelead/errors';
 import type { StoredConfiguration } from '@limelead/store-configuration';
 import * as E from 'fp-ts/lib/Either.js';
@@ -7,10 +7,10 @@
 import type { VmContext } from './vm-context.js';
 
 const LOOP_PAUSE_MS = 250;
-/** A VM that does not watch still looks by itself now and then. */
+/** Interval at which a VM that is not a watcher reads the configuration. */
 const READ_INTERVAL_MS = 30_000;
 
-/** Starts to watch, as one of the few VMs that do, or else to look now and then. */
+/** Starts to watch the configuration if this VM is a watcher, or else to read it at intervals. */
 export default function watchConfiguration(context: VmContext): Loop {
   const watcher = new ConfigurationWatcher(context);
   return startLoop(context, LOOP_PAUSE_MS, () => watcher.refresh());
@@ -29,8 +29,8 @@
     if (known.revision > 0 && isWatcher(this.context)) {
       metrics.count('limelead_store_watches_total');
       const { configurationWaitMs } = settings.timing;
-      // A service that did not answer is asked for an answer at once: a watch that is lost
-      // right before its return would hide every change for as long as it may wait.
+      // After a failure, read without waiting: a lost watch would hide every
+      // change until it times out.
       const call = this.isReachable
         ? configurationStore.watch(known, this.headVersion, configurationWaitMs)
         : configurationStore.read(known);
@@ -54,7 +54,7 @@
     }
   }
 
-  /** The service was restored from something older than what is in force here. */
+  /** Writes the current configuration back to a store that was restored to an older one. */
   private async restoreStore(): Promise<void> {
     const { configurationStore, configuration, logger, metrics } = this.context;
     const { revision } = configuration.configuration;
@@ -63,14 +63,14 @@
     await configurationStore.restore(configuration.configuration, configuration.latestChanges)();
   }
 
-  private recordReachability(now: boolean): void {
+  private recordReachability(isReachable: boolean): void {
     const { logger, metrics } = this.context;
-    if (!now) {
+    if (!isReachable) {
       metrics.count('limelead_store_faults_total');
     }
-    if (now !== this.isReachable) {
-      this.isReachable = now;
-      logger.warn('reachability of the key-value service changed', { reachable: now });
+    if (isReachable !== this.isReachable) {
+      this.isReachable = isReachable;
+      logger.warn('reachability of the key-value service changed', { reachable: isReachable });
     }
   }
 }
