--- a/packages/cli/src/commands/apply/change-file.ts
+++ b/packages/cli/src/commands/apply/change-file.ts
@@ -1,6 +1,6 @@
 /** The file that `limelead apply` takes: JSON with comments. */
 import { operationCodec } from '@limelead/configuration-state';
-import decodeWithLines, {
+import decodeJsonc, {
   strictObject,
   listUpTo,
   stringMatching,
@@ -28,5 +28,5 @@
   file: string,
   text: string,
 ): E.Either<DecodeError, ChangeFile> {
-  return decodeWithLines(file, text, changeFileCodec);
+  return decodeJsonc(file, text, changeFileCodec);
 }
--- a/packages/cli/src/commands/apply/index.ts
+++ b/packages/cli/src/commands/apply/index.ts
@@ -5,7 +5,7 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { randomUUID } from 'node:crypto';
 import { readFileSync } from 'node:fs';
-import { withClient, type ConnectionOptions } from '../../connect.js';
+import { withClient, type ConnectionOptions } from '../../connection.js';
 import { EXIT_CODES } from '../../exit-codes.js';
 import { printLine } from '../../output.js';
 import decodeChangeFile from './change-file.js';
@@ -28,8 +28,8 @@
     const { revision } = await administration.apply(
       {
         changeId: options.changeId ?? randomUUID(),
-        baseRevision: await findBase(options.base, administration, headers),
-        operations: change.right.operations.map(toMessage),
+        baseRevision: await resolveBaseRevision(options.base, administration, headers),
+        operations: change.right.operations.map(toOperationMessage),
         reason: change.right.reason,
       },
       { headers },
@@ -45,7 +45,7 @@
 
 type Administration = Parameters<Parameters<typeof withClient>[1]>[0]['administration'];
 
-async function findBase(
+async function resolveBaseRevision(
   base: number | undefined,
   administration: Administration,
   headers: Record<string, string>,
@@ -58,7 +58,7 @@
   return revision;
 }
 
-function toMessage(operation: Operation): OperationMessage {
+function toOperationMessage(operation: Operation): OperationMessage {
   const json =
     'put' in operation
       ? { put: { [operation.put.kind]: operation.put.spec } }
--- a/packages/cli/src/commands/call/index.ts
+++ b/packages/cli/src/commands/call/index.ts
@@ -1,7 +1,7 @@
 /** `limelead call`: calls a plain service. */
 import { CallResponseSchema } from '@limelead/schema';
 import { randomUUID } from 'node:crypto';
-import { withClient, type ConnectionOptions } from '../../connect.js';
+import { withClient, type ConnectionOptions } from '../../connection.js';
 import { EXIT_CODES } from '../../exit-codes.js';
 import { printLine, printMessage } from '../../output.js';
 
--- a/packages/cli/src/commands/explain/explain-request.ts
+++ b/packages/cli/src/commands/explain/explain-request.ts
@@ -20,7 +20,7 @@
 ]);
 
 /** What is known of one request. */
-export interface RequestStory {
+export interface RequestExplanation {
   /** One text a line, in the order of the lines. */
   steps: string[];
   /** What the last line that ends a request says; undefined where none was found. */
@@ -31,8 +31,11 @@
  * Finds a request's lines among those of many VMs.
  * @returns the story without steps where no line names the request
  */
-export default function explainRequest(requestId: string, lines: Iterable<string>): RequestStory {
-  const found = [...lines].flatMap((text) => readLine(text, requestId));
+export default function explainRequest(
+  requestId: string,
+  lines: Iterable<string>,
+): RequestExplanation {
+  const found = [...lines].flatMap((text) => parseLine(text, requestId));
   const startedAtMs = found[0]?.steadyMs ?? 0;
   const end = found.filter(({ event }) => isEnd(event)).at(-1);
   return {
@@ -42,7 +45,7 @@
 }
 
 /** Lines of other programs and of other requests give nothing. */
-function readLine(text: string, requestId: string): LogLine[] {
+function parseLine(text: string, requestId: string): LogLine[] {
   const start = text.indexOf('{');
   if (start < 0 || !text.includes(requestId)) {
     return [];
--- a/packages/cli/src/commands/generate/index.ts
+++ b/packages/cli/src/commands/generate/index.ts
@@ -1,6 +1,6 @@
 /** `limelead generate`: streams an answer to standard output. */
 import { randomUUID } from 'node:crypto';
-import { withClient, type ConnectionOptions } from '../../connect.js';
+import { withClient, type ConnectionOptions } from '../../connection.js';
 import { EXIT_CODES } from '../../exit-codes.js';
 import { printLine } from '../../output.js';
 
--- a/packages/cli/src/commands/get/index.ts
+++ b/packages/cli/src/commands/get/index.ts
@@ -1,6 +1,6 @@
 /** `limelead get`: shows the configuration in force. */
 import { GetConfigurationResponseSchema } from '@limelead/schema';
-import { withClient, type ConnectionOptions } from '../../connect.js';
+import { withClient, type ConnectionOptions } from '../../connection.js';
 import { EXIT_CODES } from '../../exit-codes.js';
 import { printMessage, printTable } from '../../output.js';
 
--- a/packages/cli/src/commands/status/index.ts
+++ b/packages/cli/src/commands/status/index.ts
@@ -1,6 +1,6 @@
 /** `limelead status`: shows what one VM knows of VMs and targets. */
 import { GetStatusResponseSchema } from '@limelead/schema';
-import { withClient, type ConnectionOptions } from '../../connect.js';
+import { withClient, type ConnectionOptions } from '../../connection.js';
 import { EXIT_CODES } from '../../exit-codes.js';
 import { printLine, printMessage, printTable } from '../../output.js';
 
--- a/packages/cli/src/commands/watch/index.ts
+++ b/packages/cli/src/commands/watch/index.ts
@@ -1,6 +1,6 @@
 /** `limelead watch`: follows what each mechanism of a VM does and why. */
 import { ObservedEventSchema, type ObservedEvent } from '@limelead/schema';
-import { withClient, type ConnectionOptions } from '../../connect.js';
+import { withClient, type ConnectionOptions } from '../../connection.js';
 import { EXIT_CODES } from '../../exit-codes.js';
 import { printLine, printMessage } from '../../output.js';
 
@@ -31,11 +31,11 @@
   const at = new Date(Number(event.atMs)).toISOString();
   const fields = Object.entries(event.detail.value ?? {})
     .filter(([name]) => name !== '$typeName')
-    .map(([name, value]) => `${name}=${showValue(value)}`);
+    .map(([name, value]) => `${name}=${formatValue(value)}`);
   printLine([at, event.vm, event.requestId || '-', event.detail.case, ...fields].join(' '));
 }
 
-function showValue(value: unknown): string {
+function formatValue(value: unknown): string {
   if (typeof value === 'string') {
     return value;
   }
--- a/packages/cli/src/connect.ts
+++ b/packages/cli/src/connection.ts
@@ -11,7 +11,7 @@
 }
 
 /** Creates the client, from options or else from the environment. */
-export default function connect(options: ConnectionOptions): Client {
+export default function createClientFromOptions(options: ConnectionOptions): Client {
   const urls = options.url ?? process.env['LIMELEAD_URL'];
   const key = options.key ?? process.env['LIMELEAD_KEY'];
   if (urls === undefined || key === undefined) {
@@ -25,7 +25,7 @@
   options: ConnectionOptions,
   run: (client: Client) => Promise<Result>,
 ): Promise<Result> {
-  const client = connect(options);
+  const client = createClientFromOptions(options);
   try {
     return await run(client);
   } finally {
--- a/packages/cli/src/processes.test.ts
+++ b/packages/cli/src/processes.test.ts
@@ -64,16 +64,16 @@
   }
 }
 
-interface System {
+interface TestSystem {
   daemons: Program[];
   urls: string[];
   start(name: keyof typeof BINARIES, ...args: string[]): Program;
 }
 
-async function withSystem(run: (system: System) => Promise<void>): Promise<void> {
+async function withSystem(run: (system: TestSystem) => Promise<void>): Promise<void> {
   const folder = mkdtempSync(join(tmpdir(), 'limelead-'));
   const programs: Program[] = [];
-  const start: System['start'] = (name, ...args) => {
+  const start: TestSystem['start'] = (name, ...args) => {
     const program = new Program(name, ...args);
     programs.push(program);
     return program;
@@ -97,7 +97,7 @@
       urls.push(`http://127.0.0.1:${rpc.port}`);
     }
     await applyConfiguration(start, folder, urls[0] ?? '');
-    await Promise.all(urls.map(whenReady));
+    await Promise.all(urls.map(waitUntilReady));
     await run({ daemons, urls, start });
   } finally {
     programs.forEach((program) => program.process.kill('SIGKILL'));
@@ -107,11 +107,11 @@
 }
 
 async function applyConfiguration(
-  start: System['start'],
+  start: TestSystem['start'],
   folder: string,
   url: string,
 ): Promise<void> {
-  await untilAnswered(`${url}/readyz`);
+  await waitForResponse(`${url}/readyz`);
   const file = join(folder, 'change.jsonc');
   const operations = createDemoResources().map((put) => ({ put }));
   writeFileSync(file, JSON.stringify({ reason: 'set up', operations }));
@@ -120,19 +120,19 @@
   assert.equal(apply.lines, ['revision 1']);
 }
 
-async function untilAnswered(url: string): Promise<void> {
-  while ((await statusOf(url)) === 0) {
+async function waitForResponse(url: string): Promise<void> {
+  while ((await getHttpStatus(url)) === 0) {
     await new Promise((resolve) => setTimeout(resolve, READY_CHECK_MS));
   }
 }
 
-async function whenReady(url: string): Promise<void> {
-  while ((await statusOf(`${url}/readyz`)) !== 200) {
+async function waitUntilReady(url: string): Promise<void> {
+  while ((await getHttpStatus(`${url}/readyz`)) !== 200) {
     await new Promise((resolve) => setTimeout(resolve, READY_CHECK_MS));
   }
 }
 
-async function statusOf(url: string): Promise<number> {
+async function getHttpStatus(url: string): Promise<number> {
   try {
     const response = await fetch(url);
     await response.arrayBuffer();
@@ -150,7 +150,10 @@
 }
 
 /** Streams an answer with the command; hits the first VM once tokens arrive. */
-async function generateThrough(system: System, hit: (daemon: Program) => void): Promise<void> {
+async function generateWithFault(
+  system: TestSystem,
+  hit: (daemon: Program) => void,
+): Promise<void> {
   const [daemon] = system.daemons;
   assert.ok(daemon);
   const url = system.urls.join(',');
@@ -183,18 +186,18 @@
 }
 
 test('an answer survives the SIGKILL of its VM, token by token', () =>
-  withSystem((system) => generateThrough(system, ({ process }) => process.kill('SIGKILL'))));
+  withSystem((system) => generateWithFault(system, ({ process }) => process.kill('SIGKILL'))));
 
 test('an answer survives a VM that is frozen and comes back as if nothing had happened', () =>
   withSystem(async (system) => {
-    await generateThrough(system, ({ process }) => process.kill('SIGSTOP'));
+    await generateWithFault(system, ({ process }) => process.kill('SIGSTOP'));
     system.daemons[0]?.process.kill('SIGCONT');
-    await whenReady(system.urls[0] ?? '');
+    await waitUntilReady(system.urls[0] ?? '');
   }));
 
 test('SIGTERM is a planned stop: the answer goes on and the VM ends by itself', () =>
   withSystem(async (system) => {
-    await generateThrough(system, ({ process }) => process.kill('SIGTERM'));
+    await generateWithFault(system, ({ process }) => process.kill('SIGTERM'));
     assert.is(await system.daemons[0]?.exited, 0);
   }));
 
--- a/packages/cli/src/run-limelead.ts
+++ b/packages/cli/src/run-limelead.ts
@@ -10,7 +10,7 @@
 import load, { type LoadOptions } from './commands/load/index.js';
 import status from './commands/status/index.js';
 import watch, { type WatchOptions } from './commands/watch/index.js';
-import type { ConnectionOptions } from './connect.js';
+import type { ConnectionOptions } from './connection.js';
 import { EXIT_CODES } from './exit-codes.js';
 import reportError from './report-error.js';
 
