--- a/packages/cli/src/commands/apply/change-file.ts
+++ b/packages/cli/src/commands/apply/change-file.ts
@@ -1,10 +1,6 @@
-/** The file that `limelead apply` takes: JSON with comments. */
+/** Decodes change files of `limelead apply`: JSON with comments. */
 import { operationCodec } from '@limelead/configuration-state';
-import decodeJsonc, {
-  strictObject,
-  listUpTo,
-  stringMatching,
-} from '@limelead/decode-with-lines';
+import decodeJsonc, { strictObject, listUpTo, stringMatching } from '@limelead/decode-with-lines';
 import type { DecodeError } from '@limelead/errors';
 import type { Operation } from '@limelead/types';
 import type * as E from 'fp-ts/lib/Either.js';
@@ -12,7 +8,7 @@
 
 const MAX_OPERATIONS = 1_000;
 
-/** A change as written in a file. */
+/** Contents of a change file. */
 export interface ChangeFile {
   reason: string;
   operations: Operation[];
@@ -23,7 +19,7 @@
   operations: listUpTo(operationCodec, MAX_OPERATIONS),
 }) as t.Type<ChangeFile, unknown>;
 
-/** Reads the text of a change file. */
+/** Decodes the text of a change file; errors name the line. */
 export default function decodeChangeFile(
   file: string,
   text: string,
--- a/packages/cli/src/commands/apply/index.ts
+++ b/packages/cli/src/commands/apply/index.ts
@@ -12,13 +12,13 @@
 
 /** Options of the command. */
 export interface ApplyOptions extends ConnectionOptions {
-  /** Revision that the change was made against; the present one where absent. */
+  /** Revision on which the change is based; defaults to the current one. */
   base?: number;
-  /** Id of the change; the same id is applied once. */
+  /** Id of the change; a change with the same id is applied only once. */
   changeId?: string;
 }
 
-/** Runs the command. */
+/** Runs the command; returns the exit code. */
 export default async function apply(file: string, options: ApplyOptions): Promise<number> {
   const change = decodeChangeFile(file, readFileSync(file, 'utf8'));
   if (E.isLeft(change)) {
@@ -53,7 +53,7 @@
   if (base !== undefined) {
     return BigInt(base);
   }
-  // One kind is enough: only the revision is wanted.
+  // Only the revision is needed, so request a single kind of resource.
   const { revision } = await administration.getConfiguration({ kind: 'operator' }, { headers });
   return revision;
 }
--- a/packages/cli/src/commands/audit/index.ts
+++ b/packages/cli/src/commands/audit/index.ts
@@ -1,4 +1,4 @@
-/** `limelead audit`: shows who changed what, when and why, newest first. */
+/** `limelead audit`: lists the changes of the configuration, newest first. */
 import { ListChangesResponseSchema, type Operation } from '@limelead/schema';
 import { withClient, type ConnectionOptions } from '../../connection.js';
 import { EXIT_CODES } from '../../exit-codes.js';
@@ -10,7 +10,7 @@
   before?: number;
 }
 
-/** Runs the command. */
+/** Runs the command; returns the exit code. */
 export default function audit(options: AuditOptions): Promise<number> {
   return withClient(options, async ({ administration, headers }) => {
     const request = { limit: options.limit ?? 0, beforeRevision: BigInt(options.before ?? 0) };
--- a/packages/cli/src/commands/call/index.ts
+++ b/packages/cli/src/commands/call/index.ts
@@ -14,7 +14,7 @@
   requestId?: string;
 }
 
-/** Runs the command. */
+/** Runs the command; returns the exit code. */
 export default function call(
   service: string,
   operation: string,
--- a/packages/cli/src/commands/demo/index.ts
+++ b/packages/cli/src/commands/demo/index.ts
@@ -1,4 +1,4 @@
-/** `limelead demo`: shows answers that survive their engines, in one process. */
+/** `limelead demo`: injects faults into a cluster in one process and checks every answer. */
 import { FAULT_NAMES, isFaultName, runDemo, type DemoReport } from '@limelead/demo';
 import { EXIT_CODES } from '../../exit-codes.js';
 import { printLine } from '../../output.js';
@@ -15,7 +15,7 @@
   json?: boolean;
 }
 
-/** Runs the command. */
+/** Runs the command; returns the exit code. */
 export default async function demo(options: DemoOptions): Promise<number> {
   const fault = options.fault ?? 'engine-death';
   const requests = options.requests ?? DEFAULT_REQUESTS;
@@ -44,17 +44,17 @@
       `${report.missing} missing, ${report.repeated} repeated, ${report.mixed} mixed`,
   );
   printLine(
-    `calls that must not run twice: ${report.nonRepeatableSent}, ` +
-      `most runs of one: ${report.nonRepeatableRunsMax}, ` +
-      `said "not run" but ran: ${report.notRunButRan}`,
+    `non-repeatable calls: ${report.nonRepeatableSent}, ` +
+      `maximum runs of one call: ${report.nonRepeatableRunsMax}, ` +
+      `reported as not run but ran: ${report.notRunButRan}`,
   );
   printLine(
-    `breaks that callers saw: ${resume.count}, ` +
-      `without a token for ${resume.p50} ms (median), ${resume.max} ms (longest)`,
+    `interruptions seen by callers: ${resume.count}, ` +
+      `time without a token ${resume.p50} ms (median), ${resume.max} ms (maximum)`,
   );
   printLine(
     `extra engine work: ${report.extraPrefillTokens} prompt tokens, ` +
       `${report.extraDecodedTokens} decoded tokens`,
   );
-  printLine(report.promisesHeld ? 'every promise held' : 'A PROMISE BROKE');
+  printLine(report.promisesHeld ? 'all guarantees held' : 'A GUARANTEE WAS VIOLATED');
 }
--- a/packages/cli/src/commands/explain/explain-request.ts
+++ b/packages/cli/src/commands/explain/explain-request.ts
@@ -1,8 +1,8 @@
-/** Tells the way of one request from the gateway's log lines, pure. */
+/** Explains how one request was served from the gateway's log lines. */
 import * as E from 'fp-ts/lib/Either.js';
 import * as t from 'io-ts';
 
-/** The part of a log line that every line has; what else it holds depends on the event. */
+/** The fields that every log line has; other fields depend on the event. */
 const lineCodec = t.intersection([
   t.type({ steadyMs: t.number, vm: t.string, event: t.string }),
   t.UnknownRecord,
@@ -10,7 +10,7 @@
 
 type LogLine = t.TypeOf<typeof lineCodec>;
 
-/** Fields that every line has, or that are the same in all lines of a request. */
+/** Fields that are left out of the list of fields of a step. */
 const COMMON_FIELDS: ReadonlySet<string> = new Set([
   'time',
   'steadyMs',
@@ -19,17 +19,17 @@
   'requestId',
 ]);
 
-/** What is known of one request. */
+/** The steps and the outcome of one request. */
 export interface RequestExplanation {
-  /** One text a line, in the order of the lines. */
+  /** One description per log line, in the order of the lines. */
   steps: string[];
-  /** What the last line that ends a request says; undefined where none was found. */
+  /** Outcome from the last line that ends the request; undefined if there is none. */
   outcome?: string;
 }
 
 /**
- * Finds a request's lines among those of many VMs.
- * @returns the story without steps where no line names the request
+ * Explains a request from the log lines of several VMs.
+ * @returns an explanation without steps if no line belongs to the request
  */
 export default function explainRequest(
   requestId: string,
@@ -44,7 +44,7 @@
   };
 }
 
-/** Lines of other programs and of other requests give nothing. */
+/** Parses a log line; returns an empty list for lines of other programs and requests. */
 function parseLine(text: string, requestId: string): LogLine[] {
   const start = text.indexOf('{');
   if (start < 0 || !text.includes(requestId)) {
@@ -75,6 +75,6 @@
   if (event === 'request-refused') {
     return `refused with ${String(status)} (${String(kind)}): ${String(reason)}`;
   }
-  const told = typeof status === 'number' ? `, status ${status}` : '';
-  return `${String(outcome)}${told}, sent ${String(sends ?? attempts)} times`;
+  const statusText = typeof status === 'number' ? `, status ${status}` : '';
+  return `${String(outcome)}${statusText}, sent ${String(sends ?? attempts)} times`;
 }
--- a/packages/cli/src/commands/explain/index.ts
+++ b/packages/cli/src/commands/explain/index.ts
@@ -1,4 +1,4 @@
-/** `limelead explain`: tells the way of one request from log lines on standard input. */
+/** `limelead explain`: explains how a request was served, from log lines on standard input. */
 import { createInterface } from 'node:readline';
 import { EXIT_CODES } from '../../exit-codes.js';
 import { printLine } from '../../output.js';
@@ -9,23 +9,23 @@
   json?: boolean;
 }
 
-/** Runs the command. */
+/** Runs the command; returns the exit code. */
 export default async function explain(requestId: string, options: ExplainOptions): Promise<number> {
   const lines: string[] = [];
   for await (const line of createInterface({ input: process.stdin })) {
-    // Other requests' lines need not be kept.
+    // Skip the lines of other requests to limit memory use.
     if (line.includes(requestId)) {
       lines.push(line);
     }
   }
-  const story = explainRequest(requestId, lines);
+  const explanation = explainRequest(requestId, lines);
   if (options.json === true) {
-    printLine(JSON.stringify(story));
-  } else if (story.steps.length === 0) {
-    printLine(`no line names the request ${requestId}`);
+    printLine(JSON.stringify(explanation));
+  } else if (explanation.steps.length === 0) {
+    printLine(`no log line found for request ${requestId}`);
   } else {
-    story.steps.forEach((step) => printLine(step));
-    printLine(`outcome: ${story.outcome ?? 'no line ends the request'}`);
+    explanation.steps.forEach((step) => printLine(step));
+    printLine(`outcome: ${explanation.outcome ?? 'unknown, no log line ends the request'}`);
   }
-  return story.steps.length === 0 ? EXIT_CODES.failed : EXIT_CODES.done;
+  return explanation.steps.length === 0 ? EXIT_CODES.failed : EXIT_CODES.done;
 }
--- a/packages/cli/src/commands/generate/index.ts
+++ b/packages/cli/src/commands/generate/index.ts
@@ -15,7 +15,7 @@
   requestId?: string;
 }
 
-/** Runs the command. */
+/** Runs the command; returns the exit code. */
 export default function generate(
   service: string,
   prompt: string,
@@ -37,7 +37,7 @@
       } else if (event.kind === 'tokens') {
         process.stdout.write(event.tokens.join(''));
       } else if (event.kind === 'moved') {
-        process.stderr.write(`\n[goes on through another VM: ${event.reason}]\n`);
+        process.stderr.write(`\n[continues through another VM: ${event.reason}]\n`);
       }
     }
     if (options.json !== true) {
--- a/packages/cli/src/commands/get/index.ts
+++ b/packages/cli/src/commands/get/index.ts
@@ -1,10 +1,10 @@
-/** `limelead get`: shows the configuration in force. */
+/** `limelead get`: shows the current configuration. */
 import { GetConfigurationResponseSchema } from '@limelead/schema';
 import { withClient, type ConnectionOptions } from '../../connection.js';
 import { EXIT_CODES } from '../../exit-codes.js';
 import { printMessage, printTable } from '../../output.js';
 
-/** Runs the command. */
+/** Runs the command; returns the exit code. */
 export default function get(kind: string | undefined, options: ConnectionOptions): Promise<number> {
   return withClient(options, async ({ administration, headers }) => {
     const response = await administration.getConfiguration({ kind: kind ?? '' }, { headers });
--- a/packages/cli/src/commands/load/index.ts
+++ b/packages/cli/src/commands/load/index.ts
@@ -1,4 +1,4 @@
-/** `limelead load`: drives running VMs with the load of a mix file. */
+/** `limelead load`: sends the load that a mix file describes to running VMs. */
 import { createSeededRandom } from '@limelead/demo';
 import { decodeMix, planArrivals, runLoad, type LoadSummary } from '@limelead/load';
 import { systemTimers } from '@limelead/types';
@@ -18,11 +18,11 @@
   json?: boolean;
 }
 
-/** Runs the command. */
+/** Runs the command; returns the exit code. */
 export default async function load(file: string, options: LoadOptions): Promise<number> {
   const urls = options.url ?? process.env['LIMELEAD_URL'];
   if (urls === undefined) {
-    throw new UsageError('--url is needed, or LIMELEAD_URL; the keys are in the mix file');
+    throw new UsageError('--url or LIMELEAD_URL is required; the keys are in the mix file');
   }
   const mix = decodeMix(file, readFileSync(file, 'utf8'));
   if (E.isLeft(mix)) {
--- a/packages/cli/src/commands/status/index.ts
+++ b/packages/cli/src/commands/status/index.ts
@@ -1,10 +1,10 @@
-/** `limelead status`: shows what one VM knows of VMs and targets. */
+/** `limelead status`: shows the state of VMs and targets as one VM sees it. */
 import { GetStatusResponseSchema } from '@limelead/schema';
 import { withClient, type ConnectionOptions } from '../../connection.js';
 import { EXIT_CODES } from '../../exit-codes.js';
 import { printLine, printMessage, printTable } from '../../output.js';
 
-/** Runs the command. */
+/** Runs the command; returns the exit code. */
 export default function status(options: ConnectionOptions): Promise<number> {
   return withClient(options, async ({ administration, headers }) => {
     const response = await administration.getStatus({}, { headers });
--- a/packages/cli/src/commands/watch/index.ts
+++ b/packages/cli/src/commands/watch/index.ts
@@ -1,4 +1,4 @@
-/** `limelead watch`: follows what each mechanism of a VM does and why. */
+/** `limelead watch`: streams the events of a VM. */
 import { ObservedEventSchema, type ObservedEvent } from '@limelead/schema';
 import { withClient, type ConnectionOptions } from '../../connection.js';
 import { EXIT_CODES } from '../../exit-codes.js';
@@ -9,13 +9,13 @@
   request?: string;
 }
 
-/** Runs the command until its stream ends. */
+/** Prints events until the stream ends; returns the exit code. */
 export default function watch(options: WatchOptions): Promise<number> {
   return withClient(options, async ({ observation, headers }) => {
     const stream = observation.watch({ requestId: options.request ?? '' }, { headers });
     for await (const { event } of stream) {
       if (event.case === 'lost') {
-        printLine(`… ${event.value} events lost: this reader is slow`);
+        printLine(`… ${event.value} events dropped because this reader is too slow`);
       } else if (event.case === 'observed') {
         printEvent(event.value, options.json === true);
       }
--- a/packages/cli/src/exit-codes.ts
+++ b/packages/cli/src/exit-codes.ts
@@ -1,14 +1,14 @@
-/** Exit codes, so that scripts can tell failures apart. */
+/** Exit codes of limelead. */
 export const EXIT_CODES = {
   done: 0,
-  /** A promise broke, or something unforeseen failed. */
+  /** The command failed, or the demonstration found a violated guarantee. */
   failed: 1,
-  /** Arguments or a file do not hold. */
+  /** Arguments or a file are invalid. */
   usage: 2,
-  /** The system refused, and says that nothing was run. */
+  /** The request was refused and was not run. */
   refused: 3,
-  /** Somebody else changed the configuration first. */
+  /** Another operator changed the configuration first. */
   conflict: 4,
-  /** Whether the request was run is not known. */
+  /** It is unknown whether the request was run. */
   outcomeUnknown: 5,
 } as const;
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,2 +1,2 @@
-/** The command limelead for callers and operators. */
+/** The command line of limelead for callers and operators. */
 export { default as runLimelead } from './run-limelead.js';
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,4 +1,4 @@
-/** Output of the commands. */
+/** Writes the output of the commands. */
 import { toJson, type DescMessage, type MessageShape } from '@bufbuild/protobuf';
 
 /** Writes one line to standard output. */
--- a/packages/cli/src/processes.test.ts
+++ b/packages/cli/src/processes.test.ts
@@ -1,4 +1,4 @@
-/** The system as separate processes: killed and frozen as the operating system does it. */
+/** Tests daemons, stand-ins and commands as separate processes, with signals that kill or freeze them. */
 import {
   DEMO_KEYS,
   DEMO_VERSIONS,
@@ -26,40 +26,40 @@
 const MAX_TOKENS = 200;
 const PROMPT = 'shift route brief';
 
-/** Starts one of the programs; its standard output is read line by line. */
+/** A child process whose standard output is read line by line. */
 class Program {
   readonly process: ChildProcess;
   readonly lines: string[] = [];
   readonly exited: Promise<number>;
-  private errors = '';
-  private waiting: (() => void)[] = [];
+  private stderrText = '';
+  private lineWaiters: (() => void)[] = [];
 
   constructor(name: keyof typeof BINARIES, ...args: string[]) {
     const file = fileURLToPath(new URL(BINARIES[name], import.meta.url));
     this.process = spawn(process.execPath, [file, ...args], { stdio: ['ignore', 'pipe', 'pipe'] });
-    this.process.stderr?.on('data', (data) => (this.errors += String(data)));
+    this.process.stderr?.on('data', (data) => (this.stderrText += String(data)));
     const { stdout } = this.process;
     assert.ok(stdout);
     createInterface({ input: stdout }).on('line', (line) => {
       this.lines.push(line);
-      this.waiting.splice(0).forEach((wake) => wake());
+      this.lineWaiters.splice(0).forEach((notify) => notify());
     });
     this.exited = new Promise((resolve) =>
       this.process.once('close', (code) => {
-        this.waiting.splice(0).forEach((wake) => wake());
+        this.lineWaiters.splice(0).forEach((notify) => notify());
         resolve(code ?? -1);
       }),
     );
   }
 
-  async line(index: number): Promise<string> {
+  async readLine(index: number): Promise<string> {
     for (;;) {
       const line = this.lines[index];
       if (line !== undefined) {
         return line;
       }
-      assert.is(this.process.exitCode, null, `ended early: ${this.errors}`);
-      await new Promise<void>((resolve) => this.waiting.push(resolve));
+      assert.is(this.process.exitCode, null, `exited early: ${this.stderrText}`);
+      await new Promise<void>((resolve) => this.lineWaiters.push(resolve));
     }
   }
 }
@@ -85,7 +85,7 @@
       loaded: Object.values(DEMO_VERSIONS),
     };
     const standIns = start('standIns', JSON.stringify(plan));
-    const { platformPort } = JSON.parse(await standIns.line(0)) as { platformPort: number };
+    const { platformPort } = JSON.parse(await standIns.readLine(0)) as { platformPort: number };
     const urls: string[] = [];
     const daemons: Program[] = [];
     for (const id of ['vm-1', 'vm-2']) {
@@ -149,10 +149,10 @@
   tokens?: string[];
 }
 
-/** Streams an answer with the command; hits the first VM once tokens arrive. */
+/** Streams an answer with the command, injects a fault into the first VM, and checks every token. */
 async function generateWithFault(
   system: TestSystem,
-  hit: (daemon: Program) => void,
+  injectFault: (daemon: Program) => void,
 ): Promise<void> {
   const [daemon] = system.daemons;
   assert.ok(daemon);
@@ -162,16 +162,16 @@
     ...['generate', 'route-brief', PROMPT, '--max-tokens', String(MAX_TOKENS), '--json'],
     ...['--url', url, '--key', DEMO_KEYS.routing],
   );
-  let isHit = false;
+  let isFaultInjected = false;
   let seed = 0;
   const tokens: string[] = [];
   for (let index = 0; ; index += 1) {
-    const event = JSON.parse(await command.line(index)) as PrintedEvent;
+    const event = JSON.parse(await command.readLine(index)) as PrintedEvent;
     seed = event.started === undefined ? seed : Number(event.started.seed);
     tokens.push(...(event.tokens ?? []));
-    if (tokens.length > 20 && !isHit) {
-      isHit = true;
-      hit(daemon);
+    if (tokens.length > 20 && !isFaultInjected) {
+      isFaultInjected = true;
+      injectFault(daemon);
     }
     if (event.kind === 'finished') {
       break;
@@ -185,23 +185,23 @@
   assert.equal(tokens, expected);
 }
 
-test('an answer survives the SIGKILL of its VM, token by token', () =>
+test('an answer is complete and unchanged after its VM is killed', () =>
   withSystem((system) => generateWithFault(system, ({ process }) => process.kill('SIGKILL'))));
 
-test('an answer survives a VM that is frozen and comes back as if nothing had happened', () =>
+test('an answer is complete after its VM is frozen, and the VM becomes ready again when it continues', () =>
   withSystem(async (system) => {
     await generateWithFault(system, ({ process }) => process.kill('SIGSTOP'));
     system.daemons[0]?.process.kill('SIGCONT');
     await waitUntilReady(system.urls[0] ?? '');
   }));
 
-test('SIGTERM is a planned stop: the answer goes on and the VM ends by itself', () =>
+test('on SIGTERM the answer continues and the daemon exits with code 0', () =>
   withSystem(async (system) => {
     await generateWithFault(system, ({ process }) => process.kill('SIGTERM'));
     assert.is(await system.daemons[0]?.exited, 0);
   }));
 
-test('the commands say what they did by their exit codes', () =>
+test('the exit codes of the commands tell success, refusal and wrong usage apart', () =>
   withSystem(async ({ start, urls }) => {
     const url = urls[0] ?? '';
     const asHaneul = ['--url', url, '--key', DEMO_KEYS.haneul];
@@ -218,7 +218,7 @@
     assert.is(await exitOf('demo', '--fault', 'no-such-fault'), 2);
   }));
 
-test('the daemon checks its settings and names the fault', async () => {
+test('the daemon checks its settings and exits with code 2 if they are invalid', async () => {
   const example = fileURLToPath(new URL('../../../examples/limelead.jsonc', import.meta.url));
   const good = new Program('limeleadd', '--settings', example, '--check');
   assert.is(await good.exited, 0);
--- a/packages/cli/src/report-error.ts
+++ b/packages/cli/src/report-error.ts
@@ -1,10 +1,10 @@
-/** Shows an error on standard error and gives its exit code. */
+/** Prints errors of commands and maps them to exit codes. */
 import { readErrorDetail } from '@limelead/client';
 import { DecodeError } from '@limelead/errors';
 import { EXIT_CODES } from './exit-codes.js';
 import UsageError from './usage-error.js';
 
-/** Reports anything that a command threw. */
+/** Prints anything that a command threw; returns the exit code. */
 export default function reportError(thrown: unknown, isJson: boolean): number {
   if (thrown instanceof UsageError || thrown instanceof DecodeError) {
     process.stderr.write(`limelead: ${thrown.message}\n`);
@@ -18,8 +18,8 @@
     name: resource?.kind.value?.name,
   }));
   if (isJson) {
-    const shown = { error: { kind, message, execution, mayRetry, retryAfterMs, current } };
-    process.stdout.write(`${JSON.stringify(shown)}\n`);
+    const output = { error: { kind, message, execution, mayRetry, retryAfterMs, current } };
+    process.stdout.write(`${JSON.stringify(output)}\n`);
   }
   process.stderr.write(`limelead: ${kind}: ${message} (${describeExecution(execution)})\n`);
   current?.forEach((resource) =>
@@ -27,7 +27,7 @@
       `  now at revision ${resource.revision}: ${resource.kind} ${resource.name}\n`,
     ),
   );
-  return exitCodeOf(kind, execution);
+  return getExitCode(kind, execution);
 }
 
 function describeExecution(execution: string): string {
@@ -36,7 +36,7 @@
   );
 }
 
-function exitCodeOf(kind: string, execution: string): number {
+function getExitCode(kind: string, execution: string): number {
   if (kind === 'conflict') {
     return EXIT_CODES.conflict;
   }
--- a/packages/cli/src/run-limelead.ts
+++ b/packages/cli/src/run-limelead.ts
@@ -1,4 +1,4 @@
-/** Defines the commands, their options and examples. */
+/** Defines the commands of limelead with their options and examples. */
 import { cac, type CAC } from 'cac';
 import apply, { type ApplyOptions } from './commands/apply/index.js';
 import audit, { type AuditOptions } from './commands/audit/index.js';
@@ -14,13 +14,13 @@
 import { EXIT_CODES } from './exit-codes.js';
 import reportError from './report-error.js';
 
-/** Runs the command with the process's arguments; sets the exit code. */
+/** Runs the command that the arguments name and sets the exit code of the process. */
 export default async function runLimelead(argv: string[]): Promise<void> {
   const program = cac('limelead');
   defineCallerCommands(program);
   defineOperatorCommands(program);
   program
-    .command('demo', 'Show answers that survive their engines, in one process')
+    .command('demo', 'Inject faults into a cluster in one process and check every answer')
     .option(
       '--fault <name>',
       'none, engine-death, engine-pause, link-cut, vm-death, vm-stop, target-leave, store-outage or all',
@@ -32,11 +32,11 @@
     .example('limelead demo --fault all --seed 7 --json')
     .action((options: DemoOptions) => finish(demo(options), options));
   program
-    .command('load <mix>', 'Drive running VMs with the load of a mix file')
+    .command('load <mix>', 'Send the load that a mix file describes to running VMs')
     .option('--url <urls>', 'Base URLs of VMs, separated by commas (LIMELEAD_URL)')
     .option('--seed <number>', 'Seed of the arrivals', { default: 1 })
-    .option('--tries <number>', 'Tries of one request', { default: 10 })
-    .option('--json', 'Write the figures as one line of JSON')
+    .option('--tries <number>', 'Maximum attempts per request', { default: 10 })
+    .option('--json', 'Write the results as one line of JSON')
     .example('limelead load examples/mix.jsonc --url http://127.0.0.1:8080')
     .action((mix: string, options: LoadOptions) => finish(load(mix, options), options));
   program.help();
@@ -57,10 +57,10 @@
 
 function defineCallerCommands(program: CAC): void {
   withConnection(program.command('generate <service> <prompt>', 'Stream an answer'))
-    .option('--max-tokens <number>', 'Most tokens of the answer')
-    .option('--priority <name>', "Priority; the service's own where absent")
-    .option('--deadline-ms <number>', 'Milliseconds for the whole answer')
-    .option('--pace <number>', 'Tokens a second at most')
+    .option('--max-tokens <number>', 'Maximum tokens of the answer')
+    .option('--priority <name>', "Priority; defaults to the service's priority")
+    .option('--deadline-ms <number>', 'Deadline of the whole answer in milliseconds')
+    .option('--pace <number>', 'Maximum tokens per second')
     .option('--request-id <id>', 'Id of the request')
     .example('limelead generate route-brief "Shift 3, water crews" --max-tokens 400')
     .action((service: string, prompt: string, options: GenerateOptions) =>
@@ -68,8 +68,8 @@
     );
   withConnection(program.command('call <service> <operation>', 'Call a plain service'))
     .option('--body <text>', 'Body of the call')
-    .option('--repeatable', 'The call may run more than once')
-    .option('--request-id <id>', 'Id of the request; a retry by hand takes the same')
+    .option('--repeatable', 'Allow the call to run more than once')
+    .option('--request-id <id>', 'Id of the request; use the same id to retry by hand')
     .example('limelead call booking book-room --body \'{"room":4}\'')
     .action((service: string, operation: string, options: CallOptions) =>
       finish(call(service, operation, options), options),
@@ -78,35 +78,35 @@
 
 function defineOperatorCommands(program: CAC): void {
   withConnection(program.command('apply <file>', 'Change the configuration'))
-    .option('--base <revision>', 'Revision that the change was made against')
-    .option('--change-id <id>', 'Id of the change; the same id is applied once')
+    .option('--base <revision>', 'Revision on which the change is based')
+    .option('--change-id <id>', 'Id of the change; a change with the same id is applied only once')
     .example('limelead apply change.jsonc --base 41')
     .action((file: string, options: ApplyOptions) => finish(apply(file, options), options));
-  withConnection(program.command('get [kind]', 'Show the configuration in force'))
+  withConnection(program.command('get [kind]', 'Show the current configuration'))
     .example('limelead get organisation')
     .action((kind: string | undefined, options: ConnectionOptions) =>
       finish(get(kind, options), options),
     );
   withConnection(program.command('audit', 'Show who changed what, when and why'))
-    .option('--limit <number>', 'Changes shown')
+    .option('--limit <number>', 'Maximum number of changes shown')
     .option('--before <revision>', 'Only changes below this revision')
     .action((options: AuditOptions) => finish(audit(options), options));
-  withConnection(program.command('watch', 'Follow what each mechanism does and why'))
+  withConnection(program.command('watch', 'Stream the events of a VM'))
     .option('--request <id>', 'Only events of this request')
     .action((options: WatchOptions) => finish(watch(options), options));
   program
-    .command('explain <id>', "Tell a request's way from the log lines on standard input")
+    .command('explain <id>', 'Explain how a request was served, from log lines on standard input')
     .option('--json', 'Write JSON')
     .example('cat vm-*.log | limelead explain c94c3facf4664d64')
     .action((id: string, options: ExplainOptions) => finish(explain(id, options), options));
-  withConnection(program.command('status', 'Show what a VM knows of VMs and targets')).action(
-    (options: ConnectionOptions) => finish(status(options), options),
-  );
+  withConnection(
+    program.command('status', 'Show the state of VMs and targets as one VM sees it'),
+  ).action((options: ConnectionOptions) => finish(status(options), options));
 }
 
 function withConnection(command: ReturnType<CAC['command']>): ReturnType<CAC['command']> {
   return command
-    .option('--url <urls>', 'Base URLs of VMs or of the balancer (LIMELEAD_URL)')
+    .option('--url <urls>', 'Base URLs of VMs or of the load balancer (LIMELEAD_URL)')
     .option('--key <key>', 'Key of the organisation or operator (LIMELEAD_KEY)')
     .option('--json', 'Write JSON');
 }
--- a/packages/cli/src/usage-error.ts
+++ b/packages/cli/src/usage-error.ts
@@ -1,4 +1,4 @@
-/** Arguments that do not hold. */
+/** Invalid or missing arguments. */
 export default class UsageError extends Error {
   override readonly name = 'UsageError';
 }
