--- a/packages/demo/src/create-settings.ts
+++ b/packages/demo/src/create-settings.ts
@@ -5,7 +5,7 @@
 const HOST = '127.0.0.1';
 
 /** What differs between the VMs. */
-export interface VmPlace {
+export interface VmLocation {
   id: string;
   failureDomain: string;
   platformPort: number;
@@ -13,7 +13,7 @@
 }
 
 /** Creates settings with quick intervals, so that a demonstration takes seconds. */
-export default function createSettings(place: VmPlace): Settings {
+export default function createSettings(place: VmLocation): Settings {
   const platform = { host: HOST, port: place.platformPort };
   return {
     id: place.id,
--- a/packages/demo/src/demo-cluster.ts
+++ b/packages/demo/src/demo-cluster.ts
@@ -86,7 +86,7 @@
     await startVm();
   }
   await applyResources(vms[0], sizes.resources);
-  await Promise.all(vms.map((vm) => whenReady(vm.url)));
+  await Promise.all(vms.map((vm) => waitUntilReady(vm.url)));
 
   return {
     platform,
@@ -96,7 +96,7 @@
     urls: () => vms.filter(({ isUp }) => isUp).map(({ url }) => url),
     async addVm() {
       const vm = await startVm();
-      await whenReady(vm.url);
+      await waitUntilReady(vm.url);
       return vm;
     },
     async stop() {
@@ -109,7 +109,7 @@
 }
 
 /** Resolves once a VM's readiness page says so. */
-export async function whenReady(url: string): Promise<void> {
+export async function waitUntilReady(url: string): Promise<void> {
   for (;;) {
     const response = await fetch(`${url}/readyz`);
     await response.arrayBuffer();
@@ -125,7 +125,7 @@
   for (let index = 0; index < sizes.engines; index += 1) {
     const id = `engine-${index + 1}`;
     const engine = await startEngine({ id, loaded: Object.values(DEMO_VERSIONS), ...sizes.engine });
-    platform.vms.add(listed(id, 'engine', engine.port, domainAt(sizes.domains, index)));
+    platform.vms.add(createListedVm(id, 'engine', engine.port, selectDomain(sizes.domains, index)));
     engines.push(engine);
   }
   return engines;
@@ -138,7 +138,12 @@
   const services: PlainServiceStandIn[] = [];
   for (let index = 0; index < count; index += 1) {
     const service = await startPlainService();
-    const vm = listed(`plain-${index + 1}`, 'plain', service.port, domainAt(domains, index));
+    const vm = createListedVm(
+      `plain-${index + 1}`,
+      'plain',
+      service.port,
+      selectDomain(domains, index),
+    );
     platform.vms.add({ ...vm, services: ['booking'] });
     services.push(service);
   }
@@ -155,10 +160,10 @@
   const seeds = others
     .filter(({ isUp }) => isUp)
     .map((vm) => ({ id: vm.id, host: HOST, port: vm.daemon.peerPort }));
-  const failureDomain = domainAt(domains, index);
+  const failureDomain = selectDomain(domains, index);
   const settings = createSettings({ id, failureDomain, platformPort: platform.port, seeds });
   const daemon = await startDaemon(settings, undefined, strategies);
-  platform.vms.add(listed(id, 'entry', daemon.peerPort, failureDomain));
+  platform.vms.add(createListedVm(id, 'entry', daemon.peerPort, failureDomain));
   return { id, daemon, url: `http://${HOST}:${daemon.rpcPort}`, isUp: true };
 }
 
@@ -177,10 +182,15 @@
   await client.close();
 }
 
-function listed(id: string, role: ListedVm['role'], port: number, failureDomain: string): ListedVm {
+function createListedVm(
+  id: string,
+  role: ListedVm['role'],
+  port: number,
+  failureDomain: string,
+): ListedVm {
   return { id, role, host: HOST, port, failureDomain, leaving: false, services: [] };
 }
 
-function domainAt(domains: readonly string[], index: number): string {
+function selectDomain(domains: readonly string[], index: number): string {
   return domains[index % domains.length] ?? '';
 }
--- a/packages/demo/src/inject-faults.ts
+++ b/packages/demo/src/fault-injector.ts
@@ -29,14 +29,14 @@
   atMs: number;
 }
 
-const ENGINE_REVIVES_AFTER_MS = 1_500;
-const ENGINE_WAKES_AFTER_MS = 2_500;
-const STORE_RETURNS_AFTER_MS = 2_000;
+const ENGINE_DOWNTIME_MS = 1_500;
+const ENGINE_PAUSE_MS = 2_500;
+const STORE_OUTAGE_MS = 2_000;
 /** A target that leaves is switched off after this long. */
-const LEAVING_ENDS_AFTER_MS = 6_000;
-const PAUSE_BETWEEN_FAULTS_MS = 600;
+const LEAVING_ENGINE_LIFETIME_MS = 6_000;
+const FAULT_INTERVAL_MS = 600;
 
-const ORDER_OF_ALL: SingleFault[] = [
+const ALL_FAULTS_IN_ORDER: SingleFault[] = [
   'link-cut',
   'store-outage',
   'engine-pause',
@@ -55,9 +55,9 @@
 export default class FaultInjector {
   readonly injected: InjectedFault[] = [];
   /** Moment at which each leaving engine was announced as such. */
-  readonly leavingSince = new Map<string, number>();
+  readonly leavingSinceMs = new Map<string, number>();
   private readonly pending: Promise<void>[] = [];
-  private readonly hit = new Set<string>();
+  private readonly usedEngines = new Set<string>();
 
   constructor(
     private readonly cluster: DemoCluster,
@@ -67,17 +67,17 @@
 
   /** Injects one fault, or all of them one after another. */
   async inject(fault: FaultName): Promise<void> {
-    const faults = fault === 'all' ? ORDER_OF_ALL : fault === 'none' ? [] : [fault];
+    const faults = fault === 'all' ? ALL_FAULTS_IN_ORDER : fault === 'none' ? [] : [fault];
     for (const [index, single] of faults.entries()) {
       if (index > 0) {
-        await delay(this.timers, PAUSE_BETWEEN_FAULTS_MS);
+        await delay(this.timers, FAULT_INTERVAL_MS);
       }
       await this.injectOne(single);
     }
   }
 
   /** Resolves once every fault was undone. */
-  async settle(): Promise<void> {
+  async waitForRecovery(): Promise<void> {
     await Promise.all(this.pending);
   }
 
@@ -88,74 +88,78 @@
       case 'engine-pause':
         return this.pauseEngine(this.takeBusiestEngine());
       case 'link-cut': {
-        const engine = this.busiestEngine();
-        this.note(fault, engine.id);
+        const engine = this.findBusiestEngine();
+        this.recordFault(fault, engine.id);
         return engine.cutLinks();
       }
       case 'vm-death': {
         const vm = this.takeVm();
-        this.note(fault, vm.id);
+        this.recordFault(fault, vm.id);
         await vm.daemon.kill();
         this.cluster.platform.vms.remove(vm.id);
         return;
       }
       case 'vm-stop': {
         const vm = this.takeVm();
-        this.note(fault, vm.id);
+        this.recordFault(fault, vm.id);
         this.pending.push(vm.daemon.stop());
         return;
       }
       case 'target-leave':
-        return this.leave(this.takeBusiestEngine());
+        return this.announceLeaving(this.takeBusiestEngine());
       case 'store-outage':
-        this.note(fault, 'key-value service');
+        this.recordFault(fault, 'key-value service');
         this.cluster.platform.setOutage(true);
-        return this.later(STORE_RETURNS_AFTER_MS, () => this.cluster.platform.setOutage(false));
+        return this.schedule(STORE_OUTAGE_MS, () => this.cluster.platform.setOutage(false));
     }
   }
 
   private async killEngine(engine: Engine): Promise<void> {
-    this.note('engine-death', engine.id);
+    this.recordFault('engine-death', engine.id);
     await engine.die();
-    this.later(ENGINE_REVIVES_AFTER_MS, () => engine.revive());
+    this.schedule(ENGINE_DOWNTIME_MS, () => engine.revive());
   }
 
   private pauseEngine(engine: Engine): void {
-    this.note('engine-pause', engine.id);
+    this.recordFault('engine-pause', engine.id);
     engine.pause();
-    this.later(ENGINE_WAKES_AFTER_MS, () => engine.wake());
+    this.schedule(ENGINE_PAUSE_MS, () => engine.wake());
   }
 
-  private leave(engine: Engine): void {
-    this.note('target-leave', engine.id);
-    this.leavingSince.set(engine.id, Date.now());
+  private announceLeaving(engine: Engine): void {
+    this.recordFault('target-leave', engine.id);
+    this.leavingSinceMs.set(engine.id, Date.now());
     this.cluster.platform.vms.setLeaving(engine.id);
-    this.later(LEAVING_ENDS_AFTER_MS, () => engine.die());
+    this.schedule(LEAVING_ENGINE_LIFETIME_MS, () => engine.die());
   }
 
-  private later(milliseconds: number, run: () => unknown): void {
+  private schedule(milliseconds: number, run: () => unknown): void {
     this.pending.push(delay(this.timers, milliseconds).then(async () => void (await run())));
   }
 
-  private note(fault: SingleFault, subject: string): void {
+  private recordFault(fault: SingleFault, subject: string): void {
     const atMs = Math.round(performance.now() - this.startedAtMs);
     this.injected.push({ fault, subject, atMs });
   }
 
   /** The busiest engine that no fault has hit yet; it is not taken again. */
   private takeBusiestEngine(): Engine {
-    const engine = this.busiestEngine();
-    this.hit.add(engine.id);
+    const engine = this.findBusiestEngine();
+    this.usedEngines.add(engine.id);
     return engine;
   }
 
-  private busiestEngine(): Engine {
-    const free = this.cluster.engines.filter(({ id }) => !this.hit.has(id));
+  private findBusiestEngine(): Engine {
+    const free = this.cluster.engines.filter(({ id }) => !this.usedEngines.has(id));
     const [first, ...others] = free;
     if (first === undefined) {
       throw new Error('no engine is left for another fault');
     }
-    return others.reduce((best, engine) => (openOn(engine) > openOn(best) ? engine : best), first);
+    return others.reduce(
+      (best, engine) =>
+        countRunningGenerations(engine) > countRunningGenerations(best) ? engine : best,
+      first,
+    );
   }
 
   private takeVm(): DemoVm {
@@ -168,6 +172,6 @@
   }
 }
 
-function openOn(engine: Engine): number {
+function countRunningGenerations(engine: Engine): number {
   return engine.records().filter(({ ended }) => ended === 'running').length;
 }
--- a/packages/demo/src/index.ts
+++ b/packages/demo/src/index.ts
@@ -5,7 +5,7 @@
   type DemoCluster,
   type DemoClusterOptions,
 } from './demo-cluster.js';
-export { FAULT_NAMES, isFaultName, type FaultName } from './inject-faults.js';
+export { FAULT_NAMES, isFaultName, type FaultName } from './fault-injector.js';
 export type { DemoReport } from './report.js';
 export * from './demo-configuration.js';
 export { default as createSeededRandom } from './seeded-random.js';
--- a/packages/demo/src/narrate.ts
+++ b/packages/demo/src/print-events.ts
@@ -4,7 +4,7 @@
 import { DEMO_KEYS } from './demo-configuration.js';
 
 /** Kinds of events that a reader of the terminal wants to see. */
-const TOLD = new Set<string>([
+const PRINTED_EVENTS = new Set<string>([
   'streamBroken',
   'recoveryPlanned',
   'streamContinued',
@@ -15,7 +15,7 @@
 ]);
 
 /** Watches one VM until its stream ends. */
-export default async function narrate(
+export default async function printEvents(
   url: string,
   print: (line: string) => void,
   signal: AbortSignal,
@@ -26,7 +26,7 @@
       {},
       { headers: client.headers, signal },
     )) {
-      if (event.case === 'observed' && TOLD.has(event.value.detail.case ?? '')) {
+      if (event.case === 'observed' && PRINTED_EVENTS.has(event.value.detail.case ?? '')) {
         print(describe(event.value));
       }
     }
--- a/packages/demo/src/report.ts
+++ b/packages/demo/src/report.ts
@@ -1,7 +1,7 @@
 /** The report of a demonstration, from what callers saw and what the stand-ins recorded. */
 import { answerLength, tokenAt, type Engine, type TokenSource } from '@limelead/stand-ins';
-import type { InjectedFault } from './inject-faults.js';
-import type { AnswerRecord, CallRecord } from './run-work.js';
+import type { InjectedFault } from './fault-injector.js';
+import type { AnswerRecord, CallRecord } from './run-request.js';
 
 /** What a demonstration found. */
 export interface DemoReport {
@@ -28,25 +28,25 @@
 }
 
 /** Everything that the report is made from. */
-export interface DemoEvidence {
+export interface DemoObservations {
   fault: string;
   seed: number;
   answers: AnswerRecord[];
   calls: CallRecord[];
   engines: Engine[];
   /** Runs of each call at all plain services together. */
-  runsOf(requestId: string): number;
+  countRuns(requestId: string): number;
   lateWorkOnLeaving: number;
   faults: InjectedFault[];
 }
 
 /** Assembles the report. */
-export default function assembleReport(evidence: DemoEvidence): DemoReport {
+export default function assembleReport(evidence: DemoObservations): DemoReport {
   const { answers, calls } = evidence;
   const checks = answers.map(checkAnswer);
   const sum = (pick: (check: AnswerCheck) => number): number =>
     checks.reduce((total, check) => total + pick(check), 0);
-  const runs = calls.map(({ work }) => evidence.runsOf(work.requestId));
+  const runs = calls.map(({ request }) => evidence.countRuns(request.requestId));
   const report = {
     fault: evidence.fault,
     seed: evidence.seed,
@@ -60,17 +60,17 @@
     nonRepeatableSent: calls.length,
     nonRepeatableRunsMax: Math.max(0, ...runs),
     notRunButRan: calls.filter(
-      (call) => saidNotRun(call) && evidence.runsOf(call.work.requestId) > 0,
+      (call) => isReportedNotRun(call) && evidence.countRuns(call.request.requestId) > 0,
     ).length,
     lateWorkOnLeaving: evidence.lateWorkOnLeaving,
     resumeLatencyMs: summarize(answers.flatMap(({ resumeLatenciesMs }) => resumeLatenciesMs)),
     ...countExtraWork(evidence),
     faults: evidence.faults,
   };
-  return { ...report, promisesHeld: holdsPromises(report) };
+  return { ...report, promisesHeld: holdsGuarantees(report) };
 }
 
-function holdsPromises(report: Omit<DemoReport, 'promisesHeld'>): boolean {
+function holdsGuarantees(report: Omit<DemoReport, 'promisesHeld'>): boolean {
   const broken =
     report.missing +
     report.repeated +
@@ -91,9 +91,9 @@
 
 /** Compares an answer token by token with what one generation under its binding gives. */
 function checkAnswer(record: AnswerRecord): AnswerCheck {
-  const { work, tokens } = record;
-  const source = findSource(record);
-  const length = source === undefined ? work.maxTokens : answerLength(source, work.maxTokens);
+  const { request, tokens } = record;
+  const source = findTokenSource(record);
+  const length = source === undefined ? request.maxTokens : answerLength(source, request.maxTokens);
   const seen = new Map<number, number>();
   let mixed = countChangedBindings(record);
   for (const { offset, token } of tokens) {
@@ -112,48 +112,50 @@
 }
 
 /** The binding under which the first token was delivered. */
-function findSource({ work, started }: AnswerRecord): TokenSource | undefined {
-  const binding = started.findLast(({ deliveredBefore }) => deliveredBefore === 0)?.started;
+function findTokenSource({ request, bindings }: AnswerRecord): TokenSource | undefined {
+  const binding = bindings.findLast(({ deliveredBefore }) => deliveredBefore === 0)?.binding;
   if (binding === undefined) {
     return undefined;
   }
   const { model, adapter, version, seed } = binding;
   return {
-    prompt: work.prompt,
+    prompt: request.prompt,
     modelVersion: { model, adapter, version },
     seed: Number(seed),
   };
 }
 
 /** Bindings announced in mid-answer that differ from the one it began with. */
-function countChangedBindings({ started }: AnswerRecord): number {
-  const first = started.findLast(({ deliveredBefore }) => deliveredBefore === 0)?.started;
-  return started.filter(
-    ({ started: later, deliveredBefore }) =>
+function countChangedBindings({ bindings }: AnswerRecord): number {
+  const first = bindings.findLast(({ deliveredBefore }) => deliveredBefore === 0)?.binding;
+  return bindings.filter(
+    ({ binding: later, deliveredBefore }) =>
       deliveredBefore > 0 && (later.seed !== first?.seed || later.version !== first.version),
   ).length;
 }
 
-function saidNotRun({ error }: CallRecord): boolean {
+function isReportedNotRun({ error }: CallRecord): boolean {
   return error?.execution === 'not-run';
 }
 
 function listFailures(records: (AnswerRecord | CallRecord)[]): DemoReport['failed'] {
-  return records.flatMap(({ work, error }) =>
+  return records.flatMap(({ request, error }) =>
     error === undefined
       ? []
-      : [{ requestId: work.requestId, kind: error.kind ?? 'link', message: error.message }],
+      : [{ requestId: request.requestId, kind: error.kind ?? 'link', message: error.message }],
   );
 }
 
 /** What the engines did beyond one prefill and one decoding of each answer. */
-function countExtraWork({ answers, engines }: DemoEvidence) {
+function countExtraWork({ answers, engines }: DemoObservations) {
   const records = engines.flatMap((engine) => engine.records());
   let extraPrefillTokens = 0;
   let extraDecodedTokens = 0;
-  for (const { work, tokens } of answers) {
+  for (const { request, tokens } of answers) {
     // A generation's id names organisation, request, incarnation and attempt.
-    const own = records.filter(({ generationId }) => generationId.split('.')[1] === work.requestId);
+    const own = records.filter(
+      ({ generationId }) => generationId.split('.')[1] === request.requestId,
+    );
     const prefills = own.map(({ prefillTokens }) => prefillTokens);
     const decoded = own.reduce((sum, { decodedTokens }) => sum + decodedTokens, 0);
     extraPrefillTokens += prefills.slice(1).reduce((sum, prefill) => sum + prefill, 0);
--- a/packages/demo/src/run-demo.ts
+++ b/packages/demo/src/run-demo.ts
@@ -2,17 +2,17 @@
 import { delay, systemTimers } from '@limelead/types';
 import createSeededRandom from './seeded-random.js';
 import startDemoCluster, { type DemoCluster } from './demo-cluster.js';
-import FaultInjector, { type FaultName } from './inject-faults.js';
-import narrate from './narrate.js';
+import FaultInjector, { type FaultName } from './fault-injector.js';
+import printEvents from './print-events.js';
 import assembleReport, { type DemoReport } from './report.js';
-import { runAnswer, runCall, type AnswerRecord, type CallRecord } from './run-work.js';
-import createWorkload, { type Work } from './workload.js';
+import { runAnswerRequest, runCall, type AnswerRecord, type CallRecord } from './run-request.js';
+import createWorkload, { type DemoRequest } from './workload.js';
 
 /** Tokens at all callers together after which the fault comes. */
 const TOKENS_BEFORE_FAULT = 200;
-/** Time after which a target that leaves must get no new work. */
-const LEAVE_GRACE_MS = 4_000;
-const LATE_CHECK_MS = 50;
+/** Time after which a target that leaves must get no new request. */
+const LEAVING_GRACE_MS = 4_000;
+const LATE_CHECK_INTERVAL_MS = 50;
 
 /** What is demonstrated. */
 export interface DemoOptions {
@@ -26,19 +26,19 @@
 /** Runs it; resolves with the report after everything was stopped. */
 export default async function runDemo(options: DemoOptions): Promise<DemoReport> {
   const cluster = await startDemoCluster();
-  const narration = new AbortController();
+  const printing = new AbortController();
   try {
     if (options.print !== undefined) {
-      startNarration(cluster, options.print, narration.signal);
+      startPrintingEvents(cluster, options.print, printing.signal);
     }
-    return await runOn(cluster, options);
+    return await runOnCluster(cluster, options);
   } finally {
-    narration.abort();
+    printing.abort();
     await cluster.stop();
   }
 }
 
-async function runOn(cluster: DemoCluster, options: DemoOptions): Promise<DemoReport> {
+async function runOnCluster(cluster: DemoCluster, options: DemoOptions): Promise<DemoReport> {
   const { fault, seed, requests, print } = options;
   const workload = createWorkload(requests, createSeededRandom(seed));
   const injector = new FaultInjector(cluster, systemTimers, performance.now());
@@ -47,46 +47,46 @@
     print?.(`fault: ${fault}`);
     await injector.inject(fault);
   });
-  const leaveWatch = new LeaveWatch(cluster, injector.leavingSince);
+  const lateMonitor = new LateGenerationMonitor(cluster, injector.leavingSinceMs);
   const results = await Promise.all(
-    workload.map((work, index) => runWork(cluster, work, index, trigger.note)),
+    workload.map((request, index) => runRequest(cluster, request, index, trigger.recordToken)),
   );
   trigger.fire();
   await injection;
-  await injector.settle();
-  leaveWatch.stop();
+  await injector.waitForRecovery();
+  lateMonitor.stop();
   return assembleReport({
     fault,
     seed,
     answers: results.filter(isAnswer),
     calls: results.filter((result): result is CallRecord => !isAnswer(result)),
     engines: cluster.engines,
-    runsOf: (requestId) =>
+    countRuns: (requestId) =>
       cluster.plainServices.reduce((sum, service) => sum + (service.runs().get(requestId) ?? 0), 0),
-    lateWorkOnLeaving: leaveWatch.late,
+    lateWorkOnLeaving: lateMonitor.lateGenerations,
     faults: injector.injected,
   });
 }
 
-async function runWork(
+async function runRequest(
   cluster: DemoCluster,
-  work: Work,
+  request: DemoRequest,
   index: number,
   onToken: () => void,
 ): Promise<AnswerRecord | CallRecord> {
-  await delay(systemTimers, work.startAtMs);
+  await delay(systemTimers, request.startAtMs);
   // A caller knows all addresses, as behind a balancer; each begins with another VM.
   const urls = cluster.vms.map(({ url }) => url);
-  return work.kind === 'answer'
-    ? runAnswer(work, urls, index, onToken)
-    : runCall(work, urls, index);
+  return request.kind === 'answer'
+    ? runAnswerRequest(request, urls, index, onToken)
+    : runCall(request, urls, index);
 }
 
 function isAnswer(record: AnswerRecord | CallRecord): record is AnswerRecord {
-  return record.work.kind === 'answer';
+  return record.request.kind === 'answer';
 }
 
-function startNarration(
+function startPrintingEvents(
   cluster: DemoCluster,
   print: (line: string) => void,
   signal: AbortSignal,
@@ -96,49 +96,49 @@
     const seconds = ((performance.now() - startedAtMs) / 1000).toFixed(2);
     print(`${seconds.padStart(7)} s  ${line}`);
   };
-  cluster.vms.forEach(({ url }) => void narrate(url, printWithTime, signal));
+  cluster.vms.forEach(({ url }) => void printEvents(url, printWithTime, signal));
 }
 
 /** Fires after so many notes, or when told to. */
-function createTrigger(after: number) {
+function createTrigger(tokenCount: number) {
   let fire: () => void = () => undefined;
-  let left = after;
+  let remaining = tokenCount;
   const fired = new Promise<void>((resolve) => (fire = resolve));
-  const note = (): void => {
-    left -= 1;
-    if (left === 0) {
+  const recordToken = (): void => {
+    remaining -= 1;
+    if (remaining === 0) {
       fire();
     }
   };
-  return { fired, fire: () => fire(), note };
+  return { fired, fire: () => fire(), recordToken };
 }
 
 /** Counts generations that begin on a leaving engine after the grace. */
-class LeaveWatch {
-  late = 0;
-  private readonly known = new Map<string, number>();
+class LateGenerationMonitor {
+  lateGenerations = 0;
+  private readonly knownGenerations = new Map<string, number>();
   private readonly timer: NodeJS.Timeout;
 
   constructor(
     private readonly cluster: DemoCluster,
-    private readonly leavingSince: ReadonlyMap<string, number>,
+    private readonly leavingSinceMs: ReadonlyMap<string, number>,
   ) {
-    this.timer = setInterval(() => this.look(), LATE_CHECK_MS);
+    this.timer = setInterval(() => this.check(), LATE_CHECK_INTERVAL_MS);
   }
 
   stop(): void {
-    this.look();
+    this.check();
     clearInterval(this.timer);
   }
 
-  private look(): void {
-    for (const [id, since] of this.leavingSince) {
+  private check(): void {
+    for (const [id, since] of this.leavingSinceMs) {
       const engine = this.cluster.engines.find((candidate) => candidate.id === id);
       const begun = engine?.records().length ?? 0;
-      const known = this.known.get(id);
-      this.known.set(id, begun);
-      if (known !== undefined && Date.now() - since > LEAVE_GRACE_MS) {
-        this.late += begun - known;
+      const known = this.knownGenerations.get(id);
+      this.knownGenerations.set(id, begun);
+      if (known !== undefined && Date.now() - since > LEAVING_GRACE_MS) {
+        this.lateGenerations += begun - known;
       }
     }
   }
--- a/packages/demo/src/run-work.ts
+++ b/packages/demo/src/run-request.ts
@@ -1,13 +1,13 @@
 /** Sends one request and records, at the caller's side, everything that came back. */
 import { createClient, readErrorDetail, type AnswerEvent, type ReadError } from '@limelead/client';
 import type { Started } from '@limelead/schema';
-import type { AnswerWork, CallWork } from './workload.js';
+import type { DemoAnswerRequest, DemoCallRequest } from './workload.js';
 
 /** What the caller of an answer saw. */
 export interface AnswerRecord {
-  work: AnswerWork;
+  request: DemoAnswerRequest;
   /** Bindings in the order in which they were announced, with the tokens delivered before each. */
-  started: { started: Started; deliveredBefore: number }[];
+  bindings: { binding: Started; deliveredBefore: number }[];
   tokens: { offset: number; token: string }[];
   /** Milliseconds without a token at each break that the caller could see. */
   resumeLatenciesMs: number[];
@@ -17,31 +17,31 @@
 
 /** What the caller of a call saw. */
 export interface CallRecord {
-  work: CallWork;
+  request: DemoCallRequest;
   status: number | undefined;
   error: ReadError | undefined;
 }
 
 /** Sends a request for an answer and reads it to its end. */
-export async function runAnswer(
-  work: AnswerWork,
+export async function runAnswerRequest(
+  request: DemoAnswerRequest,
   urls: string[],
   first: number,
   onToken: () => void,
 ): Promise<AnswerRecord> {
   const record: AnswerRecord = {
-    work,
-    started: [],
+    request,
+    bindings: [],
     tokens: [],
     resumeLatenciesMs: [],
     finishedLength: undefined,
     error: undefined,
   };
-  const client = createClient({ urls, key: work.key, first });
-  const gaps = new GapMeter(record);
+  const client = createClient({ urls, key: request.key, first });
+  const latencyMeter = new ResumeLatencyMeter(record);
   try {
-    for await (const event of client.generate(work)) {
-      takeEvent(record, gaps, event);
+    for await (const event of client.generate(request)) {
+      recordEvent(record, latencyMeter, event);
       if (event.kind === 'tokens') {
         onToken();
       }
@@ -55,48 +55,56 @@
 }
 
 /** Sends a call that must not run twice. */
-export async function runCall(work: CallWork, urls: string[], first: number): Promise<CallRecord> {
-  const client = createClient({ urls, key: work.key, first });
-  const { requestId, service, operation } = work;
+export async function runCall(
+  request: DemoCallRequest,
+  urls: string[],
+  first: number,
+): Promise<CallRecord> {
+  const client = createClient({ urls, key: request.key, first });
+  const { requestId, service, operation } = request;
   try {
     const { status } = await client.call({ requestId, service, operation, repeatable: false });
-    return { work, status, error: undefined };
+    return { request, status, error: undefined };
   } catch (thrown) {
-    return { work, status: undefined, error: readErrorDetail(thrown) };
+    return { request, status: undefined, error: readErrorDetail(thrown) };
   } finally {
     await client.close();
   }
 }
 
-function takeEvent(record: AnswerRecord, gaps: GapMeter, event: AnswerEvent): void {
+function recordEvent(
+  record: AnswerRecord,
+  latencyMeter: ResumeLatencyMeter,
+  event: AnswerEvent,
+): void {
   switch (event.kind) {
     case 'started':
-      record.started.push({ started: event.started, deliveredBefore: record.tokens.length });
-      return gaps.noteMove();
+      record.bindings.push({ binding: event.started, deliveredBefore: record.tokens.length });
+      return latencyMeter.recordMove();
     case 'moved':
-      return gaps.noteMove();
+      return latencyMeter.recordMove();
     case 'tokens':
       event.tokens.forEach((token, index) =>
         record.tokens.push({ offset: event.offset + index, token }),
       );
-      return gaps.noteTokens();
+      return latencyMeter.recordTokens();
     case 'finished':
       record.finishedLength = event.finished.length;
   }
 }
 
 /** Measures the time without a token around each move of the answer. */
-class GapMeter {
+class ResumeLatencyMeter {
   private lastTokenAtMs: number | undefined;
   private hasMoved = false;
 
   constructor(private readonly record: AnswerRecord) {}
 
-  noteMove(): void {
+  recordMove(): void {
     this.hasMoved = true;
   }
 
-  noteTokens(): void {
+  recordTokens(): void {
     const now = performance.now();
     if (this.hasMoved && this.lastTokenAtMs !== undefined) {
       this.record.resumeLatenciesMs.push(now - this.lastTokenAtMs);
--- a/packages/demo/src/system.test.ts
+++ b/packages/demo/src/system.test.ts
@@ -18,7 +18,7 @@
 
 const clients: Client[] = [];
 
-function clientOf(cluster: DemoCluster, key: string, first = 0): Client {
+function createClusterClient(cluster: DemoCluster, key: string, first = 0): Client {
   const client = createClient({ urls: cluster.vms.map(({ url }) => url), key, first });
   clients.push(client);
   return client;
@@ -34,13 +34,13 @@
   }
 }
 
-async function until(holds: () => boolean): Promise<void> {
+async function waitUntil(holds: () => boolean): Promise<void> {
   while (!holds()) {
     await delay(systemTimers, 10);
   }
 }
 
-async function kindOf(run: () => Promise<unknown>): Promise<string> {
+async function getOutcome(run: () => Promise<unknown>): Promise<string> {
   try {
     await run();
     return 'answered';
@@ -65,7 +65,7 @@
   return { kind: 'organisation', spec };
 }
 
-function applyThrough(client: Client, changeId: string, base: number, resource: Resource) {
+function applyResource(client: Client, changeId: string, base: number, resource: Resource) {
   const request = create(ApplyRequestSchema, {
     changeId,
     baseRevision: BigInt(base),
@@ -77,18 +77,18 @@
 
 test('a caller needs a key, and an organisation can not administer', () =>
   withCluster(async (cluster) => {
-    const stranger = clientOf(cluster, 'no-such-key');
-    assert.is(await kindOf(() => readAnswer(stranger, PROMPT)), 'unauthenticated/not-run');
-    const caller = clientOf(cluster, DEMO_KEYS.haneul);
+    const stranger = createClusterClient(cluster, 'no-such-key');
+    assert.is(await getOutcome(() => readAnswer(stranger, PROMPT)), 'unauthenticated/not-run');
+    const caller = createClusterClient(cluster, DEMO_KEYS.haneul);
     const status = () => caller.administration.getStatus({}, { headers: caller.headers });
-    assert.is(await kindOf(status), 'permission-denied/not-run');
-    const operator = clientOf(cluster, DEMO_KEYS.operator);
-    assert.is(await kindOf(() => readAnswer(operator, PROMPT)), 'unauthenticated/not-run');
+    assert.is(await getOutcome(status), 'permission-denied/not-run');
+    const operator = createClusterClient(cluster, DEMO_KEYS.operator);
+    assert.is(await getOutcome(() => readAnswer(operator, PROMPT)), 'unauthenticated/not-run');
   }));
 
 test('bad input gets a clear error and harms nobody else', () =>
   withCluster(async (cluster) => {
-    const client = clientOf(cluster, DEMO_KEYS.routing);
+    const client = createClusterClient(cluster, DEMO_KEYS.routing);
     const bad: [Partial<AnswerRequest>, string][] = [
       [{ requestId: '' }, 'invalid-request/not-run'],
       [{ requestId: 'x'.repeat(65) }, 'invalid-request/not-run'],
@@ -103,7 +103,7 @@
       [{ priority: 'nowhere' }, 'not-found/not-run'],
     ];
     for (const [change, expected] of bad) {
-      const found = await kindOf(() => readAnswer(client, { ...PROMPT, ...change }));
+      const found = await getOutcome(() => readAnswer(client, { ...PROMPT, ...change }));
       assert.is(found, expected, JSON.stringify(change).slice(0, 80));
     }
     assert.ok((await readAnswer(client, PROMPT)).length > 0);
@@ -111,8 +111,8 @@
 
 test('an organisation can not cancel what is not its own', () =>
   withCluster(async (cluster) => {
-    const owner = clientOf(cluster, DEMO_KEYS.routing);
-    const other = clientOf(cluster, DEMO_KEYS.haneul);
+    const owner = createClusterClient(cluster, DEMO_KEYS.routing);
+    const other = createClusterClient(cluster, DEMO_KEYS.haneul);
     const request = { ...PROMPT, service: 'route-brief', maxTokens: 200 };
     let cancelledByOther: boolean | undefined;
     const events = owner.generate(request);
@@ -127,9 +127,9 @@
 
 test('a cancelled answer ends with an error of its own, and the engine stops', () =>
   withCluster(async (cluster) => {
-    const client = clientOf(cluster, DEMO_KEYS.routing);
+    const client = createClusterClient(cluster, DEMO_KEYS.routing);
     const request = { ...PROMPT, service: 'route-brief', maxTokens: 5_000 };
-    const found = await kindOf(async () => {
+    const found = await getOutcome(async () => {
       for await (const event of client.generate(request)) {
         if (event.kind === 'tokens') {
           await client.cancel(request.requestId);
@@ -138,7 +138,7 @@
     });
     assert.is(found, 'cancelled/unknown');
     const records = () => cluster.engines.flatMap((engine) => engine.records());
-    await until(() => records().every(({ ended }) => ended !== 'running'));
+    await waitUntil(() => records().every(({ ended }) => ended !== 'running'));
     assert.equal(
       records().map(({ ended }) => ended),
       ['cancelled'],
@@ -147,11 +147,11 @@
 
 test('a cancel that reaches another VM cancels all the same', () =>
   withCluster(async (cluster) => {
-    const caller = clientOf(cluster, DEMO_KEYS.routing, 0);
-    const canceller = clientOf(cluster, DEMO_KEYS.routing, 1);
+    const caller = createClusterClient(cluster, DEMO_KEYS.routing, 0);
+    const canceller = createClusterClient(cluster, DEMO_KEYS.routing, 1);
     const request = { ...PROMPT, service: 'route-brief', maxTokens: 5_000 };
     let cancelled: boolean | undefined;
-    const found = await kindOf(async () => {
+    const found = await getOutcome(async () => {
       for await (const event of caller.generate(request)) {
         if (event.kind === 'tokens') {
           cancelled ??= await canceller.cancel(request.requestId);
@@ -164,10 +164,12 @@
 
 test('an accepted change is in force on every VM, also on one that starts in an outage', () =>
   withCluster(async (cluster) => {
-    const operator = clientOf(cluster, DEMO_KEYS.operator);
-    const { revision } = await applyThrough(operator, 'c1', 1, organisation('new', 5));
+    const operator = createClusterClient(cluster, DEMO_KEYS.operator);
+    const { revision } = await applyResource(operator, 'c1', 1, organisation('new', 5));
     cluster.platform.setOutage(true);
-    await until(() => cluster.vms.every(({ daemon }) => daemon.revision() === Number(revision)));
+    await waitUntil(() =>
+      cluster.vms.every(({ daemon }) => daemon.revision() === Number(revision)),
+    );
     const late = await cluster.addVm();
     assert.is(late.daemon.revision(), Number(revision));
   }));
@@ -180,26 +182,26 @@
     clients.push(...operators);
     const outcomes = await Promise.all(
       operators.map((client, index) =>
-        kindOf(() => applyThrough(client, `c${index}`, 1, organisation('raced', index + 1))),
+        getOutcome(() => applyResource(client, `c${index}`, 1, organisation('raced', index + 1))),
       ),
     );
     assert.equal([...outcomes].sort(), ['answered', 'conflict/not-run', 'conflict/not-run']);
-    await until(() => cluster.vms.every(({ daemon }) => daemon.revision() === 2));
+    await waitUntil(() => cluster.vms.every(({ daemon }) => daemon.revision() === 2));
   }));
 
 test('a configuration never goes back when the service is restored from something older', () =>
   withCluster(async (cluster) => {
-    const operator = clientOf(cluster, DEMO_KEYS.operator);
+    const operator = createClusterClient(cluster, DEMO_KEYS.operator);
     const backup = cluster.platform.values.backUp();
-    await applyThrough(operator, 'c1', 1, organisation('new', 5));
-    await until(() => cluster.vms.every(({ daemon }) => daemon.revision() === 2));
+    await applyResource(operator, 'c1', 1, organisation('new', 5));
+    await waitUntil(() => cluster.vms.every(({ daemon }) => daemon.revision() === 2));
     cluster.platform.values.restore(backup);
     const storedRevision = () => {
       const { value } = cluster.platform.values.get('limelead/configuration/head');
       return (JSON.parse(value) as { revision: number }).revision;
     };
     assert.is(storedRevision(), 1);
-    await until(() => storedRevision() === 2);
+    await waitUntil(() => storedRevision() === 2);
     assert.ok(cluster.vms.every(({ daemon }) => daemon.revision() === 2));
   }));
 
@@ -213,17 +215,17 @@
     const warmUp = createClient({ urls: [vm.url], key: DEMO_KEYS.haneul });
     clients.push(warmUp);
     await warmUp.call({ ...booking, requestId: 'warm-up', repeatable: true });
-    const client = clientOf(cluster, DEMO_KEYS.haneul);
+    const client = createClusterClient(cluster, DEMO_KEYS.haneul);
     cluster.plainServices.forEach((service) => service.takeMs(500));
     const call = client.call({ ...booking, requestId: 'booking-1', repeatable: false });
     let ended: string | undefined;
-    const outcome = kindOf(() => call).then((kind) => (ended = kind));
+    const outcome = getOutcome(() => call).then((kind) => (ended = kind));
     const runs = () =>
       cluster.plainServices.reduce(
         (sum, service) => sum + (service.runs().get('booking-1') ?? 0),
         0,
       );
-    await until(() => runs() === 1 || ended !== undefined);
+    await waitUntil(() => runs() === 1 || ended !== undefined);
     assert.is(ended, undefined, 'the call ended before it ran');
     vm.isUp = false;
     await vm.daemon.kill();
@@ -233,7 +235,7 @@
 
 test('a VM that is cut off from the list, and from peers, gives no target new work', () =>
   withCluster(async (cluster) => {
-    const client = clientOf(cluster, DEMO_KEYS.routing);
+    const client = createClusterClient(cluster, DEMO_KEYS.routing);
     assert.ok((await readAnswer(client, PROMPT)).length > 0);
     cluster.platform.setListOutage(true);
     const impatient = createClient({
@@ -243,7 +245,7 @@
     });
     clients.push(impatient);
     const isRefused = async () =>
-      (await kindOf(() => readAnswer(impatient, PROMPT))).endsWith('/not-run');
+      (await getOutcome(() => readAnswer(impatient, PROMPT))).endsWith('/not-run');
     while (!(await isRefused())) {
       await delay(systemTimers, 100);
     }
@@ -255,14 +257,14 @@
 
 test('a leaving target gets no new work, while what runs there runs to its end', () =>
   withCluster(async (cluster) => {
-    const client = clientOf(cluster, DEMO_KEYS.routing);
+    const client = createClusterClient(cluster, DEMO_KEYS.routing);
     const long = readAnswer(client, { ...PROMPT, service: 'route-brief', maxTokens: 400 });
     const running = () => cluster.engines.find((engine) => engine.records().length > 0);
-    await until(() => running() !== undefined);
+    await waitUntil(() => running() !== undefined);
     const leaving = running();
     assert.ok(leaving);
     cluster.platform.vms.setLeaving(leaving.id);
-    const operator = clientOf(cluster, DEMO_KEYS.operator);
+    const operator = createClusterClient(cluster, DEMO_KEYS.operator);
     const isKnown = async () => {
       const { targets } = await operator.administration.getStatus(
         {},
@@ -284,7 +286,7 @@
 
 test('an engine that is cut off goes on generating, but its tokens are not mixed in', () =>
   withCluster(async (cluster) => {
-    const client = clientOf(cluster, DEMO_KEYS.routing);
+    const client = createClusterClient(cluster, DEMO_KEYS.routing);
     const request = { ...PROMPT, service: 'in-cab', maxTokens: 300 };
     const modelVersion = { model: 'cab-small', adapter: 'canterbury', version: '7' };
     const tokens: string[] = [];
@@ -304,13 +306,13 @@
     const source = { prompt: request.prompt, modelVersion, seed };
     assert.ok(tokens.length > 150);
     assert.ok(tokens.every((token, at) => token === tokenAt(source, at)));
-    await until(() => cutOff?.records()[0]?.ended !== 'running');
+    await waitUntil(() => cutOff?.records()[0]?.ended !== 'running');
   }));
 
 test('a planned stop under load cuts no request', () =>
   withCluster(async (cluster) => {
     const answers = Array.from({ length: 12 }, (_, index) =>
-      readAnswer(clientOf(cluster, DEMO_KEYS.routing, index), {
+      readAnswer(createClusterClient(cluster, DEMO_KEYS.routing, index), {
         ...PROMPT,
         requestId: `r${index}`,
         service: 'route-brief',
@@ -318,7 +320,7 @@
       }),
     );
     const begun = () => cluster.engines.flatMap((engine) => engine.records()).length;
-    await until(() => begun() === 12);
+    await waitUntil(() => begun() === 12);
     const vm = cluster.vms[0];
     assert.ok(vm);
     vm.isUp = false;
@@ -332,7 +334,7 @@
     const answers = await Promise.all(
       Array.from({ length: 30 }, async (_, index) => {
         const prompt = `prompt number ${index}`;
-        const client = clientOf(cluster, DEMO_KEYS.routing, index);
+        const client = createClusterClient(cluster, DEMO_KEYS.routing, index);
         let seed = 0;
         const tokens: string[] = [];
         for await (const event of client.generate({ ...PROMPT, requestId: `r${index}`, prompt })) {
--- a/packages/demo/src/workload.ts
+++ b/packages/demo/src/workload.ts
@@ -4,13 +4,13 @@
 
 /** Part of each kind in the mix. */
 const KINDS = ['brief', 'prompt', 'feedback', 'booking'] as const;
-const ARRIVAL_SPREAD_MS = 2_500;
+const ARRIVAL_WINDOW_MS = 2_500;
 
 /** One of the kinds of requests. */
-export type WorkKind = (typeof KINDS)[number];
+export type DemoRequestKind = (typeof KINDS)[number];
 
 /** A request for an answer. */
-export interface AnswerWork {
+export interface DemoAnswerRequest {
   kind: 'answer';
   requestId: string;
   key: string;
@@ -22,7 +22,7 @@
 }
 
 /** A call that must not run twice. */
-export interface CallWork {
+export interface DemoCallRequest {
   kind: 'call';
   requestId: string;
   key: string;
@@ -32,18 +32,23 @@
 }
 
 /** One request. */
-export type Work = AnswerWork | CallWork;
+export type DemoRequest = DemoAnswerRequest | DemoCallRequest;
 
 /** Draws the requests; the first of each kind comes at once, so that a fault finds work. */
-export default function createWorkload(count: number, random: Random): Work[] {
+export default function createWorkload(count: number, random: Random): DemoRequest[] {
   return Array.from({ length: count }, (_, index) => {
     const kind = KINDS[index % KINDS.length] ?? 'brief';
-    const startAtMs = index < KINDS.length ? 0 : Math.floor(random.next() * ARRIVAL_SPREAD_MS);
-    return createWork(kind, index, startAtMs, random);
+    const startAtMs = index < KINDS.length ? 0 : Math.floor(random.next() * ARRIVAL_WINDOW_MS);
+    return createRequest(kind, index, startAtMs, random);
   });
 }
 
-function createWork(kind: WorkKind, index: number, startAtMs: number, random: Random): Work {
+function createRequest(
+  kind: DemoRequestKind,
+  index: number,
+  startAtMs: number,
+  random: Random,
+): DemoRequest {
   const requestId = `${kind}-${index}`;
   const between = (low: number, high: number): number =>
     low + Math.floor(random.next() * (high - low));
@@ -51,17 +56,33 @@
     case 'brief': {
       const prompt = `Route brief for shift ${index % 3}. ${'Collect, inspect, report. '.repeat(40)}`;
       const maxTokens = between(250, 400);
-      return answer(requestId, DEMO_KEYS.routing, 'route-brief', prompt, maxTokens, 0, startAtMs);
+      return createAnswerRequest(
+        requestId,
+        DEMO_KEYS.routing,
+        'route-brief',
+        prompt,
+        maxTokens,
+        0,
+        startAtMs,
+      );
     }
     case 'prompt': {
       const prompt = `Next turn for crew ${index}, heading north on the ring road.`;
       const maxTokens = between(12, 40);
-      return answer(requestId, DEMO_KEYS.routing, 'in-cab', prompt, maxTokens, 0, startAtMs);
+      return createAnswerRequest(
+        requestId,
+        DEMO_KEYS.routing,
+        'in-cab',
+        prompt,
+        maxTokens,
+        0,
+        startAtMs,
+      );
     }
     case 'feedback': {
       const prompt = `Feedback for student ${index}: violin. ${'Bar by bar, kindly. '.repeat(30)}`;
       const maxTokens = between(120, 200);
-      return answer(
+      return createAnswerRequest(
         requestId,
         DEMO_KEYS.haneul,
         'feedback-sheet',
@@ -83,7 +104,7 @@
   }
 }
 
-function answer(
+function createAnswerRequest(
   requestId: string,
   key: string,
   service: string,
@@ -91,7 +112,7 @@
   maxTokens: number,
   paceTokensPerSecond: number,
   startAtMs: number,
-): AnswerWork {
+): DemoAnswerRequest {
   return {
     kind: 'answer',
     requestId,
