--- a/packages/demo/src/create-settings.ts
+++ b/packages/demo/src/create-settings.ts
@@ -1,10 +1,10 @@
-/** Settings of a VM on loopback. */
+/** Creates settings of VMs on loopback. */
 import type { Settings } from '@limelead/read-settings';
 import { DEMO_KEYS, hashKey } from './demo-configuration.js';
 
 const HOST = '127.0.0.1';
 
-/** What differs between the VMs. */
+/** Identity and addresses of one VM. */
 export interface VmLocation {
   id: string;
   failureDomain: string;
@@ -12,14 +12,14 @@
   seeds: Settings['peers']['seeds'];
 }
 
-/** Creates settings with quick intervals, so that a demonstration takes seconds. */
-export default function createSettings(place: VmLocation): Settings {
-  const platform = { host: HOST, port: place.platformPort };
+/** Creates settings with short intervals, so that a demonstration takes only seconds. */
+export default function createSettings(location: VmLocation): Settings {
+  const platform = { host: HOST, port: location.platformPort };
   return {
-    id: place.id,
-    failureDomain: place.failureDomain,
+    id: location.id,
+    failureDomain: location.failureDomain,
     rpc: { host: HOST, port: 0 },
-    peers: { host: HOST, port: 0, secret: 'demo-secret-of-all-vms', seeds: place.seeds },
+    peers: { host: HOST, port: 0, secret: 'demo-secret-of-all-vms', seeds: location.seeds },
     platform: { keyValue: platform, vmList: platform, weights: platform },
     operators: [{ name: 'demo', keyHashes: [hashKey(DEMO_KEYS.operator)] }],
     limits: {
--- a/packages/demo/src/demo-cluster.ts
+++ b/packages/demo/src/demo-cluster.ts
@@ -1,4 +1,4 @@
-/** VMs and stand-ins in one process, on real loopback sockets. */
+/** Starts a cluster of VMs and stand-ins in one process, on loopback sockets. */
 import { create } from '@bufbuild/protobuf';
 import { createClient } from '@limelead/client';
 import { startDaemon, type Daemon, type Strategies } from '@limelead/daemon';
@@ -21,7 +21,7 @@
 const HOST = '127.0.0.1';
 const READY_CHECK_MS = 20;
 
-/** How large the cluster is. */
+/** Size and configuration of the cluster. */
 export interface DemoClusterOptions {
   vms: number;
   engines: number;
@@ -30,7 +30,7 @@
   engine: Partial<EngineOptions>;
   platform: Partial<PlatformOptions>;
   strategies?: Strategies;
-  /** Names of failure domains, over which VMs and targets are dealt out. */
+  /** Names of the failure domains, assigned to VMs and targets in turn. */
   domains: readonly string[];
 }
 
@@ -70,22 +70,22 @@
 export default async function startDemoCluster(
   options: Partial<DemoClusterOptions> = {},
 ): Promise<DemoCluster> {
-  const sizes = { ...DEFAULT_OPTIONS, ...options };
-  const platform = await startPlatform(sizes.platform);
-  const engines = await startEngines(sizes, platform);
-  const plainServices = await startPlainServices(sizes, platform);
+  const settings = { ...DEFAULT_OPTIONS, ...options };
+  const platform = await startPlatform(settings.platform);
+  const engines = await startEngines(settings, platform);
+  const plainServices = await startPlainServices(settings, platform);
   const vms: DemoVm[] = [];
 
   async function startVm(): Promise<DemoVm> {
-    const vm = await startDemoVm(platform, vms, sizes);
+    const vm = await startDemoVm(platform, vms, settings);
     vms.push(vm);
     return vm;
   }
 
-  for (let index = 0; index < sizes.vms; index += 1) {
+  for (let index = 0; index < settings.vms; index += 1) {
     await startVm();
   }
-  await applyResources(vms[0], sizes.resources);
+  await applyResources(vms[0], settings.resources);
   await Promise.all(vms.map((vm) => waitUntilReady(vm.url)));
 
   return {
@@ -108,7 +108,7 @@
   };
 }
 
-/** Resolves once a VM's readiness page says so. */
+/** Resolves once the readiness endpoint of a VM reports that it is ready. */
 export async function waitUntilReady(url: string): Promise<void> {
   for (;;) {
     const response = await fetch(`${url}/readyz`);
@@ -120,12 +120,18 @@
   }
 }
 
-async function startEngines(sizes: DemoClusterOptions, platform: Platform): Promise<Engine[]> {
+async function startEngines(options: DemoClusterOptions, platform: Platform): Promise<Engine[]> {
   const engines: Engine[] = [];
-  for (let index = 0; index < sizes.engines; index += 1) {
+  for (let index = 0; index < options.engines; index += 1) {
     const id = `engine-${index + 1}`;
-    const engine = await startEngine({ id, loaded: Object.values(DEMO_VERSIONS), ...sizes.engine });
-    platform.vms.add(createListedVm(id, 'engine', engine.port, selectDomain(sizes.domains, index)));
+    const engine = await startEngine({
+      id,
+      loaded: Object.values(DEMO_VERSIONS),
+      ...options.engine,
+    });
+    platform.vms.add(
+      createListedVm(id, 'engine', engine.port, selectDomain(options.domains, index)),
+    );
     engines.push(engine);
   }
   return engines;
--- a/packages/demo/src/demo-configuration.ts
+++ b/packages/demo/src/demo-configuration.ts
@@ -1,22 +1,22 @@
-/** The configuration of the demonstration: both users on one system. */
+/** The configuration of the demonstration, with two organisations. */
 import type { ModelVersion, RecoveryPolicy, Resource } from '@limelead/types';
 import { createHash } from 'node:crypto';
 
-/** Keys of the demonstration. They are no secrets; a real system's are. */
+/** Public keys of the demonstration; a real system keeps its keys secret. */
 export const DEMO_KEYS = {
   operator: 'demo-operator-key',
   routing: 'demo-routing-key',
   haneul: 'demo-haneul-key',
 } as const;
 
-/** Versions that every engine of the demonstration has loaded. */
+/** Model versions that every engine of the demonstration has loaded. */
 export const DEMO_VERSIONS = {
   brief: { model: 'depot-large', adapter: '', version: '2026-11' },
   prompt: { model: 'cab-small', adapter: 'canterbury', version: '7' },
   feedback: { model: 'tutor-large', adapter: 'music', version: '3' },
 } as const satisfies Record<string, ModelVersion>;
 
-/** Recovery that puts resume latency first. */
+/** Recovery policy that minimises resume latency. */
 export const URGENT_RECOVERY: RecoveryPolicy = {
   suspicionFactor: 4,
   minSilenceMs: 100,
@@ -33,7 +33,7 @@
   probeFirst: false,
 };
 
-/** Recovery that puts extra resource use first. */
+/** Recovery policy that minimises extra use of resources. */
 export const FRUGAL_RECOVERY: RecoveryPolicy = {
   suspicionFactor: 12,
   minSilenceMs: 600,
@@ -42,12 +42,12 @@
   probeFirst: true,
 };
 
-/** The hash under which a key is kept. */
+/** Hashes a key as the configuration stores it. */
 export function hashKey(key: string): string {
   return createHash('sha256').update(key).digest('hex');
 }
 
-/** All resources of the demonstration. */
+/** Creates all resources of the demonstration. */
 export function createDemoResources(): Resource[] {
   return [
     priority('urgent', 0, URGENT_RECOVERY),
--- a/packages/demo/src/fault-injector.ts
+++ b/packages/demo/src/fault-injector.ts
@@ -1,9 +1,9 @@
-/** The faults of the demonstration. */
+/** Injects the faults of the demonstration into a cluster. */
 import { delay, type Timers } from '@limelead/types';
 import type { DemoCluster, DemoVm } from './demo-cluster.js';
 import type { Engine } from '@limelead/stand-ins';
 
-/** Names of the faults, as on the command line. */
+/** Names of the faults on the command line. */
 export const FAULT_NAMES = [
   'none',
   'engine-death',
@@ -16,12 +16,12 @@
   'all',
 ] as const;
 
-/** One of the faults. */
+/** Name of a fault, or `none` or `all`. */
 export type FaultName = (typeof FAULT_NAMES)[number];
 
 type SingleFault = Exclude<FaultName, 'none' | 'all'>;
 
-/** A fault that was injected, and when. */
+/** An injected fault with its subject and time. */
 export interface InjectedFault {
   fault: SingleFault;
   subject: string;
@@ -32,7 +32,7 @@
 const ENGINE_DOWNTIME_MS = 1_500;
 const ENGINE_PAUSE_MS = 2_500;
 const STORE_OUTAGE_MS = 2_000;
-/** A target that leaves is switched off after this long. */
+/** Time between the announcement that an engine leaves and its end. */
 const LEAVING_ENGINE_LIFETIME_MS = 6_000;
 const FAULT_INTERVAL_MS = 600;
 
@@ -46,15 +46,15 @@
   'vm-stop',
 ];
 
-/** Says whether a text names a fault. */
+/** Returns whether a text is the name of a fault. */
 export function isFaultName(text: string): text is FaultName {
   return (FAULT_NAMES as readonly string[]).includes(text);
 }
 
-/** Injects faults and undoes them again. */
+/** Injects faults and reverts those that are temporary. */
 export default class FaultInjector {
   readonly injected: InjectedFault[] = [];
-  /** Moment at which each leaving engine was announced as such. */
+  /** Time at which each leaving engine was announced, by engine id. */
   readonly leavingSinceMs = new Map<string, number>();
   private readonly pending: Promise<void>[] = [];
   private readonly usedEngines = new Set<string>();
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Resolves once every fault was undone. */
+  /** Resolves once all scheduled reverts and planned stops are done. */
   async waitForRecovery(): Promise<void> {
     await Promise.all(this.pending);
   }
@@ -142,7 +142,7 @@
     this.injected.push({ fault, subject, atMs });
   }
 
-  /** The busiest engine that no fault has hit yet; it is not taken again. */
+  /** Returns the busiest unused engine and marks it as used. */
   private takeBusiestEngine(): Engine {
     const engine = this.findBusiestEngine();
     this.usedEngines.add(engine.id);
@@ -153,7 +153,7 @@
     const free = this.cluster.engines.filter(({ id }) => !this.usedEngines.has(id));
     const [first, ...others] = free;
     if (first === undefined) {
-      throw new Error('no engine is left for another fault');
+      throw new Error('no unused engine is left for another fault');
     }
     return others.reduce(
       (best, engine) =>
@@ -165,7 +165,7 @@
   private takeVm(): DemoVm {
     const vm = this.cluster.vms.find(({ isUp }) => isUp);
     if (vm === undefined) {
-      throw new Error('no VM is left for another fault');
+      throw new Error('no running VM is left for another fault');
     }
     vm.isUp = false;
     return vm;
--- a/packages/demo/src/faults.test.ts
+++ b/packages/demo/src/faults.test.ts
@@ -1,4 +1,4 @@
-/** Every fault of the demonstration, with real sockets; what counts is what callers and stand-ins saw. */
+/** Runs the demonstration with every fault over real sockets; checks the records of callers and stand-ins. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { FAULT_NAMES, runDemo } from './index.js';
@@ -6,7 +6,7 @@
 const REQUESTS = 12;
 
 for (const fault of FAULT_NAMES) {
-  test(`under ${fault} every promise holds`, async () => {
+  test(`every guarantee holds under the fault ${fault}`, async () => {
     const report = await runDemo({ fault, seed: 11, requests: REQUESTS });
     assert.ok(report.promisesHeld, JSON.stringify(report));
     assert.is(report.tokensDelivered, report.tokensExpected);
--- a/packages/demo/src/find-free-port.ts
+++ b/packages/demo/src/find-free-port.ts
@@ -1,7 +1,7 @@
-/** Finds a port of loopback for a process that has to be told one. */
+/** Finds a free loopback port for a process that needs a fixed one. */
 import { createServer, type AddressInfo } from 'node:net';
 
-/** Resolves with a port that was free a moment ago. */
+/** Resolves with a port that was free when checked; another process may take it. */
 export default async function findFreePort(): Promise<number> {
   const server = createServer();
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
--- a/packages/demo/src/index.ts
+++ b/packages/demo/src/index.ts
@@ -1,4 +1,4 @@
-/** The demonstration: VMs and stand-ins in one process, faults, and a check of every token at the caller. */
+/** Demonstration of VMs and stand-ins in one process that injects faults and checks every token. */
 export { default as runDemo, type DemoOptions } from './run-demo.js';
 export {
   default as startDemoCluster,
--- a/packages/demo/src/print-events.ts
+++ b/packages/demo/src/print-events.ts
@@ -1,9 +1,9 @@
-/** Tells on the terminal what each mechanism does, from the stream that operators watch. */
+/** Prints the events of a VM as sentences, from the event stream for operators. */
 import { createClient } from '@limelead/client';
 import type { ObservedEvent } from '@limelead/schema';
 import { DEMO_KEYS } from './demo-configuration.js';
 
-/** Kinds of events that a reader of the terminal wants to see. */
+/** Kinds of events that are printed. */
 const PRINTED_EVENTS = new Set<string>([
   'streamBroken',
   'recoveryPlanned',
@@ -14,7 +14,7 @@
   'membershipChanged',
 ]);
 
-/** Watches one VM until its stream ends. */
+/** Prints the events of one VM until its stream ends. */
 export default async function printEvents(
   url: string,
   print: (line: string) => void,
@@ -31,7 +31,7 @@
       }
     }
   } catch {
-    // The VM was stopped by a fault or by the end of the demonstration.
+    // A fault or the end of the demonstration stopped the VM.
   } finally {
     await client.close();
   }
@@ -50,11 +50,11 @@
     }
     case 'recoveryPlanned': {
       const { way, reason, repeatedTokens } = detail.value;
-      return `plan: ${way}, because ${reason}; costs ${repeatedTokens} tokens again`;
+      return `recovery plan: ${way}, because ${reason}; recomputes ${repeatedTokens} tokens`;
     }
     case 'streamContinued': {
       const { target, attempt, resumeLatencyMs } = detail.value;
-      return `goes on from ${target}, attempt ${attempt}, after ${resumeLatencyMs} ms`;
+      return `stream continues from ${target}, attempt ${attempt}, after ${resumeLatencyMs} ms`;
     }
     case 'staleTokensDropped':
       return `dropped ${detail.value.tokens} tokens of the old attempt ${detail.value.attempt}`;
--- a/packages/demo/src/report.ts
+++ b/packages/demo/src/report.ts
@@ -1,14 +1,14 @@
-/** The report of a demonstration, from what callers saw and what the stand-ins recorded. */
+/** Creates the report of a demonstration from the records of callers and stand-ins. */
 import { answerLength, tokenAt, type Engine, type TokenSource } from '@limelead/stand-ins';
 import type { InjectedFault } from './fault-injector.js';
 import type { AnswerRecord, CallRecord } from './run-request.js';
 
-/** What a demonstration found. */
+/** Results of a demonstration. */
 export interface DemoReport {
   fault: string;
   seed: number;
   requests: number;
-  /** Requests that ended with an error; an error is no broken promise. */
+  /** Requests that ended with an error. */
   failed: { requestId: string; kind: string; message: string }[];
   tokensExpected: number;
   tokensDelivered: number;
@@ -18,7 +18,7 @@
   nonRepeatableSent: number;
   nonRepeatableRunsMax: number;
   notRunButRan: number;
-  /** Generations begun on a leaving engine more than four seconds after the announcement. */
+  /** Generations that began on a leaving engine after the grace period. */
   lateWorkOnLeaving: number;
   resumeLatencyMs: { count: number; p50: number; p95: number; max: number };
   extraPrefillTokens: number;
@@ -27,29 +27,29 @@
   promisesHeld: boolean;
 }
 
-/** Everything that the report is made from. */
+/** Input of the report. */
 export interface DemoObservations {
   fault: string;
   seed: number;
   answers: AnswerRecord[];
   calls: CallRecord[];
   engines: Engine[];
-  /** Runs of each call at all plain services together. */
+  /** Counts the runs of a call over all plain services. */
   countRuns(requestId: string): number;
   lateWorkOnLeaving: number;
   faults: InjectedFault[];
 }
 
-/** Assembles the report. */
-export default function assembleReport(evidence: DemoObservations): DemoReport {
-  const { answers, calls } = evidence;
+/** Checks all answers and calls and creates the report. */
+export default function assembleReport(observations: DemoObservations): DemoReport {
+  const { answers, calls } = observations;
   const checks = answers.map(checkAnswer);
   const sum = (pick: (check: AnswerCheck) => number): number =>
     checks.reduce((total, check) => total + pick(check), 0);
-  const runs = calls.map(({ request }) => evidence.countRuns(request.requestId));
+  const runs = calls.map(({ request }) => observations.countRuns(request.requestId));
   const report = {
-    fault: evidence.fault,
-    seed: evidence.seed,
+    fault: observations.fault,
+    seed: observations.seed,
     requests: answers.length + calls.length,
     failed: listFailures([...answers, ...calls]),
     tokensExpected: sum((check) => check.expected),
@@ -60,25 +60,25 @@
     nonRepeatableSent: calls.length,
     nonRepeatableRunsMax: Math.max(0, ...runs),
     notRunButRan: calls.filter(
-      (call) => isReportedNotRun(call) && evidence.countRuns(call.request.requestId) > 0,
+      (call) => isReportedNotRun(call) && observations.countRuns(call.request.requestId) > 0,
     ).length,
-    lateWorkOnLeaving: evidence.lateWorkOnLeaving,
+    lateWorkOnLeaving: observations.lateWorkOnLeaving,
     resumeLatencyMs: summarize(answers.flatMap(({ resumeLatenciesMs }) => resumeLatenciesMs)),
-    ...countExtraWork(evidence),
-    faults: evidence.faults,
+    ...countExtraWork(observations),
+    faults: observations.faults,
   };
   return { ...report, promisesHeld: holdsGuarantees(report) };
 }
 
 function holdsGuarantees(report: Omit<DemoReport, 'promisesHeld'>): boolean {
-  const broken =
+  const violations =
     report.missing +
     report.repeated +
     report.mixed +
     report.notRunButRan +
     report.lateWorkOnLeaving +
     report.failed.filter(({ kind }) => kind !== 'outcome-unknown').length;
-  return broken === 0 && report.nonRepeatableRunsMax <= 1;
+  return violations === 0 && report.nonRepeatableRunsMax <= 1;
 }
 
 interface AnswerCheck {
@@ -89,7 +89,7 @@
   mixed: number;
 }
 
-/** Compares an answer token by token with what one generation under its binding gives. */
+/** Compares an answer token by token with the expected output of its first binding. */
 function checkAnswer(record: AnswerRecord): AnswerCheck {
   const { request, tokens } = record;
   const source = findTokenSource(record);
@@ -111,7 +111,7 @@
   };
 }
 
-/** The binding under which the first token was delivered. */
+/** Returns the input of the stand-in's tokens under the binding of the first token. */
 function findTokenSource({ request, bindings }: AnswerRecord): TokenSource | undefined {
   const binding = bindings.findLast(({ deliveredBefore }) => deliveredBefore === 0)?.binding;
   if (binding === undefined) {
@@ -125,7 +125,7 @@
   };
 }
 
-/** Bindings announced in mid-answer that differ from the one it began with. */
+/** Counts later bindings that differ from the binding of the first token. */
 function countChangedBindings({ bindings }: AnswerRecord): number {
   const first = bindings.findLast(({ deliveredBefore }) => deliveredBefore === 0)?.binding;
   return bindings.filter(
@@ -146,13 +146,13 @@
   );
 }
 
-/** What the engines did beyond one prefill and one decoding of each answer. */
+/** Counts prompt and decoded tokens beyond a single generation of each answer. */
 function countExtraWork({ answers, engines }: DemoObservations) {
   const records = engines.flatMap((engine) => engine.records());
   let extraPrefillTokens = 0;
   let extraDecodedTokens = 0;
   for (const { request, tokens } of answers) {
-    // A generation's id names organisation, request, incarnation and attempt.
+    // The second part of a generation's id is the id of its request.
     const own = records.filter(
       ({ generationId }) => generationId.split('.')[1] === request.requestId,
     );
--- a/packages/demo/src/run-demo.ts
+++ b/packages/demo/src/run-demo.ts
@@ -8,32 +8,32 @@
 import { runAnswerRequest, runCall, type AnswerRecord, type CallRecord } from './run-request.js';
 import createWorkload, { type DemoRequest } from './workload.js';
 
-/** Tokens at all callers together after which the fault comes. */
+/** Number of tokens, over all callers, after which the fault is injected. */
 const TOKENS_BEFORE_FAULT = 200;
-/** Time after which a target that leaves must get no new request. */
+/** Time after the announcement from which a leaving engine must get no new generation. */
 const LEAVING_GRACE_MS = 4_000;
 const LATE_CHECK_INTERVAL_MS = 50;
 
-/** What is demonstrated. */
+/** Options of a demonstration. */
 export interface DemoOptions {
   fault: FaultName;
   seed: number;
   requests: number;
-  /** Takes the lines of the narration; absent tells nothing. */
+  /** Prints a line about an event; no events are printed if absent. */
   print?: (line: string) => void;
 }
 
-/** Runs it; resolves with the report after everything was stopped. */
+/** Runs a demonstration; resolves with the report once the cluster is stopped. */
 export default async function runDemo(options: DemoOptions): Promise<DemoReport> {
   const cluster = await startDemoCluster();
-  const printing = new AbortController();
+  const printAbort = new AbortController();
   try {
     if (options.print !== undefined) {
-      startPrintingEvents(cluster, options.print, printing.signal);
+      startPrintingEvents(cluster, options.print, printAbort.signal);
     }
     return await runOnCluster(cluster, options);
   } finally {
-    printing.abort();
+    printAbort.abort();
     await cluster.stop();
   }
 }
@@ -75,7 +75,7 @@
   onToken: () => void,
 ): Promise<AnswerRecord | CallRecord> {
   await delay(systemTimers, request.startAtMs);
-  // A caller knows all addresses, as behind a balancer; each begins with another VM.
+  // Callers know the URLs of all VMs; the index spreads first attempts over them.
   const urls = cluster.vms.map(({ url }) => url);
   return request.kind === 'answer'
     ? runAnswerRequest(request, urls, index, onToken)
@@ -99,7 +99,7 @@
   cluster.vms.forEach(({ url }) => void printEvents(url, printWithTime, signal));
 }
 
-/** Fires after so many notes, or when told to. */
+/** Creates a trigger that fires after a number of tokens, or when `fire` is called. */
 function createTrigger(tokenCount: number) {
   let fire: () => void = () => undefined;
   let remaining = tokenCount;
@@ -113,7 +113,7 @@
   return { fired, fire: () => fire(), recordToken };
 }
 
-/** Counts generations that begin on a leaving engine after the grace. */
+/** Counts generations that begin on a leaving engine after the grace period. */
 class LateGenerationMonitor {
   lateGenerations = 0;
   private readonly knownGenerations = new Map<string, number>();
--- a/packages/demo/src/run-request.ts
+++ b/packages/demo/src/run-request.ts
@@ -1,28 +1,28 @@
-/** Sends one request and records, at the caller's side, everything that came back. */
+/** Sends requests as a caller and records everything received. */
 import { createClient, readErrorDetail, type AnswerEvent, type ReadError } from '@limelead/client';
 import type { Started } from '@limelead/schema';
 import type { DemoAnswerRequest, DemoCallRequest } from './workload.js';
 
-/** What the caller of an answer saw. */
+/** Everything that a caller received for an answer request. */
 export interface AnswerRecord {
   request: DemoAnswerRequest;
-  /** Bindings in the order in which they were announced, with the tokens delivered before each. */
+  /** Bindings in the order received, each with the number of tokens delivered before it. */
   bindings: { binding: Started; deliveredBefore: number }[];
   tokens: { offset: number; token: string }[];
-  /** Milliseconds without a token at each break that the caller could see. */
+  /** Milliseconds without a token at each interruption that the caller could observe. */
   resumeLatenciesMs: number[];
   finishedLength: number | undefined;
   error: ReadError | undefined;
 }
 
-/** What the caller of a call saw. */
+/** Everything that a caller received for a call. */
 export interface CallRecord {
   request: DemoCallRequest;
   status: number | undefined;
   error: ReadError | undefined;
 }
 
-/** Sends a request for an answer and reads it to its end. */
+/** Sends a request for an answer and reads the answer until it ends or fails. */
 export async function runAnswerRequest(
   request: DemoAnswerRequest,
   urls: string[],
@@ -54,7 +54,7 @@
   return record;
 }
 
-/** Sends a call that must not run twice. */
+/** Sends a non-repeatable call. */
 export async function runCall(
   request: DemoCallRequest,
   urls: string[],
@@ -93,7 +93,7 @@
   }
 }
 
-/** Measures the time without a token around each move of the answer. */
+/** Measures the time without a token around each move of the answer to another target or VM. */
 class ResumeLatencyMeter {
   private lastTokenAtMs: number | undefined;
   private hasMoved = false;
--- a/packages/demo/src/system.test.ts
+++ b/packages/demo/src/system.test.ts
@@ -1,4 +1,4 @@
-/** A few VMs together, over real sockets. */
+/** Tests a cluster of three VMs over real sockets. */
 import { create } from '@bufbuild/protobuf';
 import { createClient, readErrorDetail, type AnswerRequest, type Client } from '@limelead/client';
 import { ApplyRequestSchema } from '@limelead/schema';
@@ -75,7 +75,7 @@
   return client.administration.apply(request, { headers: client.headers });
 }
 
-test('a caller needs a key, and an organisation can not administer', () =>
+test('a caller needs a known key, and the key of an organisation gives no access to administration', () =>
   withCluster(async (cluster) => {
     const stranger = createClusterClient(cluster, 'no-such-key');
     assert.is(await getOutcome(() => readAnswer(stranger, PROMPT)), 'unauthenticated/not-run');
@@ -86,7 +86,7 @@
     assert.is(await getOutcome(() => readAnswer(operator, PROMPT)), 'unauthenticated/not-run');
   }));
 
-test('bad input gets a clear error and harms nobody else', () =>
+test('invalid input is refused with the right error, and later requests succeed', () =>
   withCluster(async (cluster) => {
     const client = createClusterClient(cluster, DEMO_KEYS.routing);
     const bad: [Partial<AnswerRequest>, string][] = [
@@ -109,7 +109,7 @@
     assert.ok((await readAnswer(client, PROMPT)).length > 0);
   }));
 
-test('an organisation can not cancel what is not its own', () =>
+test('an organisation cannot cancel a request of another organisation', () =>
   withCluster(async (cluster) => {
     const owner = createClusterClient(cluster, DEMO_KEYS.routing);
     const other = createClusterClient(cluster, DEMO_KEYS.haneul);
@@ -125,7 +125,7 @@
     assert.is(cancelledByOther, false);
   }));
 
-test('a cancelled answer ends with an error of its own, and the engine stops', () =>
+test('a cancelled answer ends with the error "cancelled", and the engine stops', () =>
   withCluster(async (cluster) => {
     const client = createClusterClient(cluster, DEMO_KEYS.routing);
     const request = { ...PROMPT, service: 'route-brief', maxTokens: 5_000 };
@@ -145,7 +145,7 @@
     );
   }));
 
-test('a cancel that reaches another VM cancels all the same', () =>
+test('a cancel sent to another VM cancels the answer', () =>
   withCluster(async (cluster) => {
     const caller = createClusterClient(cluster, DEMO_KEYS.routing, 0);
     const canceller = createClusterClient(cluster, DEMO_KEYS.routing, 1);
@@ -162,7 +162,7 @@
     assert.is(cancelled, true);
   }));
 
-test('an accepted change is in force on every VM, also on one that starts in an outage', () =>
+test('an accepted change reaches every VM, including one that starts during a store outage', () =>
   withCluster(async (cluster) => {
     const operator = createClusterClient(cluster, DEMO_KEYS.operator);
     const { revision } = await applyResource(operator, 'c1', 1, organisation('new', 5));
@@ -174,7 +174,7 @@
     assert.is(late.daemon.revision(), Number(revision));
   }));
 
-test('operators who race through different VMs: one wins, the other sees what is there', () =>
+test('of concurrent changes through different VMs one is accepted, the others get a conflict', () =>
   withCluster(async (cluster) => {
     const operators = [0, 1, 2].map((first) =>
       createClient({ urls: [cluster.vms[first]?.url ?? ''], key: DEMO_KEYS.operator }),
@@ -189,7 +189,7 @@
     await waitUntil(() => cluster.vms.every(({ daemon }) => daemon.revision() === 2));
   }));
 
-test('a configuration never goes back when the service is restored from something older', () =>
+test('the configuration does not revert when the store is restored from an older backup', () =>
   withCluster(async (cluster) => {
     const operator = createClusterClient(cluster, DEMO_KEYS.operator);
     const backup = cluster.platform.values.backUp();
@@ -205,13 +205,13 @@
     assert.ok(cluster.vms.every(({ daemon }) => daemon.revision() === 2));
   }));
 
-test('a call whose VM dies in the middle runs once, and its outcome is said to be unknown', () =>
+test('a call whose VM crashes while it runs is run once and reported as outcome unknown', () =>
   withCluster(async (cluster) => {
     const [vm] = cluster.vms;
     assert.ok(vm);
     const booking = { service: 'booking', operation: 'book-room' };
-    // A VM that has just started may know no target yet. Its refusal is retried through another
-    // VM, which only knows that the first one holds the call: an end without any run.
+    // A VM that has just started may have no target and refuse the call. The retry through
+    // another VM would then end without a run, because the first VM holds the claim.
     const warmUp = createClient({ urls: [vm.url], key: DEMO_KEYS.haneul });
     clients.push(warmUp);
     await warmUp.call({ ...booking, requestId: 'warm-up', repeatable: true });
@@ -233,19 +233,19 @@
     assert.is(runs(), 1);
   }));
 
-test('a VM that is cut off from the list, and from peers, gives no target new work', () =>
+test('a VM whose list of VMs is outdated sends no new requests to targets', () =>
   withCluster(async (cluster) => {
     const client = createClusterClient(cluster, DEMO_KEYS.routing);
     assert.ok((await readAnswer(client, PROMPT)).length > 0);
     cluster.platform.setListOutage(true);
-    const impatient = createClient({
+    const singleAttemptClient = createClient({
       urls: [cluster.vms[0]?.url ?? ''],
       key: DEMO_KEYS.routing,
       maxTries: 1,
     });
-    clients.push(impatient);
+    clients.push(singleAttemptClient);
     const isRefused = async () =>
-      (await getOutcome(() => readAnswer(impatient, PROMPT))).endsWith('/not-run');
+      (await getOutcome(() => readAnswer(singleAttemptClient, PROMPT))).endsWith('/not-run');
     while (!(await isRefused())) {
       await delay(systemTimers, 100);
     }
@@ -255,7 +255,7 @@
     cluster.platform.setListOutage(false);
   }));
 
-test('a leaving target gets no new work, while what runs there runs to its end', () =>
+test('a leaving target gets no new requests, and its running generation finishes', () =>
   withCluster(async (cluster) => {
     const client = createClusterClient(cluster, DEMO_KEYS.routing);
     const long = readAnswer(client, { ...PROMPT, service: 'route-brief', maxTokens: 400 });
@@ -284,7 +284,7 @@
     assert.is(leaving.records()[0]?.ended, 'finished');
   }));
 
-test('an engine that is cut off goes on generating, but its tokens are not mixed in', () =>
+test('tokens of a partitioned engine that keeps generating are not mixed into the answer', () =>
   withCluster(async (cluster) => {
     const client = createClusterClient(cluster, DEMO_KEYS.routing);
     const request = { ...PROMPT, service: 'in-cab', maxTokens: 300 };
@@ -309,7 +309,7 @@
     await waitUntil(() => cutOff?.records()[0]?.ended !== 'running');
   }));
 
-test('a planned stop under load cuts no request', () =>
+test('a graceful stop under load interrupts no request', () =>
   withCluster(async (cluster) => {
     const answers = Array.from({ length: 12 }, (_, index) =>
       readAnswer(createClusterClient(cluster, DEMO_KEYS.routing, index), {
@@ -329,7 +329,7 @@
     assert.is(begun(), 12, 'nothing was computed again');
   }));
 
-test('each caller gets its own answer when many come at the same time', () =>
+test('concurrent callers each get the answer to their own prompt', () =>
   withCluster(async (cluster) => {
     const answers = await Promise.all(
       Array.from({ length: 30 }, async (_, index) => {
--- a/packages/demo/src/workload.ts
+++ b/packages/demo/src/workload.ts
@@ -1,15 +1,15 @@
-/** The requests of one demonstration. */
+/** Creates the requests of a demonstration. */
 import type { Random } from '@limelead/types';
 import { DEMO_KEYS } from './demo-configuration.js';
 
-/** Part of each kind in the mix. */
+/** Kinds of requests, used in turn. */
 const KINDS = ['brief', 'prompt', 'feedback', 'booking'] as const;
 const ARRIVAL_WINDOW_MS = 2_500;
 
-/** One of the kinds of requests. */
+/** Kind of a request. */
 export type DemoRequestKind = (typeof KINDS)[number];
 
-/** A request for an answer. */
+/** A request for a streamed answer. */
 export interface DemoAnswerRequest {
   kind: 'answer';
   requestId: string;
@@ -21,7 +21,7 @@
   startAtMs: number;
 }
 
-/** A call that must not run twice. */
+/** A non-repeatable call. */
 export interface DemoCallRequest {
   kind: 'call';
   requestId: string;
@@ -31,10 +31,10 @@
   startAtMs: number;
 }
 
-/** One request. */
+/** A request of the demonstration. */
 export type DemoRequest = DemoAnswerRequest | DemoCallRequest;
 
-/** Draws the requests; the first of each kind comes at once, so that a fault finds work. */
+/** Creates random requests. The first of each kind starts immediately, so that faults hit open requests. */
 export default function createWorkload(count: number, random: Random): DemoRequest[] {
   return Array.from({ length: count }, (_, index) => {
     const kind = KINDS[index % KINDS.length] ?? 'brief';
