--- a/packages/cli/src/commands/apply/index.ts
+++ b/packages/cli/src/commands/apply/index.ts
@@ -5,20 +5,20 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { randomUUID } from 'node:crypto';
 import { readFileSync } from 'node:fs';
-import { withClient, type ConnectionOptions } from '../../connect.js';
+import { withClient, type ConnectionOptions } from '../../connection.js';
 import { EXIT_CODES } from '../../exit-codes.js';
 import { printLine } from '../../output.js';
 import decodeChangeFile from './change-file.js';
 
 /** Options of the command. */
 export interface ApplyOptions extends ConnectionOptions {
-  /** Revision that the change was made against; the present one where absent. */
+  /** Revision on which the change is based; defaults to the current one. */
   base?: number;
-  /** Id of the change; the same id is applied once. */
+  /** Id of the change; a change with the same id is applied only once. */
   changeId?: string;
 }
 
-/** Runs the command. */
+/** Runs the command; returns the exit code. */
 export default async function apply(file: string, options: ApplyOptions): Promise<number> {
   const change = decodeChangeFile(file, readFileSync(file, 'utf8'));
   if (E.isLeft(change)) {
@@ -28,8 +28,8 @@
     const { revision } = await administration.apply(
       {
         changeId: options.changeId ?? randomUUID(),
-        baseRevision: await findBase(options.base, administration, headers),
-        operations: change.right.operations.map(toMessage),
+        baseRevision: await resolveBaseRevision(options.base, administration, headers),
+        operations: change.right.operations.map(toOperationMessage),
         reason: change.right.reason,
       },
       { headers },
@@ -45,7 +45,7 @@
 
 type Administration = Parameters<Parameters<typeof withClient>[1]>[0]['administration'];
 
-async function findBase(
+async function resolveBaseRevision(
   base: number | undefined,
   administration: Administration,
   headers: Record<string, string>,
@@ -53,12 +53,12 @@
   if (base !== undefined) {
     return BigInt(base);
   }
-  // One kind is enough: only the revision is wanted.
+  // Only the revision is needed, so request a single kind of resource.
   const { revision } = await administration.getConfiguration({ kind: 'operator' }, { headers });
   return revision;
 }
 
-function toMessage(operation: Operation): OperationMessage {
+function toOperationMessage(operation: Operation): OperationMessage {
   const json =
     'put' in operation
       ? { put: { [operation.put.kind]: operation.put.spec } }
--- a/packages/daemon/src/services/generation-service.ts
+++ b/packages/daemon/src/services/generation-service.ts
@@ -1,4 +1,4 @@
-/** The RPC service Generation. */
+/** Implements the RPC service Generation. */
 import { create } from '@bufbuild/protobuf';
 import type { ConnectError, HandlerContext, ServiceImpl } from '@connectrpc/connect';
 import type { AdmissionTicket } from '@limelead/admit-request';
@@ -21,15 +21,15 @@
 import toRpcError from '../to-rpc-error.js';
 import type { VmContext } from '../vm-context.js';
 
-/** Creates the service of one VM. */
+/** Creates the Generation service of one VM. */
 export default function createGenerationService(
   context: VmContext,
   dependencies: GenerationDependencies,
-  cancelElsewhere: (organisation: string, requestId: string) => Promise<boolean>,
+  cancelOnPeers: (organisation: string, requestId: string) => Promise<boolean>,
 ): ServiceImpl<typeof GenerationSchema> {
-  /** The one generator between a generation and the RPC library: each layer costs every token. */
+  /** Streams an answer. Only one generator wraps it, because each layer adds cost per token. */
   async function* serve(
-    prepare: () => PreparedAnswer,
+    prepare: () => PreparedGeneration,
     signal: AbortSignal,
   ): AsyncGenerator<GenerateResponse> {
     const cleanUps: (() => void)[] = [];
@@ -45,7 +45,7 @@
         yield toResponse(context, request, message);
       }
     } catch (thrown) {
-      throw countError(context, thrown);
+      throw toCountedRpcError(context, thrown);
     } finally {
       cleanUps.forEach((cleanUp) => cleanUp());
     }
@@ -58,8 +58,7 @@
       try {
         const { name } = context.authenticator.requireOrganisation(rpc.requestHeader);
         const cancelled =
-          context.openGenerations.cancel(name, requestId) ||
-          (await cancelElsewhere(name, requestId));
+          context.openGenerations.cancel(name, requestId) || (await cancelOnPeers(name, requestId));
         return create(CancelResponseSchema, { cancelled });
       } catch (thrown) {
         throw toRpcError(thrown);
@@ -68,8 +67,8 @@
   };
 }
 
-/** A checked request and where its answer begins. */
-interface PreparedAnswer {
+/** A validated request and the point at which its answer starts. */
+interface PreparedGeneration {
   organisation: Organisation;
   request: GenerationRequest;
   start: GenerationStart;
@@ -79,7 +78,7 @@
   context: VmContext,
   message: GenerateRequest,
   rpc: HandlerContext,
-): PreparedAnswer {
+): PreparedGeneration {
   const organisation = context.authenticator.requireOrganisation(rpc.requestHeader);
   const request = checkGenerateRequest(context, organisation, message);
   return { organisation, request, start: { tries: 0, delivered: [] } };
@@ -89,10 +88,10 @@
   context: VmContext,
   { request: message, handle, tries, deliveredTokens: delivered }: ResumeRequest,
   rpc: HandlerContext,
-): PreparedAnswer {
+): PreparedGeneration {
   const organisation = context.authenticator.requireOrganisation(rpc.requestHeader);
   if (message === undefined) {
-    throw new LimeleadError('invalid-request', 'request: expected the request as first sent');
+    throw new LimeleadError('invalid-request', 'request: expected the original request');
   }
   const request = checkGenerateRequest(context, organisation, message);
   if (delivered.length > request.maxTokens) {
@@ -111,18 +110,18 @@
   };
 }
 
-/** Counts an error of the closed list and turns it into an RPC error. */
-export function countError({ metrics }: VmContext, thrown: unknown): ConnectError {
+/** Counts a limelead error by its kind and converts anything thrown to an RPC error. */
+export function toCountedRpcError({ metrics }: VmContext, thrown: unknown): ConnectError {
   if (thrown instanceof LimeleadError) {
     metrics.count('limelead_errors_total', 1, { kind: thrown.kind });
   }
   return toRpcError(thrown);
 }
 
-/** Refuses new work once a planned stop has begun. */
+/** Throws `shutting-down` while this VM drains for a planned stop. */
 export function refuseWhileDraining(context: VmContext): void {
   if (context.isDraining()) {
-    throw new LimeleadError('shutting-down', 'this VM is stopping; another takes the request');
+    throw new LimeleadError('shutting-down', 'this VM is shutting down; retry on another VM');
   }
 }
 
@@ -137,7 +136,7 @@
       organisation,
       rank: request.priority.rank,
       deadlineAtMs: request.deadlineAtMs,
-      expectedWaitMs: expectWait(context, request),
+      expectedWaitMs: estimateWaitMs(context, request),
       maxQueueMs: request.priority.maxQueueMs,
       isResumed,
     },
@@ -155,10 +154,10 @@
   throw ticket.left;
 }
 
-/** Milliseconds of waiting at the target with the shortest queue; 0 where nothing is known. */
-function expectWait(context: VmContext, request: GenerationRequest): number {
+/** Estimates the wait at the usable target with the shortest queue; 0 if there is no target. */
+function estimateWaitMs(context: VmContext, request: GenerationRequest): number {
   const { targets, clock, gaps } = context;
-  const version = currentVersion(context, request.service);
+  const version = findCurrentVersion(context, request.service);
   const meanAnswerTokens = gaps.readMeanAnswerTokens();
   const waits = targets
     .listUsableEngines(clock.now(), version)
@@ -166,8 +165,8 @@
   return waits.length === 0 ? 0 : Math.min(...waits);
 }
 
-/** The version with which new answers of a service begin. */
-export function currentVersion(context: VmContext, service: string): ModelVersion | undefined {
+/** Returns the model version that new answers of a service use. */
+export function findCurrentVersion(context: VmContext, service: string): ModelVersion | undefined {
   return findSpec(context.configuration.configuration, 'service', service)?.model;
 }
 
--- a/packages/measure/src/run-load-on-cluster.ts
+++ b/packages/measure/src/run-load-on-cluster.ts
@@ -43,7 +43,7 @@
       }),
       run.disturb?.(cluster),
     ]);
-    const pages = cluster.vms.map(({ daemon }) => daemon.metricsPage());
+    const pages = cluster.vms.map(({ daemon }) => daemon.renderMetrics());
     return {
       summary,
       repeatedWork: measureRepeatedWork(cluster.engines, summary.all.tokens),
