--- a/packages/forward-request/src/assess-silence.test.ts
+++ b/packages/forward-request/src/assess-silence.test.ts
@@ -38,7 +38,7 @@
 });
 
 test('a run is given up when its prefill exceeds the limit, even if the target is active', () => {
-  const mute = { ...reading, runSilentMs: 5_000, targetSilentMs: 10, askedAgoMs: 10 };
+  const mute = { ...reading, runSilentMs: 5_000, targetSilentMs: 10, probedAgoMs: 10 };
   assert.is(assessSilence(mute), 'give-up');
 });
 
--- a/packages/http-front-door/src/http-front-door.test.ts
+++ b/packages/http-front-door/src/http-front-door.test.ts
@@ -64,12 +64,7 @@
   }),
   composeProbe: () => ({ method: 'GET', path: '/', headers: [], body: Buffer.alloc(0) }),
   readProbe: () => undefined,
-  composeCacheQuery: () => ({
-    method: 'GET',
-    path: '/',
-    headers: [],
-    body: Buffer.alloc(0),
-  }),
+  composeCacheQuery: () => ({ method: 'GET', path: '/', headers: [], body: Buffer.alloc(0) }),
   readCachedPrompts: () => new Set(),
 };
 
