--- a/packages/choose-service-target/src/index.test.ts
+++ b/packages/choose-service-target/src/index.test.ts
@@ -94,10 +94,10 @@
   assert.is(chooseServiceTarget([near], createRequest())?.target.id, 'a');
   const exclude = new Set(['b']);
   assert.is(chooseServiceTarget([near, far], createRequest({ exclude }))?.target.id, 'a');
-  const isDomainDoubtful = (domain: string): boolean => domain === 'north';
+  const isNorthSuspected = (domain: string): boolean => domain === 'north';
   const fresh = [track('a', 'north'), far];
   assert.is(
-    chooseServiceTarget(fresh, createRequest({ isDomainSuspected: isDomainDoubtful }))?.target.id,
+    chooseServiceTarget(fresh, createRequest({ isDomainSuspected: isNorthSuspected }))?.target.id,
     'b',
   );
 });
--- a/packages/forward-request/src/assess-silence.test.ts
+++ b/packages/forward-request/src/assess-silence.test.ts
@@ -7,7 +7,7 @@
   runSilentMs: 0,
   targetSilentMs: 0,
   maxSilenceMs: 300,
-  isDomainDoubtful: false,
+  isDomainSuspected: false,
 };
 const reading: RunSilence = { ...sending, isWriting: false, maxSilenceMs: 5_000 };
 
@@ -24,7 +24,7 @@
 test('losses in the failure domain shorten the wait', () => {
   const silent = { ...sending, runSilentMs: 200, targetSilentMs: 200 };
   assert.is(assessSilence(silent), 'wait');
-  assert.is(assessSilence({ ...silent, isDomainDoubtful: true }), 'give-up');
+  assert.is(assessSilence({ ...silent, isDomainSuspected: true }), 'give-up');
 });
 
 test('the target of a silent run is probed during prefill, but not too often', () => {
@@ -33,8 +33,8 @@
   assert.is(assessSilence(long), 'probe');
   assert.is(assessSilence({ ...long, probedAgoMs: 100 }), 'wait');
   assert.is(assessSilence({ ...long, probedAgoMs: 700 }), 'probe');
-  const doubted = { ...reading, runSilentMs: 60, targetSilentMs: 60, isDomainDoubtful: true };
-  assert.is(assessSilence(doubted), 'probe');
+  const suspected = { ...reading, runSilentMs: 60, targetSilentMs: 60, isDomainSuspected: true };
+  assert.is(assessSilence(suspected), 'probe');
 });
 
 test('a run is given up when its prefill exceeds the limit, even if the target is active', () => {
--- a/packages/forward-request/src/assess-silence.ts
+++ b/packages/forward-request/src/assess-silence.ts
@@ -1,7 +1,7 @@
 /** Decides whether to wait for a silent run, probe its target, or give it up. Pure. */
 
 /** Shortens the silence limit if other targets of the failure domain were just lost. */
-const DOUBTFUL_DOMAIN_FACTOR = 0.6;
+const SUSPECTED_DOMAIN_FACTOR = 0.6;
 /**
  * Part of the silence limit after which the target counts as silent too. An engine serves
  * its runs in one batch, so their pieces arrive at about the same time.
@@ -12,7 +12,7 @@
 /** Silence of a target during prefill after which it is probed; longer than a usual prefill. */
 const PROBE_AFTER_MS = 1_500;
 /** The same limit if other targets of the failure domain were just lost. */
-const DOUBTFUL_DOMAIN_PROBE_AFTER_MS = 40;
+const SUSPECTED_DOMAIN_PROBE_AFTER_MS = 40;
 /** Minimum time between two probes of a target. */
 const PROBE_INTERVAL_MS = 600;
 
@@ -27,7 +27,7 @@
   /** Longest silence in milliseconds that the gaps between pieces or the prefill explain. */
   maxSilenceMs: number;
   /** True if other targets of the failure domain were just lost. */
-  isDomainDoubtful: boolean;
+  isDomainSuspected: boolean;
   /** Milliseconds since the last probe of the target; undefined without one. */
   probedAgoMs?: number;
 }
@@ -41,8 +41,8 @@
 }
 
 function assessWriting(silence: RunSilence): SilenceAssessment {
-  const { runSilentMs, targetSilentMs, isDomainDoubtful } = silence;
-  const limitMs = silence.maxSilenceMs * (isDomainDoubtful ? DOUBTFUL_DOMAIN_FACTOR : 1);
+  const { runSilentMs, targetSilentMs, isDomainSuspected } = silence;
+  const limitMs = silence.maxSilenceMs * (isDomainSuspected ? SUSPECTED_DOMAIN_FACTOR : 1);
   if (runSilentMs < limitMs) {
     return 'wait';
   }
@@ -51,11 +51,11 @@
 }
 
 function assessPrefill(silence: RunSilence): SilenceAssessment {
-  const { runSilentMs, targetSilentMs, maxSilenceMs, isDomainDoubtful, probedAgoMs } = silence;
+  const { runSilentMs, targetSilentMs, maxSilenceMs, isDomainSuspected, probedAgoMs } = silence;
   if (runSilentMs >= maxSilenceMs) {
     return 'give-up';
   }
-  const probeAfterMs = isDomainDoubtful ? DOUBTFUL_DOMAIN_PROBE_AFTER_MS : PROBE_AFTER_MS;
+  const probeAfterMs = isDomainSuspected ? SUSPECTED_DOMAIN_PROBE_AFTER_MS : PROBE_AFTER_MS;
   const probedRecently = probedAgoMs !== undefined && probedAgoMs < PROBE_INTERVAL_MS;
   return targetSilentMs >= probeAfterMs && !probedRecently ? 'probe' : 'wait';
 }
--- a/packages/forward-request/src/cached-prompt-finder.ts
+++ b/packages/forward-request/src/cached-prompt-finder.ts
@@ -25,7 +25,7 @@
   directory: TargetDirectory;
   connections: TargetConnections;
   dialect: TargetDialect;
-  backpressure: Pick<TargetBackpressure, 'coolingUntilMs'>;
+  backpressure: Pick<TargetBackpressure, 'cooldownUntilMs'>;
   log: DecisionLog;
 }
 
@@ -47,7 +47,7 @@
     const present = directory
       .listUsable(service)
       .filter(({ health }) => !isSuspected(health, askedAtMs))
-      .filter(({ target }) => backpressure.coolingUntilMs(target.id) === undefined);
+      .filter(({ target }) => backpressure.cooldownUntilMs(target.id) === undefined);
     const targets = listLikelyTargets(present, affinityKey, MAX_QUERIED_TARGETS).map(
       ({ target }) => target,
     );
--- a/packages/forward-request/src/context.ts
+++ b/packages/forward-request/src/context.ts
@@ -47,7 +47,7 @@
   /** Routes of the current configuration; undefined until one is loaded. */
   readRouteTable(): RouteTable | undefined;
   /** Milliseconds since the store last confirmed the configuration of this VM. */
-  readKnowledgeAgeMs(): Millis;
+  readStoreViewAgeMs(): Millis;
   /** Source of the current configuration: "store" or the address of a peer. */
   readConfigurationSource(): string | undefined;
   retryBudgetOf(service: string): RetryBudgetTracker;
--- a/packages/forward-request/src/forward-call.test.ts
+++ b/packages/forward-request/src/forward-call.test.ts
@@ -165,8 +165,8 @@
   const bed = await TestBed.start(slowFailure, answer);
   bed.usePermits({
     ...NO_RATE_LIMITS,
-    isLimiting: true,
-    maySend: (_, isHedge) => isHedge !== true,
+    hasLimits: true,
+    canSend: (_, isHedge) => isHedge !== true,
   });
   const sink = new RecordingSink();
   forwardCall(bed.context, createAdmittedRequest({ ...REPEATABLE, objectiveMs: 100 }), sink);
--- a/packages/forward-request/src/forwarding.fixture.ts
+++ b/packages/forward-request/src/forwarding.fixture.ts
@@ -250,7 +250,7 @@
       metrics,
       observer: {},
       readRouteTable: () => table,
-      readKnowledgeAgeMs: () => 0,
+      readStoreViewAgeMs: () => 0,
       readConfigurationSource: () => 'store',
       retryBudgetOf: () => this.spender,
       countVms: () => 1,
--- a/packages/forward-request/src/send-permits.ts
+++ b/packages/forward-request/src/send-permits.ts
@@ -6,12 +6,12 @@
   /** Connects the queue of waiting requests. */
   attach(waiting: WaitingRequestQueue): void;
   /** True if any target advertises a limit; otherwise no permits are needed. */
-  readonly isLimiting: boolean;
+  readonly hasLimits: boolean;
   /**
    * Whether a request may be sent to the target now.
    * @param isHedge true for a hedge, which takes no permit that another request could use
    */
-  maySend(targetId: string, isHedge?: boolean): boolean;
+  canSend(targetId: string, isHedge?: boolean): boolean;
   /** Records a request that is sent to the target now. */
   recordSend(targetId: string, service: string): void;
   /** Called when requests for the service start or stop waiting for a slot. */
@@ -23,8 +23,8 @@
 /** Allows every request to every target. */
 export const NO_RATE_LIMITS: SendPermits = {
   attach: () => undefined,
-  isLimiting: false,
-  maySend: () => true,
+  hasLimits: false,
+  canSend: () => true,
   recordSend: () => undefined,
   onQueueChanged: () => undefined,
   onResponse: () => undefined,
--- a/packages/forward-request/src/silence-monitor.ts
+++ b/packages/forward-request/src/silence-monitor.ts
@@ -115,7 +115,7 @@
       runSilentMs: now - run.lastActivityAtMs,
       targetSilentMs: now - Math.max(run.lastActivityAtMs, targetHeardAtMs),
       maxSilenceMs: run.maxSilenceMs(),
-      isDomainDoubtful: directory.isDomainSuspected(run.target.service, run.target.failureDomain),
+      isDomainSuspected: directory.isDomainSuspected(run.target.service, run.target.failureDomain),
       probedAgoMs: this.probes.ageMs(run.target.id, now),
     });
   }
--- a/packages/forward-request/src/slot-queue-entry.test.ts
+++ b/packages/forward-request/src/slot-queue-entry.test.ts
@@ -20,7 +20,7 @@
 }
 
 test('only the slot queue occupies slots at targets', () => {
-  assert.equal(findModules(/directory\.begin\(/), ['forward-request/slot-queue.ts']);
+  assert.equal(findModules(/directory\.startRequest\(/), ['forward-request/slot-queue.ts']);
 });
 
 test('only attempts with a slot and small queries send calls to targets', () => {
--- a/packages/forward-request/src/slot-queue.test.ts
+++ b/packages/forward-request/src/slot-queue.test.ts
@@ -54,7 +54,7 @@
     limit: ({ target }) => target.slots,
     gate: { ...OPEN_GATE, recordSend: ({ id }) => sent.push(id), ...gate },
     permits: { ...NO_RATE_LIMITS, ...permits },
-    backpressure: { ...NO_BACKPRESSURE, isCoolingAny: true, ...backpressure },
+    backpressure: { ...NO_BACKPRESSURE, hasCooldowns: true, ...backpressure },
     random: { next: () => 0 },
   });
   const slots: (Slot | undefined)[] = [];
@@ -104,7 +104,7 @@
 });
 
 test('no method acquires a slot at a target without a permit', () => {
-  const permits = { isLimiting: true, maySend: (id: string) => id === 'v1-0' };
+  const permits = { hasLimits: true, canSend: (id: string) => id === 'v1-0' };
   const { queue, sent, acquire } = create({}, permits);
   assert.is(queue.acquireAt('v2-0'), undefined);
   assert.is(queue.acquireAtReplica('v2-0'), undefined);
@@ -115,7 +115,7 @@
 });
 
 test('a request waits for a permit rather than return to the target that failed it', () => {
-  const permits = { isLimiting: true, maySend: (id: string) => id === 'v1-0' };
+  const permits = { hasLimits: true, canSend: (id: string) => id === 'v1-0' };
   const { queue, sent, acquire } = create({}, permits);
   acquire(['v1-0']);
   assert.equal(sent, []);
@@ -131,7 +131,7 @@
 
 test('no method acquires a slot at a target in a cooldown', () => {
   const cooling = new Map([['v1-0', 5_000]]);
-  const { queue, sent, acquire } = create({}, {}, { coolingUntilMs: (id) => cooling.get(id) });
+  const { queue, sent, acquire } = create({}, {}, { cooldownUntilMs: (id) => cooling.get(id) });
   acquire();
   assert.equal(sent, ['v2-0']);
   assert.is(queue.acquireAt('v1-0'), undefined);
@@ -144,7 +144,7 @@
   const held: string[] = [];
   let endMs = 900;
   const backpressure = {
-    coolingUntilMs: () => endMs,
+    cooldownUntilMs: () => endMs,
     onHeld: ({ requestId, waitMs }: HeldRequest) => void held.push(`${requestId} ${waitMs}`),
   };
   const { queue, slots, refusals, acquire } = create({}, {}, backpressure);
@@ -156,7 +156,7 @@
 });
 
 test('a request is refused if too little time is left after the first cooldown', () => {
-  const { queue } = create({}, {}, { coolingUntilMs: () => 960 });
+  const { queue } = create({}, {}, { cooldownUntilMs: () => 960 });
   const refused: boolean[] = [];
   const receive = (_: unknown, refusal?: SlotRefusal): void =>
     void refused.push(refusal !== undefined);
@@ -168,7 +168,7 @@
 test('a request that waits because there are no targets is not reported as held for a cooldown', () => {
   const held: string[] = [];
   const onHeld = ({ requestId }: HeldRequest): void => void held.push(requestId);
-  const { queue } = create({}, {}, { coolingUntilMs: () => 900, onHeld });
+  const { queue } = create({}, {}, { cooldownUntilMs: () => 900, onHeld });
   queue.acquire({ ...REQUEST, service: 'other' }, () => undefined);
   assert.equal([queue.waiting, held], [1, []]);
 });
@@ -177,7 +177,7 @@
   let waiting: WaitingRequestQueue | undefined;
   const cooling = new Map([['v1-0', 5_000]]);
   const attach = (attached: WaitingRequestQueue): void => void (waiting = attached);
-  create({}, { attach }, { coolingUntilMs: (id) => cooling.get(id) });
+  create({}, { attach }, { cooldownUntilMs: (id) => cooling.get(id) });
   assert.equal([waiting?.isAvoided('v1-0'), waiting?.isAvoided('v2-0')], [true, false]);
 });
 
--- a/packages/forward-request/src/slot-queue.ts
+++ b/packages/forward-request/src/slot-queue.ts
@@ -157,7 +157,7 @@
     const { directory, gate, permits } = this.options;
     gate.recordSend(tracked.target);
     permits.recordSend(tracked.target.id, tracked.target.service);
-    return { tracked, replicaTargetId, release: directory.begin(tracked.target.id) };
+    return { tracked, replicaTargetId, release: directory.startRequest(tracked.target.id) };
   }
 
   private serveWaiters(): void {
--- a/packages/forward-request/src/target-availability.ts
+++ b/packages/forward-request/src/target-availability.ts
@@ -43,7 +43,7 @@
   }
 
   private isCooling({ target }: TrackedServiceTarget): boolean {
-    return this.options.backpressure.coolingUntilMs(target.id) !== undefined;
+    return this.options.backpressure.cooldownUntilMs(target.id) !== undefined;
   }
 
   /** Logs a request that waits because all targets of its service are in a cooldown. */
@@ -81,12 +81,12 @@
   /** Empty while no target of any service has a cooldown, to keep the common case cheap. */
   private listCooldowns(service: string): TargetCooldown[] {
     const { backpressure, directory } = this.options;
-    if (!backpressure.isCoolingAny) {
+    if (!backpressure.hasCooldowns) {
       return [];
     }
     return directory.listUsable(service).map(({ target: { id } }) => ({
       target: id,
-      untilMs: backpressure.coolingUntilMs(id),
+      untilMs: backpressure.cooldownUntilMs(id),
     }));
   }
 
@@ -105,7 +105,7 @@
 
   /** Whether a target accepts requests from this VM now; free slots are not checked. */
   isAvailable(tracked: TrackedServiceTarget): boolean {
-    return this.isOpen(tracked) && this.options.permits.maySend(tracked.target.id);
+    return this.isOpen(tracked) && this.options.permits.canSend(tracked.target.id);
   }
 
   /**
@@ -115,10 +115,10 @@
   listPermitted({ service, exclude, isHedge }: SlotRequest): TrackedServiceTarget[] {
     const { permits } = this.options;
     const usable = this.listUsable(service);
-    if (!permits.isLimiting) {
+    if (!permits.hasLimits) {
       return usable;
     }
-    const permitted = usable.filter(({ target }) => permits.maySend(target.id, isHedge));
+    const permitted = usable.filter(({ target }) => permits.canSend(target.id, isHedge));
     const hasFailed = ({ target }: TrackedServiceTarget): boolean => exclude.has(target.id);
     return permitted.every(hasFailed) && !usable.every(hasFailed) ? [] : permitted;
   }
@@ -126,7 +126,7 @@
   private listUsable(service: string): TrackedServiceTarget[] {
     const { backpressure, directory } = this.options;
     const usable = directory.listUsable(service);
-    return backpressure.isCoolingAny
+    return backpressure.hasCooldowns
       ? usable.filter((tracked) => !this.isCooling(tracked))
       : usable;
   }
--- a/packages/forward-request/src/target-backpressure.ts
+++ b/packages/forward-request/src/target-backpressure.ts
@@ -6,9 +6,9 @@
 export interface TargetBackpressure {
   onResponse(response: DirectiveResponse): void;
   /** True if any target has a cooldown. */
-  readonly isCoolingAny: boolean;
+  readonly hasCooldowns: boolean;
   /** Steady time at which the cooldown of a target ends; undefined without one. */
-  coolingUntilMs(targetId: string): Millis | undefined;
+  cooldownUntilMs(targetId: string): Millis | undefined;
   /** Limits the concurrent requests of this VM at a target, for example during slow start. */
   limitSlots(targetId: string, slots: number): number;
   /** Called when a request waits because all targets of its service have cooldowns. */
@@ -18,8 +18,8 @@
 /** Ignores all directives. */
 export const NO_BACKPRESSURE: TargetBackpressure = {
   onResponse: () => undefined,
-  isCoolingAny: false,
-  coolingUntilMs: () => undefined,
+  hasCooldowns: false,
+  cooldownUntilMs: () => undefined,
   limitSlots: (_, slots) => slots,
   onHeld: () => undefined,
 };
--- a/packages/gateway/src/capacity-component.test.ts
+++ b/packages/gateway/src/capacity-component.test.ts
@@ -26,7 +26,9 @@
     storeView: {
       routes: { listServices: () => services, findService: () => services[0] },
     },
-    readExchange: () => ({ reportToCandidates: (report: unknown) => void reports.push(report) }),
+    readExchange: () => ({
+      sendReportToDutyCandidates: (report: unknown) => void reports.push(report),
+    }),
   } as unknown as FleetComponentContext;
   const part = createCapacityComponent(context, {
     duties: { callsPerSecond: 9 } as never,
--- a/packages/gateway/src/capacity-component.ts
+++ b/packages/gateway/src/capacity-component.ts
@@ -46,7 +46,7 @@
       const report = counts.createReport();
       if (report !== undefined) {
         demand.recordReport(settings.vm, report, clock.now());
-        context.readExchange()?.reportToCandidates(report);
+        context.readExchange()?.sendReportToDutyCandidates(report);
       }
       scheduleReport();
     });
--- a/packages/gateway/src/duty-component.ts
+++ b/packages/gateway/src/duty-component.ts
@@ -84,7 +84,7 @@
   return {
     duty,
     yieldDuty() {
-      const others = context.readExchange()?.linkedCandidates ?? [];
+      const others = context.readExchange()?.linkedDutyCandidates ?? [];
       if (others.length > 0) {
         log.write('duty-left-to-others', { candidates: others.map(({ peer }) => peer) });
         keeper.yieldToOthers();
--- a/packages/gateway/src/engine-load.ts
+++ b/packages/gateway/src/engine-load.ts
@@ -6,7 +6,7 @@
 /** What the engine load is computed from. */
 export interface EngineLoadOptions {
   directory: TargetDirectory;
-  pace: SlownessTracker;
+  slowness: SlownessTracker;
   isEngine(service: string): boolean;
   /** Called when the load on an engine changes. */
   onChange(): void;
@@ -18,7 +18,7 @@
 
   /** The load on each engine that runs requests of this VM or holds replicas for it. */
   read(): TargetLoad[] {
-    const { directory, pace, isEngine } = this.options;
+    const { directory, slowness, isEngine } = this.options;
     return directory
       .all()
       .filter(
@@ -29,7 +29,7 @@
         requests: inFlight,
         reading,
         copies: replicas,
-        slowness: pace.slownessOf(target.id),
+        slowness: slowness.slownessOf(target.id),
       }));
   }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -92,7 +92,7 @@
   /** Undefined if this VM has no peer address. */
   private readonly exchange: PeerExchange | undefined;
   private readonly frontDoor: HttpFrontDoor;
-  private readonly pace: SlownessTracker;
+  private readonly slowness: SlownessTracker;
   private readonly engineLoad: EngineLoad;
   private readonly retryBudgets: RetryBudgets;
   /** Fleet-wide components that the settings enable. */
@@ -122,13 +122,13 @@
       onLoad: (tracked) => this.engineLoad.onTargetLoadChange(tracked),
       hasAnnouncedLeaving: (id) => this.backpressure.isLeaving(id),
     });
-    this.pace = new SlownessTracker((id, slowness) => {
+    this.slowness = new SlownessTracker((id, slowness) => {
       this.directory.recordSlowness(id, slowness);
       this.exchange?.onLoadChanged();
     });
     this.engineLoad = new EngineLoad({
       directory: this.directory,
-      pace: this.pace,
+      slowness: this.slowness,
       isEngine: (service) => this.storeView.routes?.findService(service)?.engine !== undefined,
       onChange: () => this.exchange?.onLoadChanged(),
     });
@@ -346,13 +346,13 @@
         this.exchange?.requestTargetAdvice(request, receive) ?? noTargetAdvice(request, receive),
       silence: new SilenceMonitor({ ...shared, connections, dialect, log }),
       prefill: new PrefillEstimator(),
-      slowness: this.pace,
+      slowness: this.slowness,
       cachedPrompts: new CachedPromptFinder({ ...shared, connections, dialect, log }),
       log,
       metrics: this.metrics,
       observer: combineObservers(this.components.flatMap(({ observer }) => observer ?? [])),
       readRouteTable: () => this.storeView.routes,
-      readKnowledgeAgeMs: () => this.storeViewAgeMs,
+      readStoreViewAgeMs: () => this.storeViewAgeMs,
       readConfigurationSource: () => this.storeView.configurationSource,
       retryBudgetOf: (service) => this.retryBudgets.forService(service),
       countVms: () => this.countVms(),
@@ -422,7 +422,7 @@
     }
     if (kind !== 'joined') {
       this.connections.closeIdle(target.id);
-      this.pace.forget(target.id);
+      this.slowness.forget(target.id);
     }
   }
 }
--- a/packages/gateway/src/roll-out-component.ts
+++ b/packages/gateway/src/roll-out-component.ts
@@ -203,11 +203,11 @@
     const { incarnation } = this;
     this.context
       .readExchange()
-      ?.reportToCandidates({ kind: 'version-evidence', incarnation, ...evidence });
+      ?.sendReportToDutyCandidates({ kind: 'version-evidence', incarnation, ...evidence });
   }
 
   private broadcastTotal(gathered: AggregatedEvidence): void {
-    this.context.readExchange()?.reportToLinked({ kind: 'version-total', ...gathered });
+    this.context.readExchange()?.sendReportToLinkedPeers({ kind: 'version-total', ...gathered });
   }
 
   private createGate(): TargetGate {
--- a/packages/gateway/src/target-scheduler.ts
+++ b/packages/gateway/src/target-scheduler.ts
@@ -26,7 +26,7 @@
   directory: TargetDirectory;
   locality: Locality;
   gate: TargetGate;
-  permits: Pick<SendPermits, 'isLimiting' | 'maySend'>;
+  permits: Pick<SendPermits, 'hasLimits' | 'canSend'>;
 }
 
 /** Chooses targets for other VMs and for this one. */
@@ -63,8 +63,8 @@
   private listCandidates(service: string): TrackedServiceTarget[] {
     const { permits } = this.options;
     const targets = this.listAdvisable(service);
-    return permits.isLimiting
-      ? targets.filter(({ target }) => permits.maySend(target.id, true))
+    return permits.hasLimits
+      ? targets.filter(({ target }) => permits.canSend(target.id, true))
       : targets;
   }
 
--- a/packages/gateway/src/usage-component.test.ts
+++ b/packages/gateway/src/usage-component.test.ts
@@ -21,9 +21,9 @@
   const time = createManualTime(WINDOW_MS - (performance.timeOrigin % WINDOW_MS));
   const sent: PeerReport[] = [];
   const exchange = {
-    linkedCandidates: [{ peer: 'b', linkedAtMs: 0 }],
-    reportTo: (_peer: string, report: PeerReport) => void sent.push(report),
-    reportToPeers: (report: PeerReport) => void sent.push(report),
+    linkedDutyCandidates: [{ peer: 'b', linkedAtMs: 0 }],
+    sendReport: (_peer: string, report: PeerReport) => void sent.push(report),
+    sendReportToGossipPeers: (report: PeerReport) => void sent.push(report),
   };
   const context = {
     ...time,
--- a/packages/gateway/src/usage-component.ts
+++ b/packages/gateway/src/usage-component.ts
@@ -88,7 +88,7 @@
     const countedFrom = firstOwnWindow();
     teller.publish(
       listReceivers(exchange, (peer, windows) =>
-        exchange?.reportTo(peer, { kind: 'usage', incarnation, countedFrom, windows }),
+        exchange?.sendReport(peer, { kind: 'usage', incarnation, countedFrom, windows }),
       ),
     );
   }
@@ -100,7 +100,11 @@
   }
 
   function sendTimeOfDay(): void {
-    readExchange()?.reportToPeers({ kind: 'time-of-day', incarnation, timeMs: trueTime.ownTimeMs });
+    readExchange()?.sendReportToGossipPeers({
+      kind: 'time-of-day',
+      incarnation,
+      timeMs: trueTime.ownTimeMs,
+    });
     timers.after(TIME_OF_DAY_INTERVAL_MS, sendTimeOfDay);
   }
 
@@ -137,7 +141,7 @@
   exchange: PeerExchange | undefined,
   send: (peer: PeerId, windows: WindowCounts[]) => void,
 ): UsageSubscriber[] {
-  return (exchange?.linkedCandidates ?? []).map(({ peer, linkedAtMs }) => ({
+  return (exchange?.linkedDutyCandidates ?? []).map(({ peer, linkedAtMs }) => ({
     link: `${peer} ${linkedAtMs}`,
     tell: (windows) => send(peer, windows),
   }));
--- a/packages/http-front-door/src/http-front-door.test.ts
+++ b/packages/http-front-door/src/http-front-door.test.ts
@@ -224,7 +224,7 @@
       metrics,
       observer: {},
       readRouteTable: () => this.table,
-      readKnowledgeAgeMs: () => 0,
+      readStoreViewAgeMs: () => 0,
       readConfigurationSource: () => 'store',
       retryBudgetOf: () => new RetryBudgetTracker({ ratio: 1, slack: 10, windowMs: 1_000 }),
       countVms: () => 1,
--- a/packages/http-front-door/src/http-front-door.ts
+++ b/packages/http-front-door/src/http-front-door.ts
@@ -331,11 +331,11 @@
 
   /** Log fields of the configuration in force: version, source and age of the store view. */
   private describeConfiguration(): LogFields {
-    const { readRouteTable, readConfigurationSource, readKnowledgeAgeMs } = this.options.context;
+    const { readRouteTable, readConfigurationSource, readStoreViewAgeMs } = this.options.context;
     return {
       configuration: readRouteTable()?.version,
       source: readConfigurationSource(),
-      knowledgeAgeMs: readKnowledgeAgeMs(),
+      knowledgeAgeMs: readStoreViewAgeMs(),
     };
   }
 
--- a/packages/load/src/shed-fleet.fixture.ts
+++ b/packages/load/src/shed-fleet.fixture.ts
@@ -189,7 +189,7 @@
     const sentAtMs = this.time.now();
     call.sends += 1;
     this.result.repeats += call.sends > 1 && this.isCounted(call) ? 1 : 0;
-    this.result.unwanted += vm.backpressure.coolingUntilMs(id) === undefined ? 0 : 1;
+    this.result.unwanted += vm.backpressure.cooldownUntilMs(id) === undefined ? 0 : 1;
     if (this.isShed(target)) {
       this.time.after(ANSWER_MS, () => this.onShed(vm, call, slot, sentAtMs));
       return;
--- a/packages/measure/src/experiments/front-door.ts
+++ b/packages/measure/src/experiments/front-door.ts
@@ -191,7 +191,7 @@
     metrics: createMetrics(),
     observer: {},
     readRouteTable: () => table,
-    readKnowledgeAgeMs: () => 0,
+    readStoreViewAgeMs: () => 0,
     readConfigurationSource: () => 'store',
     retryBudgetOf: () => spender,
     countVms: () => 1,
--- a/packages/permit-sends/src/fleet.fixture.ts
+++ b/packages/permit-sends/src/fleet.fixture.ts
@@ -23,7 +23,7 @@
 export type Limiter = Pick<
   SendLimiter,
   | 'attach'
-  | 'maySend'
+  | 'canSend'
   | 'recordSend'
   | 'onQueueChanged'
   | 'onResponse'
@@ -99,7 +99,7 @@
 
   serve(): void {
     for (const waiter of [...this.waiting].sort((a, b) => a.rank - b.rank)) {
-      const target = this.fleet.targets.find((id) => this.limiter.maySend(id));
+      const target = this.fleet.targets.find((id) => this.limiter.canSend(id));
       if (target !== undefined && this.remove(waiter.id)) {
         this.limiter.recordSend(target, SERVICE);
         this.fleet.onSent(this, target, waiter);
--- a/packages/permit-sends/src/other-strategies.fixture.ts
+++ b/packages/permit-sends/src/other-strategies.fixture.ts
@@ -28,7 +28,7 @@
     this.tick();
   }
 
-  maySend(target: string): boolean {
+  canSend(target: string): boolean {
     return (this.buckets.get(target)?.readyAtMs ?? 0) <= this.dependencies.clock.now();
   }
 
--- a/packages/permit-sends/src/send-limiter.ts
+++ b/packages/permit-sends/src/send-limiter.ts
@@ -81,7 +81,7 @@
   }
 
   /** Whether any target has a limit; otherwise every request may be sent to any target. */
-  get isLimiting(): boolean {
+  get hasLimits(): boolean {
     return this.limits.limitedTargets.size > 0;
   }
 
@@ -89,7 +89,7 @@
    * Whether a request may be sent to a target now.
    * @param isHedge a hedge is never sent to a limited target, since it would use another request's permit
    */
-  maySend(target: string, isHedge = false): boolean {
+  canSend(target: string, isHedge = false): boolean {
     if (this.limits.getRate(target) === undefined) {
       return true;
     }
@@ -99,7 +99,7 @@
 
   /** Uses a permit for a request that is sent now. */
   recordSend(target: string, service: string): void {
-    if (!this.isLimiting) {
+    if (!this.hasLimits) {
       return;
     }
     if (this.limits.getRate(target) === undefined) {
@@ -111,7 +111,7 @@
 
   /** The waiting requests of a service changed. */
   onQueueChanged(service: string): void {
-    if (this.isLimiting) {
+    if (this.hasLimits) {
       this.openService(service).onQueueChanged();
     }
   }
--- a/packages/share-evidence/src/leaving-messages.ts
+++ b/packages/share-evidence/src/leaving-messages.ts
@@ -10,13 +10,13 @@
 
 type LeavingUpdateMessage = t.TypeOf<typeof leavingUpdateCodec>;
 
-export function encodeLeavingUpdate(facts: LeavingUpdate[], now: Millis): LeavingUpdateMessage {
-  return facts.map(({ target, heardAtMs }) => ({
+export function encodeLeavingUpdate(updates: LeavingUpdate[], now: Millis): LeavingUpdateMessage {
+  return updates.map(({ target, receivedAtMs }) => ({
     target,
-    heardAgoMs: Math.round(now - heardAtMs),
+    heardAgoMs: Math.round(now - receivedAtMs),
   }));
 }
 
-export function decodeLeavingUpdate(update: LeavingUpdateMessage, now: Millis): LeavingUpdate[] {
-  return update.map(({ target, heardAgoMs }) => ({ target, heardAtMs: now - heardAgoMs }));
+export function decodeLeavingUpdate(message: LeavingUpdateMessage, now: Millis): LeavingUpdate[] {
+  return message.map(({ target, heardAgoMs }) => ({ target, receivedAtMs: now - heardAgoMs }));
 }
--- a/packages/share-evidence/src/peer-exchange.ts
+++ b/packages/share-evidence/src/peer-exchange.ts
@@ -77,7 +77,7 @@
       store: options.storeAddress,
       seeds: options.seeds,
       readStoreMarks: options.readStoreMarks,
-      onForeignPeer: (peer) => this.onStranger(peer),
+      onForeignPeer: (peer) => this.onForeignPeer(peer),
     });
     this.gossip = new Gossip({
       peers: this.peers,
@@ -297,7 +297,7 @@
   }
 
   /** The linked duty candidates, with the time since which the link is up. */
-  get linkedCandidates(): LinkedPeer[] {
+  get linkedDutyCandidates(): LinkedPeer[] {
     return this.dutyCandidates.flatMap((peer) => {
       const linkedAtMs = this.peers.get(peer)?.linkedAtMs;
       return linkedAtMs === undefined ? [] : [{ peer, linkedAtMs }];
@@ -305,12 +305,12 @@
   }
 
   /** Sends a report to one peer; it is lost if no link is up. */
-  reportTo(peer: PeerId, report: PeerReport): void {
+  sendReport(peer: PeerId, report: PeerReport): void {
     this.links?.send(peer, report);
   }
 
   /** Sends a report to the other duty candidates. */
-  reportToCandidates(report: PeerReport): void {
+  sendReportToDutyCandidates(report: PeerReport): void {
     const { id } = this.options;
     const linked = this.dutyCandidates.filter(
       (peer) => peer !== id && this.peers.get(peer) !== undefined,
@@ -319,12 +319,12 @@
   }
 
   /** Sends a report to every linked VM. */
-  reportToLinked(report: PeerReport): void {
+  sendReportToLinkedPeers(report: PeerReport): void {
     this.links?.broadcast(report, this.peers.list());
   }
 
   /** Sends a report to the gossip peers. */
-  reportToPeers(report: PeerReport): void {
+  sendReportToGossipPeers(report: PeerReport): void {
     this.links?.broadcast(report, this.gossip.listPeers());
   }
 
@@ -362,7 +362,7 @@
     this.onPeerLost(peer);
   }
 
-  private onStranger(peer: PeerId): void {
+  private onForeignPeer(peer: PeerId): void {
     this.options.log.write('peer-of-other-store', { peer });
     this.options.onForeignPeer(peer);
     this.members?.remove(peer);
--- a/packages/track-backpressure/src/backpressure.test.ts
+++ b/packages/track-backpressure/src/backpressure.test.ts
@@ -62,14 +62,14 @@
 
 test('a cooldown lasts until the time that the target requested', () => {
   const { backpressure, requestCooldown, passTo, lines } = create();
-  assert.is(backpressure.coolingUntilMs('t'), undefined);
+  assert.is(backpressure.cooldownUntilMs('t'), undefined);
   requestCooldown(3_000);
-  assert.is(backpressure.coolingUntilMs('t'), 3_000);
-  assert.is(backpressure.coolingUntilMs('other'), undefined);
+  assert.is(backpressure.cooldownUntilMs('t'), 3_000);
+  assert.is(backpressure.cooldownUntilMs('other'), undefined);
   passTo(2_999);
-  assert.is(backpressure.coolingUntilMs('t'), 3_000);
+  assert.is(backpressure.cooldownUntilMs('t'), 3_000);
   passTo(3_000);
-  assert.is(backpressure.coolingUntilMs('t'), undefined);
+  assert.is(backpressure.cooldownUntilMs('t'), undefined);
   assert.equal(lines, ['target-cooldown', 'target-cooldown-over']);
 });
 
@@ -81,18 +81,18 @@
   respond({ kind: 'none' });
   respond({ kind: 'unreadable', text: 'soon' });
   requestCooldown(0);
-  assert.is(backpressure.coolingUntilMs('t'), 6_000);
+  assert.is(backpressure.cooldownUntilMs('t'), 6_000);
   requestCooldown(6_000);
-  assert.is(backpressure.coolingUntilMs('t'), 6_010);
+  assert.is(backpressure.cooldownUntilMs('t'), 6_010);
 });
 
 test('the jitter only prolongs a cooldown, by at most a quarter of a second', () => {
   const short = create(1);
   short.requestCooldown(1_000);
-  assert.is(short.backpressure.coolingUntilMs('t'), 1_100);
+  assert.is(short.backpressure.cooldownUntilMs('t'), 1_100);
   const long = create(1);
   long.requestCooldown(7_200_000);
-  assert.is(long.backpressure.coolingUntilMs('t'), 7_200_250);
+  assert.is(long.backpressure.cooldownUntilMs('t'), 7_200_250);
 });
 
 test('the end of a cooldown is logged once, also after hours', () => {
@@ -106,12 +106,12 @@
 
 test('a cooldown is forgotten a minute after its end', () => {
   const { backpressure, requestCooldown, passTo } = create();
-  assert.not(backpressure.isCoolingAny);
+  assert.not(backpressure.hasCooldowns);
   requestCooldown(1_000);
   passTo(1_000);
-  assert.ok(backpressure.isCoolingAny);
+  assert.ok(backpressure.hasCooldowns);
   passTo(61_000);
-  assert.not(backpressure.isCoolingAny);
+  assert.not(backpressure.hasCooldowns);
 });
 
 test('concurrency ramps up from one to all slots after a cooldown', () => {
@@ -143,13 +143,13 @@
   assert.ok(backpressure.isLeaving('t'));
   assert.equal([leaving, published], [['t'], [{ targets: ['t'], from: undefined }]]);
   assert.equal(lines, ['target-leaving-announced']);
-  assert.equal(backpressure.listLeaving(), [{ target: 't', heardAtMs: 0 }]);
+  assert.equal(backpressure.listLeaving(), [{ target: 't', receivedAtMs: 0 }]);
 });
 
 test('new leaving announcements of a peer are forwarded, known ones are not', () => {
   const { backpressure, leaving, published } = create();
-  backpressure.onPeerUpdate('vm2', [{ target: 't', heardAtMs: -5 }]);
-  backpressure.onPeerUpdate('vm3', [{ target: 't', heardAtMs: -9 }]);
+  backpressure.onPeerUpdate('vm2', [{ target: 't', receivedAtMs: -5 }]);
+  backpressure.onPeerUpdate('vm3', [{ target: 't', receivedAtMs: -9 }]);
   assert.equal([leaving, published], [['t'], [{ targets: ['t'], from: 'vm2' }]]);
 });
 
@@ -167,12 +167,12 @@
   const { backpressure, leave, listed, passTo } = create();
   leave();
   passTo(3_600_000);
-  backpressure.onPeerUpdate('vm2', [{ target: 'other', heardAtMs: 3_600_000 }]);
+  backpressure.onPeerUpdate('vm2', [{ target: 'other', receivedAtMs: 3_600_000 }]);
   assert.ok(backpressure.isLeaving('t'));
   listed.delete('t');
-  backpressure.onPeerUpdate('vm2', [{ target: 'third', heardAtMs: 3_600_000 }]);
+  backpressure.onPeerUpdate('vm2', [{ target: 'third', receivedAtMs: 3_600_000 }]);
   assert.not(backpressure.isLeaving('t'));
-  backpressure.onPeerUpdate('vm2', [{ target: 't', heardAtMs: 0 }]);
+  backpressure.onPeerUpdate('vm2', [{ target: 't', receivedAtMs: 0 }]);
   assert.not(backpressure.isLeaving('t'));
 });
 
--- a/packages/track-backpressure/src/backpressure.ts
+++ b/packages/track-backpressure/src/backpressure.ts
@@ -66,12 +66,12 @@
   }
 
   /** Whether any target is in a cooldown or left one in the last minute. */
-  get isCoolingAny(): boolean {
+  get hasCooldowns(): boolean {
     return this.cooldowns.size > 0;
   }
 
   /** End of a target's cooldown for this VM, in steady time; undefined without one. */
-  coolingUntilMs(target: string): Millis | undefined {
+  cooldownUntilMs(target: string): Millis | undefined {
     return this.cooldowns.activeUntilMs(target);
   }
 
--- a/packages/track-backpressure/src/leaving-table.ts
+++ b/packages/track-backpressure/src/leaving-table.ts
@@ -6,7 +6,7 @@
   /** Id of the incarnation; the announcement is valid until the incarnation ends. */
   target: string;
   /** Steady time at which a VM received the announcement from the target. */
-  heardAtMs: Millis;
+  receivedAtMs: Millis;
 }
 
 interface StoredUpdate extends LeavingUpdate {
@@ -24,9 +24,9 @@
   }
 
   list(): LeavingUpdate[] {
-    return [...this.updates.values()].map(({ target, heardAtMs }) => ({
+    return [...this.updates.values()].map(({ target, receivedAtMs }) => ({
       target,
-      heardAtMs,
+      receivedAtMs,
     }));
   }
 
@@ -40,9 +40,9 @@
   }
 
   /** Removes older announcements of targets that are not listed. */
-  prune(heardBeforeMs: Millis, isListed: (target: string) => boolean): void {
-    for (const { target, heardAtMs } of [...this.updates.values()]) {
-      if (heardAtMs < heardBeforeMs && !isListed(target)) {
+  prune(receivedBeforeMs: Millis, isListed: (target: string) => boolean): void {
+    for (const { target, receivedAtMs } of [...this.updates.values()]) {
+      if (receivedAtMs < receivedBeforeMs && !isListed(target)) {
         this.updates.delete(target);
       }
     }
--- a/packages/track-backpressure/src/leaving-targets.ts
+++ b/packages/track-backpressure/src/leaving-targets.ts
@@ -53,7 +53,7 @@
   /** Applies the announcement in a response, if there is one. */
   onResponse({ target, directives }: DirectiveResponse): void {
     if (directives.isLeaving) {
-      this.applyUpdates([{ target, heardAtMs: this.options.clock.now() }]);
+      this.applyUpdates([{ target, receivedAtMs: this.options.clock.now() }]);
     }
   }
 
@@ -68,7 +68,7 @@
     const keptSinceMs = now - UNLISTED_TARGET_TTL_MS;
     this.table.prune(keptSinceMs, isListed);
     const newUpdates = updates
-      .filter(({ target, heardAtMs }) => heardAtMs >= keptSinceMs || isListed(target))
+      .filter(({ target, receivedAtMs }) => receivedAtMs >= keptSinceMs || isListed(target))
       .filter((update) => this.table.add(update, now));
     if (newUpdates.length > 0) {
       newUpdates.forEach((update) => this.report(update, vm));
@@ -77,9 +77,9 @@
     }
   }
 
-  private report({ target, heardAtMs }: LeavingUpdate, vm: string | undefined): void {
+  private report({ target, receivedAtMs }: LeavingUpdate, vm: string | undefined): void {
     const { clock, metrics } = this.options;
-    const heardAgoMs = Math.round(clock.now() - heardAtMs);
+    const heardAgoMs = Math.round(clock.now() - receivedAtMs);
     metrics.count('limelead_leaving_announcements_total');
     this.logAnnounced({ target, source: vm ?? 'answer', heardAgoMs });
   }
--- a/packages/track-service-targets/src/target-directory.test.ts
+++ b/packages/track-service-targets/src/target-directory.test.ts
@@ -49,7 +49,7 @@
 test('a leaving target gets no new requests at once, and keeps its requests in flight', () => {
   const { directory } = createDirectory();
   directory.replaceAll([createTarget('t1'), createTarget('t2')]);
-  const end = directory.begin('t1');
+  const end = directory.startRequest('t1');
   directory.apply([{ kind: 'put', target: createTarget('t1', { leaving: true }) }]);
   assert.equal(
     directory.listUsable('briefs').map(({ target }) => target.id),
@@ -205,7 +205,7 @@
   directory.replaceAll([createTarget('t1')]);
   let calls = 0;
   const unsubscribe = directory.subscribe(() => (calls += 1));
-  const end = directory.begin('t1');
+  const end = directory.startRequest('t1');
   end();
   directory.apply([{ kind: 'put', target: createTarget('t2') }]);
   assert.is(calls, 2);
--- a/packages/track-service-targets/src/target-directory.ts
+++ b/packages/track-service-targets/src/target-directory.ts
@@ -111,7 +111,7 @@
   }
 
   /** Counts a request of this VM in flight; returns a function that ends it. */
-  begin(id: string): () => void {
+  startRequest(id: string): () => void {
     const tracked = this.tracked.get(id);
     if (tracked === undefined) {
       return () => undefined;
