--- a/packages/load/src/load-shedding.fixture.ts
+++ b/packages/load/src/load-shedding.fixture.ts
@@ -193,7 +193,7 @@
     const sentAtMs = this.time.now();
     call.attempts += 1;
     this.result.retries += call.attempts > 1 && this.isCounted(call) ? 1 : 0;
-    this.result.sendsDuringCooldown += vm.backpressure.coolingUntilMs(id) === undefined ? 0 : 1;
+    this.result.sendsDuringCooldown += vm.backpressure.cooldownUntilMs(id) === undefined ? 0 : 1;
     if (this.shouldReject(target)) {
       this.time.after(REJECTION_MS, () => this.onRejected(vm, call, slot, sentAtMs));
       return;
--- a/packages/measure/src/experiments/front-door.ts
+++ b/packages/measure/src/experiments/front-door.ts
@@ -192,7 +192,7 @@
     metrics: createMetrics(),
     observer: {},
     readRouteTable: () => routeTable,
-    readKnowledgeAgeMs: () => 0,
+    readStoreViewAgeMs: () => 0,
     readConfigurationSource: () => 'store',
     retryBudgetOf: () => retryBudget,
     countVms: () => 1,
