--- a/packages/forward-request/src/call-attempt.ts
+++ b/packages/forward-request/src/call-attempt.ts
@@ -93,16 +93,16 @@
     }
   }
 
-  private onHead(facts: AnswerInfo, head: AnswerHead): void {
-    if (!facts.isForRequest) {
+  private onHead(info: AnswerInfo, head: AnswerHead): void {
+    if (!info.isForRequest) {
       this.open?.cancel();
       this.finish(() => this.events.onFault(this, false, 'the answer belongs to another request'));
       return;
     }
     this.head = head;
-    if (facts.notRun) {
+    if (info.notRun) {
       this.open?.cancel();
-      this.finish(() => this.events.onRejected(this, facts.isOtherTarget));
+      this.finish(() => this.events.onRejected(this, info.isOtherTarget));
     }
   }
 
--- a/packages/forward-request/src/call-report.ts
+++ b/packages/forward-request/src/call-report.ts
@@ -28,9 +28,9 @@
   ) {}
 
   sent({ number, target }: CallAttempt, remainingMs: number): void {
-    const facts = { target: target.id, attempt: number, remainingMs: Math.round(remainingMs) };
+    const fields = { target: target.id, attempt: number, remainingMs: Math.round(remainingMs) };
     countAttempt(this.context, target);
-    this.write('call-sent', facts);
+    this.write('call-sent', fields);
   }
 
   failed({ number, target, sentAtMs }: CallAttempt, notSent: boolean, reason: string): void {
--- a/packages/forward-request/src/forward-call.ts
+++ b/packages/forward-request/src/forward-call.ts
@@ -118,7 +118,7 @@
       if (admission === 'refuse') {
         this.onQuarantined();
       } else {
-        this.acquireSlot(admission === 'go-alone');
+        this.acquireSlot(admission === 'send-trial');
       }
     });
     if (!isAnswered) {
--- a/packages/forward-request/src/forward-stream.ts
+++ b/packages/forward-request/src/forward-stream.ts
@@ -183,7 +183,7 @@
       if (admission === 'refuse') {
         this.fail(this.createQuarantined());
       } else {
-        this.findSlot(attempt, exclude, admission === 'go-alone');
+        this.findSlot(attempt, exclude, admission === 'send-trial');
       }
     });
     this.cleanups.push(stopAsking);
--- a/packages/forward-request/src/read-answer.ts
+++ b/packages/forward-request/src/read-answer.ts
@@ -11,9 +11,9 @@
   head: AnswerHead,
   sentAtMs: Millis,
 ): AnswerInfo {
-  const facts = dialect.readAnswer(request, head);
-  if (facts.isForRequest && !facts.isOtherTarget) {
-    const { directives } = facts;
+  const info = dialect.readAnswer(request, head);
+  if (info.isForRequest && !info.isOtherTarget) {
+    const { directives } = info;
     permits.onResponse(target.id, directives.limit, sentAtMs);
     backpressure.onResponse({
       target: target.id,
@@ -22,5 +22,5 @@
       directives,
     });
   }
-  return facts;
+  return info;
 }
--- a/packages/forward-request/src/report-refusal.ts
+++ b/packages/forward-request/src/report-refusal.ts
@@ -14,7 +14,7 @@
   refusal: SlotRefusal,
 ): ErrorAnswerOverrides {
   const { retryAfterMs } = refusal;
-  const facts = {
+  const fields = {
     requestId: request.requestId,
     service,
     leftMs: Math.round(dueAtMs - clock.now()),
@@ -22,9 +22,9 @@
   };
   if (refusal.kind === 'cooling') {
     metrics.count('limelead_refused_for_cooldown_total');
-    log.write('cooldown-refused', { ...facts, targets: refusal.targets });
+    log.write('cooldown-refused', { ...fields, targets: refusal.targets });
   } else {
-    log.write('permit-refused', { ...facts, grantedBy: refusal.grantedBy });
+    log.write('permit-refused', { ...fields, grantedBy: refusal.grantedBy });
   }
   return { retryAfterMs };
 }
--- a/packages/forward-request/src/silence-monitor.ts
+++ b/packages/forward-request/src/silence-monitor.ts
@@ -109,11 +109,11 @@
   private assess(run: MonitoredRun): 'wait' | 'probe' | 'give-up' {
     const { clock, directory } = this.options;
     const now = clock.now();
-    const targetHeardAtMs = directory.get(run.target.id)?.health.lastResponseAtMs ?? 0;
+    const targetLastResponseAtMs = directory.get(run.target.id)?.health.lastResponseAtMs ?? 0;
     return assessSilence({
       isWriting: run.isWriting,
       runSilentMs: now - run.lastActivityAtMs,
-      targetSilentMs: now - Math.max(run.lastActivityAtMs, targetHeardAtMs),
+      targetSilentMs: now - Math.max(run.lastActivityAtMs, targetLastResponseAtMs),
       maxSilenceMs: run.maxSilenceMs(),
       isDomainSuspected: directory.isDomainSuspected(run.target.service, run.target.failureDomain),
       probedAgoMs: this.probes.ageMs(run.target.id, now),
--- a/packages/forward-request/src/stream-attempt.ts
+++ b/packages/forward-request/src/stream-attempt.ts
@@ -80,15 +80,15 @@
   }
 
   private onHead(head: AnswerHead): void {
-    const facts = readAnswer(this.context, this.attemptRequest, head, this.sentAtMs);
-    if (!facts.isForRequest) {
+    const info = readAnswer(this.context, this.attemptRequest, head, this.sentAtMs);
+    if (!info.isForRequest) {
       this.open?.cancel();
       this.finish(() => this.events.onBroken('the answer belongs to another request'));
       return;
     }
-    if (facts.notRun) {
+    if (info.notRun) {
       this.open?.cancel();
-      const cause = facts.isOtherTarget ? 'other-target' : 'full';
+      const cause = info.isOtherTarget ? 'other-target' : 'full';
       this.finish(() => this.events.onRejected(cause, `status ${head.status}`));
       return;
     }
--- a/packages/forward-request/src/stream-report.ts
+++ b/packages/forward-request/src/stream-report.ts
@@ -55,11 +55,11 @@
     });
   }
 
-  lost({ sinceLastPieceMs, runMs, ...facts }: LostAttempt): void {
-    this.context.metrics.count('limelead_streams_broken_total', 1, { cause: facts.cause });
+  lost({ sinceLastPieceMs, runMs, ...fields }: LostAttempt): void {
+    this.context.metrics.count('limelead_streams_broken_total', 1, { cause: fields.cause });
     this.write('stream-broken', {
       identity: identifyAdmittedRequest(this.admitted),
-      ...facts,
+      ...fields,
       runMs: Math.round(runMs),
       sinceLastPieceMs: Math.round(sinceLastPieceMs),
     });
--- a/packages/forward-request/src/traffic-observer.ts
+++ b/packages/forward-request/src/traffic-observer.ts
@@ -31,12 +31,13 @@
 /** Combines several observers into one that calls all of them. */
 export function combineObservers(observers: readonly TrafficObserver[]): TrafficObserver {
   return {
-    onAdmitted: (...facts) => observers.forEach((observer) => observer.onAdmitted?.(...facts)),
-    onRunStarted: (...facts) => observers.forEach((observer) => observer.onRunStarted?.(...facts)),
-    onAttemptEnded: (...facts) =>
-      observers.forEach((observer) => observer.onAttemptEnded?.(...facts)),
-    onAttemptAbandoned: (...facts) =>
-      observers.forEach((observer) => observer.onAttemptAbandoned?.(...facts)),
-    onFinished: (...facts) => observers.forEach((observer) => observer.onFinished?.(...facts)),
+    onAdmitted: (...details) => observers.forEach((observer) => observer.onAdmitted?.(...details)),
+    onRunStarted: (...details) =>
+      observers.forEach((observer) => observer.onRunStarted?.(...details)),
+    onAttemptEnded: (...details) =>
+      observers.forEach((observer) => observer.onAttemptEnded?.(...details)),
+    onAttemptAbandoned: (...details) =>
+      observers.forEach((observer) => observer.onAttemptAbandoned?.(...details)),
+    onFinished: (...details) => observers.forEach((observer) => observer.onFinished?.(...details)),
   };
 }
--- a/packages/gateway/src/create-backpressure.ts
+++ b/packages/gateway/src/create-backpressure.ts
@@ -16,6 +16,6 @@
     ...{ clock, timers: backgroundTimers, random, log, metrics },
     isListed: (target) => directory.get(target) !== undefined,
     onLeaving: (target) => directory.onAnnouncedLeaving(target),
-    publish: (facts, from) => readExchange()?.publishLeaving(facts, from),
+    publish: (updates, from) => readExchange()?.publishLeaving(updates, from),
   });
 }
--- a/packages/gateway/src/create-permits.ts
+++ b/packages/gateway/src/create-permits.ts
@@ -29,8 +29,8 @@
         return fleet === undefined ? LOCAL_GRANTOR : fleet.chooseGrantor(service);
       },
       send: (vm, message) => readFleet()?.send(vm, message),
-      publishLimits: (facts, from) => readFleet()?.publishLimits(facts, from),
-      sendLimitCorrection: (vm, facts) => readFleet()?.sendLimitCorrection(vm, facts),
+      publishLimits: (updates, from) => readFleet()?.publishLimits(updates, from),
+      sendLimitCorrection: (vm, updates) => readFleet()?.sendLimitCorrection(vm, updates),
     },
     targets: {
       serviceOf: (target) => directory.get(target)?.target.service,
--- a/packages/gateway/src/duty-component.ts
+++ b/packages/gateway/src/duty-component.ts
@@ -59,7 +59,7 @@
     const index = candidates.indexOf(formatAddress(settings.peers));
     return index < 0 ? undefined : index;
   };
-  const seat = new ConditionalStoreLease({
+  const storeLease = new ConditionalStoreLease({
     store: platform.storeItems,
     key,
     vm: settings.vm,
@@ -67,8 +67,8 @@
     ttlMs: leaseMs,
     clock,
   });
-  const keeper = new DutyElector({
-    lease: seat,
+  const elector = new DutyElector({
+    lease: storeLease,
     duty,
     clock,
     timers,
@@ -87,10 +87,10 @@
       const others = context.readExchange()?.linkedDutyCandidates ?? [];
       if (others.length > 0) {
         log.write('duty-left-to-others', { candidates: others.map(({ peer }) => peer) });
-        keeper.yieldToOthers();
+        elector.yieldToOthers();
       }
     },
-    start: () => keeper.start(),
-    handOver: () => keeper.handOver(),
+    start: () => elector.start(),
+    handOver: () => elector.handOver(),
   };
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -199,7 +199,8 @@
       onFault: () => this.metrics.count('limelead_faults_total', 1, { boundary: 'peer' }),
       onPeerOfOtherStore: () => this.metrics.count('limelead_strangers_total'),
       onBorrowedRetries: (service, repeats) => this.onBorrowedRetries(service, repeats),
-      onReport: (peer, report) => this.components.forEach((part) => part.onReport?.(peer, report)),
+      onReport: (peer, report) =>
+        this.components.forEach((component) => component.onReport?.(peer, report)),
     });
   }
 
@@ -217,7 +218,7 @@
       sinceProcessStartMs: Math.round(performance.now()),
     });
     void this.follower.run();
-    this.components.forEach((part) => part.start());
+    this.components.forEach((component) => component.start());
   }
 
   private listen<Listening>(
@@ -285,7 +286,7 @@
     this.isStopping = true;
     const startedAtMs = steadyClock.now();
     const { stopGraceMs } = this.settings;
-    const handedOver = Promise.all(this.components.map((part) => part.handOver()));
+    const handedOver = Promise.all(this.components.map((component) => component.handOver()));
     this.log.write('stopping', { underWay: this.frontDoor.openRequests, graceMs: stopGraceMs });
     this.frontDoor.startDraining(startedAtMs + stopGraceMs - STOP_RESERVE_MS);
     const elapsed = (): number => steadyClock.now() - startedAtMs;
@@ -300,7 +301,7 @@
       afterMs: Math.round(elapsed()),
     });
     await handedOver;
-    this.components.forEach((part) => part.onDrained?.());
+    this.components.forEach((component) => component.onDrained?.());
     this.follower.stop();
     await this.exchange?.stop();
     // Callers' connections close first: a stream whose target is lost while its caller is connected is retried.
@@ -393,7 +394,7 @@
   }
 
   private onStoreViewChange(): void {
-    this.components.forEach((part) => part.onStoreViewChange?.());
+    this.components.forEach((component) => component.onStoreViewChange?.());
     this.exchange?.onSyncStateChanged();
     this.frontDoor.onStoreViewChange();
   }
--- a/packages/gateway/src/quarantine-component.ts
+++ b/packages/gateway/src/quarantine-component.ts
@@ -56,7 +56,7 @@
       ...{ clock, timers, random, log, metrics, countVms },
       hasCrashed: (target, brokeAtMs) => crashDetector.hasCrashed(target, brokeAtMs),
       hasRespondedSince: (target, sinceMs) => crashDetector.hasAnsweredSince(target, sinceMs),
-      publish: (news, from) => context.readExchange()?.publishQuarantineUpdate(news, from),
+      publish: (update, from) => context.readExchange()?.publishQuarantineUpdate(update, from),
       storeQuarantine: (request, quarantine) =>
         this.storeWithRetry(request, quarantine, clock.now() + QUARANTINE_MS),
       onQuarantineRefuted: (request) => void this.remove(request),
--- a/packages/gateway/src/roll-out-component.ts
+++ b/packages/gateway/src/roll-out-component.ts
@@ -218,8 +218,8 @@
       return rollOuts;
     };
     return {
-      groupByPreference: (service, targets, isRepeat) =>
-        current().selectTargets(service, targets, isRepeat),
+      groupByPreference: (service, targets, isRetry) =>
+        current().selectTargets(service, targets, isRetry),
       isAllowed: (target) => current().canSendTo(target),
       ignoresAdvice: (service) => current().shouldSendTrial(service),
       listAdvisable: (service, targets) => current().listAdvisable(service, targets),
--- a/packages/gateway/src/usage-component.test.ts
+++ b/packages/gateway/src/usage-component.test.ts
@@ -10,7 +10,7 @@
 
 interface Setup {
   time: ManualTime;
-  part: FleetComponent;
+  component: FleetComponent;
   sent: PeerReport[];
   begin(): void;
 }
@@ -34,13 +34,13 @@
     duties: { usageWindowMs: WINDOW_MS, usageDueMs: 10_000 },
     dutyComponent: { duty: { permit: () => undefined } },
   } as unknown as UsageComponentOptions;
-  const part = createUsageComponent(context, options);
+  const component = createUsageComponent(context, options);
   const begun = { organisation: 'a' } as never;
   return {
     time,
-    part,
+    component,
     sent,
-    begin: () => part.observer?.onRunStarted?.(begun, undefined as never),
+    begin: () => component.observer?.onRunStarted?.(begun, undefined as never),
   };
 }
 
@@ -51,16 +51,16 @@
 }
 
 test('a stopping VM sends its counts up to the end', async () => {
-  const { time, part, sent, begin } = createSetup();
-  part.start();
+  const { time, component, sent, begin } = createSetup();
+  component.start();
   begin();
   await time.advance(300);
   assert.equal(listRequests(sent), [1]);
   begin();
-  await part.handOver();
+  await component.handOver();
   assert.equal(listRequests(sent), [1, 2]);
   begin();
-  part.onDrained?.();
+  component.onDrained?.();
   assert.equal(listRequests(sent), [1, 2, 3]);
 });
 
--- a/packages/gateway/src/usage-component.ts
+++ b/packages/gateway/src/usage-component.ts
@@ -143,13 +143,13 @@
 ): UsageSubscriber[] {
   return (exchange?.linkedDutyCandidates ?? []).map(({ peer, linkedAtMs }) => ({
     link: `${peer} ${linkedAtMs}`,
-    tell: (windows) => send(peer, windows),
+    send: (windows) => send(peer, windows),
   }));
 }
 
 function createEvents(
   { log, metrics }: FleetComponentContext,
-  countTellers: (window: number) => number,
+  countReporters: (window: number) => number,
 ): UsageEvents {
   const countWindows = (outcome: string, windows = 1): void =>
     metrics.count('limelead_usage_windows_total', windows, { outcome });
@@ -158,7 +158,7 @@
       log.write('usage-settled', {
         ...summarize(settled),
         token,
-        tellers: countTellers(settled.window),
+        tellers: countReporters(settled.window),
       }),
     onReported(settled, token, afterMs) {
       countWindows('reported');
--- a/packages/meter-usage/src/counting.test.ts
+++ b/packages/meter-usage/src/counting.test.ts
@@ -31,7 +31,7 @@
     },
     publish(link) {
       const sent: WindowCounts[] = [];
-      publisher.publish([{ link, tell: (windows) => sent.push(...windows) }]);
+      publisher.publish([{ link, send: (windows) => sent.push(...windows) }]);
       return sent;
     },
   };
--- a/packages/meter-usage/src/usage-publisher.ts
+++ b/packages/meter-usage/src/usage-publisher.ts
@@ -12,7 +12,7 @@
 export interface UsageSubscriber {
   /** Id of the link. */
   link: string;
-  tell(windows: WindowCounts[]): void;
+  send(windows: WindowCounts[]): void;
 }
 
 /** Organisations by window whose counts a subscriber has not received yet. */
@@ -44,7 +44,7 @@
       this.pending.set(subscriber.link, pending);
       const windows = this.takePending(pending);
       if (windows.length > 0) {
-        subscriber.tell(windows);
+        subscriber.send(windows);
       }
     }
   }
--- a/packages/permit-sends/src/compare-strategies.fixture.ts
+++ b/packages/permit-sends/src/compare-strategies.fixture.ts
@@ -9,7 +9,9 @@
 const STEADY_FROM_MS = 10_000;
 const TARGETS = 2;
 const SEED = 5;
-const STRATEGIES: Readonly<Record<string, ((parts: PermitDependencies) => Limiter) | undefined>> = {
+const STRATEGIES: Readonly<
+  Record<string, ((dependencies: PermitDependencies) => Limiter) | undefined>
+> = {
   'even share for each VM': divideEvenly,
   'broadcast of sends': broadcastSends,
   'one grantor': undefined,
--- a/packages/permit-sends/src/fleet.fixture.ts
+++ b/packages/permit-sends/src/fleet.fixture.ts
@@ -58,7 +58,7 @@
   size: number;
   targets: number;
   seed: number;
-  createLimiter?: (parts: PermitDependencies) => Limiter;
+  createLimiter?: (dependencies: PermitDependencies) => Limiter;
 }
 
 /** One VM with its waiting requests and limiter. */
@@ -273,7 +273,7 @@
   }
 
   private createLimiter(name: string): Limiter {
-    const { createLimiter = (parts) => new SendLimiter(parts) } = this.options;
+    const { createLimiter = (dependencies) => new SendLimiter(dependencies) } = this.options;
     return createLimiter({
       size: this.options.size,
       fleet: this.createLinks(name),
--- a/packages/permit-sends/src/other-strategies.fixture.ts
+++ b/packages/permit-sends/src/other-strategies.fixture.ts
@@ -4,13 +4,13 @@
 import RateBucket from './rate-bucket.js';
 
 /** Each VM keeps to an even share of each rate. */
-export function divideEvenly(parts: PermitDependencies): Limiter {
-  return new BucketLimiter(parts, (perSecond) => perSecond / parts.size, false);
+export function divideEvenly(dependencies: PermitDependencies): Limiter {
+  return new BucketLimiter(dependencies, (perSecond) => perSecond / dependencies.size, false);
 }
 
 /** Each VM reports every send to all others and counts the sends of all. */
-export function broadcastSends(parts: PermitDependencies): Limiter {
-  return new BucketLimiter(parts, (perSecond) => perSecond, true);
+export function broadcastSends(dependencies: PermitDependencies): Limiter {
+  return new BucketLimiter(dependencies, (perSecond) => perSecond, true);
 }
 
 class BucketLimiter implements Limiter {
--- a/packages/quarantine-requests/src/guarded-request.ts
+++ b/packages/quarantine-requests/src/guarded-request.ts
@@ -74,11 +74,11 @@
       return this.requestAdmissionAfterChecks(onAdmission);
     }
     if (this.isHarmless || !this.mayBeSuspected) {
-      onAdmission('go');
+      onAdmission('send');
       return () => undefined;
     }
     return this.guard.requestAdmission(this.name, (admission) => {
-      this.isOnTrial = admission === 'go-alone';
+      this.isOnTrial = admission === 'send-trial';
       onAdmission(admission);
     });
   }
--- a/packages/quarantine-requests/src/quarantine-update.ts
+++ b/packages/quarantine-requests/src/quarantine-update.ts
@@ -28,23 +28,23 @@
 
 /** Any number of changes of each kind. */
 export interface QuarantineUpdate {
-  strikes: CrashRecord[];
+  crashes: CrashRecord[];
   withdrawn: WithdrawnCrash[];
-  absolved: ClearedRequest[];
+  cleared: ClearedRequest[];
   trials: TrialNotice[];
 }
 
 /** Creates an update from the changes that are given. */
 export function createQuarantineUpdate(update: Partial<QuarantineUpdate>): QuarantineUpdate {
-  return { strikes: [], withdrawn: [], absolved: [], trials: [], ...update };
+  return { crashes: [], withdrawn: [], cleared: [], trials: [], ...update };
 }
 
 /** Whether an update has no changes. */
 export function isEmptyQuarantineUpdate({
-  strikes,
+  crashes,
   withdrawn,
-  absolved,
+  cleared,
   trials,
 }: QuarantineUpdate): boolean {
-  return strikes.length + withdrawn.length + absolved.length + trials.length === 0;
+  return crashes.length + withdrawn.length + cleared.length + trials.length === 0;
 }
--- a/packages/quarantine-requests/src/request-guard.ts
+++ b/packages/quarantine-requests/src/request-guard.ts
@@ -94,21 +94,21 @@
 
   /** Applies a peer's update and forwards the changes that were new here. */
   onPeerUpdate(update: QuarantineUpdate, from: string): void {
-    const strikes = update.strikes.filter((crash) => this.recordCrash(crash, from));
+    const crashes = update.crashes.filter((crash) => this.recordCrash(crash, from));
     const withdrawn = update.withdrawn.filter(({ request, target }) =>
       this.withdrawCrash(request, target),
     );
-    const absolved = update.absolved.filter(({ request, atMs }) =>
+    const cleared = update.cleared.filter(({ request, atMs }) =>
       this.applyClearance(request, atMs, from),
     );
     const trials = update.trials.filter((notice) => this.trials.onPeerNotice(notice));
-    this.options.publish({ strikes, withdrawn, absolved, trials }, from);
+    this.options.publish({ crashes, withdrawn, cleared, trials }, from);
   }
 
   /** The newest crashes, for a newly linked VM. */
   createSnapshot(): QuarantineUpdate {
     return createQuarantineUpdate({
-      strikes: this.crashTable.listAllCrashes().slice(0, MAX_SNAPSHOT_CRASHES),
+      crashes: this.crashTable.listAllCrashes().slice(0, MAX_SNAPSHOT_CRASHES),
     });
   }
 
@@ -175,7 +175,7 @@
       return;
     }
     this.options.metrics.count('limelead_strikes_total', 1, { service: crash.service });
-    this.options.publish(createQuarantineUpdate({ strikes: [crash] }));
+    this.options.publish(createQuarantineUpdate({ crashes: [crash] }));
     if (before !== 'quarantined' && this.getStatus(request) === 'quarantined') {
       const { service, caller } = crash;
       await this.options.storeQuarantine(request, { service, caller });
@@ -244,7 +244,7 @@
     const atMs = this.now;
     const wasQuarantined = this.getStatus(request) === 'quarantined';
     if (this.crashTable.hasEntry(request) && this.applyClearance(request, atMs, 'own')) {
-      this.options.publish(createQuarantineUpdate({ absolved: [{ request, atMs }] }));
+      this.options.publish(createQuarantineUpdate({ cleared: [{ request, atMs }] }));
     }
     if (wasQuarantined) {
       this.options.onQuarantineRefuted(request);
--- a/packages/quarantine-requests/src/trial-queue.ts
+++ b/packages/quarantine-requests/src/trial-queue.ts
@@ -19,8 +19,8 @@
  */
 const MAX_START_DELAY_PER_VM_MS = 5;
 
-/** Result of an admission: send, send as the only run of its identity, or refuse. */
-export type Admission = 'go' | 'go-alone' | 'refuse';
+/** Result of an admission: send, send as a trial (the only run of its identity), or refuse. */
+export type Admission = 'send' | 'send-trial' | 'refuse';
 
 /** Dependencies of `TrialQueue`. */
 export interface TrialQueueOptions {
@@ -119,7 +119,7 @@
   private admitWithoutTrial(request: RequestIdentity): Admission | undefined {
     switch (this.options.getStatus(request)) {
       case 'clear':
-        return 'go';
+        return 'send';
       case 'quarantined':
         return 'refuse';
       case 'suspected':
@@ -143,7 +143,7 @@
     const trial = randomUUID();
     this.addTrial(trial, { request, isOwn: true, isOver: false });
     this.options.publish({ request, trial, isOver: false });
-    waiter.onAdmission('go-alone');
+    waiter.onAdmission('send-trial');
   }
 
   private forgetExpired(): void {
--- a/packages/run-roll-outs/src/roll-out-controller.ts
+++ b/packages/run-roll-outs/src/roll-out-controller.ts
@@ -110,7 +110,7 @@
   selectTargets<Item extends { target: ServiceTarget }>(
     service: string,
     items: readonly Item[],
-    isRepeat: boolean,
+    isRetry: boolean,
   ): TargetGroups<Item> {
     if (this.versions.get(service)?.hasSingleVersion ?? true) {
       return [items];
@@ -124,7 +124,7 @@
     if (trial !== undefined && this.mustAvoidReplaced(trial, active)) {
       return [of('under-trial')];
     }
-    if (!isRepeat && trial?.shouldSendTrial(this.options.isUpToDate()) === true) {
+    if (!isRetry && trial?.shouldSendTrial(this.options.isUpToDate()) === true) {
       return [of('under-trial'), active];
     }
     if (active.some(({ target }) => !this.options.isSuspected(target.id))) {
--- a/packages/share-evidence/src/leaving-target-exchange.ts
+++ b/packages/share-evidence/src/leaving-target-exchange.ts
@@ -26,18 +26,18 @@
   constructor(private readonly options: LeavingTargetExchangeOptions) {}
 
   /** Publishes announcements to gossip peers except the one from which they came. */
-  publish(facts: LeavingUpdate[], from?: PeerId): void {
+  publish(updates: LeavingUpdate[], from?: PeerId): void {
     this.send(
-      facts,
+      updates,
       this.options.listPeers().filter((peer) => peer !== from),
     );
   }
 
   /** Sends all known announcements to a newly linked peer. */
   onLinked(peer: PeerId): void {
-    const facts = this.options.readLeaving();
-    if (facts.length > 0) {
-      this.send(facts, [peer]);
+    const updates = this.options.readLeaving();
+    if (updates.length > 0) {
+      this.send(updates, [peer]);
     }
   }
 
@@ -48,8 +48,8 @@
     }
   }
 
-  private send(facts: LeavingUpdate[], peers: PeerId[]): void {
-    const leaving = encodeLeavingUpdate(facts, this.options.clock.now());
+  private send(updates: LeavingUpdate[], peers: PeerId[]): void {
+    const leaving = encodeLeavingUpdate(updates, this.options.clock.now());
     this.options.broadcast({ kind: 'lost', targets: [], replaced: [], leaving }, peers);
   }
 }
--- a/packages/share-evidence/src/peer-exchange.ts
+++ b/packages/share-evidence/src/peer-exchange.ts
@@ -275,8 +275,8 @@
   }
 
   /** Publishes leaving targets to all peers except the one from which they came. */
-  publishLeaving(facts: LeavingUpdate[], from?: PeerId): void {
-    this.targetUpdates.publishLeaving(facts, from);
+  publishLeaving(updates: LeavingUpdate[], from?: PeerId): void {
+    this.targetUpdates.publishLeaving(updates, from);
   }
 
   /** Borrows retries from peers for a service that has few left. */
--- a/packages/share-evidence/src/permit-codecs.ts
+++ b/packages/share-evidence/src/permit-codecs.ts
@@ -47,8 +47,8 @@
 
 type LimitUpdateMessage = t.TypeOf<typeof limitUpdateCodec>;
 
-export function encodeLimitUpdate(facts: LimitUpdate[], now: Millis): LimitUpdateMessage {
-  return facts.map(({ target, perSecond, askedAtMs, mark }) => ({
+export function encodeLimitUpdate(updates: LimitUpdate[], now: Millis): LimitUpdateMessage {
+  return updates.map(({ target, perSecond, askedAtMs, mark }) => ({
     target,
     perSecond: perSecond ?? null,
     askedAgoMs: Math.round(now - askedAtMs),
--- a/packages/share-evidence/src/permit-exchange.ts
+++ b/packages/share-evidence/src/permit-exchange.ts
@@ -65,14 +65,14 @@
   }
 
   /** Publishes limits to gossip peers except the one from which they came. */
-  publishLimits(facts: LimitUpdate[], from?: PeerId): void {
+  publishLimits(updates: LimitUpdate[], from?: PeerId): void {
     const peers = this.options.listPeers().filter((peer) => peer !== from);
-    this.options.broadcast(this.composeMessage(facts), peers);
+    this.options.broadcast(this.composeMessage(updates), peers);
   }
 
   /** Sends limits to one peer. */
-  sendLimitCorrection(peer: PeerId, facts: LimitUpdate[]): void {
-    this.options.send(peer, this.composeMessage(facts));
+  sendLimitCorrection(peer: PeerId, updates: LimitUpdate[]): void {
+    this.options.send(peer, this.composeMessage(updates));
   }
 
   /** Sends a permit, or a request for permits. */
@@ -109,8 +109,8 @@
     }
   }
 
-  private composeMessage(facts: LimitUpdate[]): ExchangeMessage {
-    const limits = encodeLimitUpdate(facts, this.options.clock.now());
+  private composeMessage(updates: LimitUpdate[]): ExchangeMessage {
+    const limits = encodeLimitUpdate(updates, this.options.clock.now());
     return { kind: 'lost', targets: [], replaced: [], limits };
   }
 }
--- a/packages/share-evidence/src/quarantine-messages.ts
+++ b/packages/share-evidence/src/quarantine-messages.ts
@@ -37,15 +37,15 @@
   if (isEmptyQuarantineUpdate(update)) {
     return undefined;
   }
-  const encodeStrike = ({ startedAtMs, endedAtMs, ...strike }: CrashRecord) => ({
-    ...strike,
+  const encodeCrash = ({ startedAtMs, endedAtMs, ...crash }: CrashRecord) => ({
+    ...crash,
     startedAgoMs: Math.round(now - startedAtMs),
     endedAgoMs: Math.round(now - endedAtMs),
   });
   return {
-    strikes: update.strikes.map(encodeStrike),
+    strikes: update.crashes.map(encodeCrash),
     withdrawn: update.withdrawn.map(({ request, target }) => ({ request, target })),
-    absolved: update.absolved.map(({ request, atMs }) => ({
+    absolved: update.cleared.map(({ request, atMs }) => ({
       request,
       agoMs: Math.round(now - atMs),
     })),
@@ -57,19 +57,19 @@
   message: QuarantineUpdateMessage,
   now: Millis,
 ): QuarantineUpdate {
-  const decodeStrike = ({
+  const decodeCrash = ({
     startedAgoMs,
     endedAgoMs,
-    ...strike
+    ...crash
   }: QuarantineUpdateMessage['strikes'][number]): CrashRecord => ({
-    ...strike,
+    ...crash,
     startedAtMs: now - startedAgoMs,
     endedAtMs: now - endedAgoMs,
   });
   return {
-    strikes: message.strikes.map(decodeStrike),
+    crashes: message.strikes.map(decodeCrash),
     withdrawn: message.withdrawn,
-    absolved: message.absolved.map(({ request, agoMs }) => ({ request, atMs: now - agoMs })),
+    cleared: message.absolved.map(({ request, agoMs }) => ({ request, atMs: now - agoMs })),
     trials: message.trials,
   };
 }
--- a/packages/share-evidence/src/target-update-exchange.ts
+++ b/packages/share-evidence/src/target-update-exchange.ts
@@ -52,8 +52,8 @@
   }
 
   /** Publishes leaving targets to all peers except the one from which they came. */
-  publishLeaving(facts: LeavingUpdate[], from?: PeerId): void {
-    this.leaving.publish(facts, from);
+  publishLeaving(updates: LeavingUpdate[], from?: PeerId): void {
+    this.leaving.publish(updates, from);
   }
 
   /** Publishes a quarantine update to all peers except the one from which it came. */
--- a/packages/share-evidence/src/types.ts
+++ b/packages/share-evidence/src/types.ts
@@ -125,11 +125,11 @@
   /** Returns the limits that targets reported, for a newly linked peer. */
   readLimits(): LimitUpdate[];
   /** Called with limits that a peer published. */
-  onLimits(facts: LimitUpdate[], peer: PeerId): void;
+  onLimits(updates: LimitUpdate[], peer: PeerId): void;
   /** Returns all targets that announced that they are leaving, for a newly linked peer. */
   readLeaving(): LeavingUpdate[];
   /** Called with leaving targets that a peer published. */
-  onLeaving(facts: LeavingUpdate[], peer: PeerId): void;
+  onLeaving(updates: LeavingUpdate[], peer: PeerId): void;
   /** Called when a peer requests, grants or returns permits. */
   onPermitMessage(message: PermitMessage, peer: PeerId): void;
   /** Called when the link to a peer is lost that may have open permits or requests for permits. */
