--- a/packages/gateway/src/capacity-component.test.ts
+++ b/packages/gateway/src/capacity-component.test.ts
@@ -12,7 +12,7 @@
 const SCALING = { min: 1, max: 9, bootMs: 4_000, domainPrices: {} };
 const TARGET = { id: 't', service: 's' } as ServiceTarget;
 
-function createPart(service: Partial<ServedService>) {
+function createSetup(service: Partial<ServedService>) {
   const time = createManualTime();
   const reports: unknown[] = [];
   const services = [{ name: 's', maxConnections: 9, ...service }];
@@ -30,7 +30,7 @@
       sendReportToDutyCandidates: (report: unknown) => void reports.push(report),
     }),
   } as unknown as FleetComponentContext;
-  const part = createCapacityComponent(context, {
+  const component = createCapacityComponent(context, {
     duties: { callsPerSecond: 9 } as never,
     duty: { holder: 'vm1', permit: () => undefined, markTokenOutdated: () => undefined },
     dutyPlatform: {
@@ -38,8 +38,8 @@
       orderTargets: () => async () => E.right<never, DutyAnswer>('invalid'),
     },
   });
-  part.start();
-  return { part, time, reports };
+  component.start();
+  return { component, time, reports };
 }
 
 const ADMITTED = {
@@ -48,13 +48,13 @@
 } as AdmittedRequest;
 
 test('a VM reports the demand for a service with scaling', async () => {
-  const { part, time, reports } = createPart({ scaling: SCALING });
-  part.observer?.onAdmitted?.(ADMITTED);
+  const { component, time, reports } = createSetup({ scaling: SCALING });
+  component.observer?.onAdmitted?.(ADMITTED);
   await time.advance(1_000);
-  part.observer?.onRunStarted?.(ADMITTED, TARGET);
+  component.observer?.onRunStarted?.(ADMITTED, TARGET);
   await time.advance(1_000);
-  part.observer?.onAttemptEnded?.(ADMITTED, TARGET, { isGood: true, afterMs: 100 });
-  part.observer?.onFinished?.(ADMITTED);
+  component.observer?.onAttemptEnded?.(ADMITTED, TARGET, { isGood: true, afterMs: 100 });
+  component.observer?.onFinished?.(ADMITTED);
   await time.advance(1_000);
   const seen = reports.map((report) => (report as { services: unknown[] }).services[0]);
   const base = { service: 's', arrived: 1, promptTokens: 800 };
@@ -67,9 +67,9 @@
 });
 
 test('without scaling nothing is counted or reported', async () => {
-  const { part, time, reports } = createPart({});
-  part.observer?.onAdmitted?.(ADMITTED);
-  part.observer?.onFinished?.(ADMITTED);
+  const { component, time, reports } = createSetup({});
+  component.observer?.onAdmitted?.(ADMITTED);
+  component.observer?.onFinished?.(ADMITTED);
   await time.advance(5_000);
   assert.equal(reports, []);
 });
--- a/packages/gateway/src/duty-component.ts
+++ b/packages/gateway/src/duty-component.ts
@@ -48,7 +48,7 @@
       log.write('time-lost', { lostMs: Math.round(lostMs) });
     },
   });
-  const readCandidateIndex = (): number | undefined => {
+  const findCandidateIndex = (): number | undefined => {
     const candidates = context.readExchange()?.dutyCandidates;
     if (clock.now() - startedAtMs < CANDIDACY_DELAY_MS) {
       return undefined;
@@ -74,7 +74,7 @@
     timers,
     random,
     ttlMs: leaseMs,
-    readCandidateRank: readCandidateIndex,
+    readCandidateRank: findCandidateIndex,
     readIsolatedSinceMs: () => context.readExchange()?.isolatedSinceMs,
     isHeldInStore: () => (storeView.revision > 0 ? storeView.has(key) : undefined),
     onFault: (step, { reason, sent, message }) =>
--- a/packages/gateway/src/roll-out-component.ts
+++ b/packages/gateway/src/roll-out-component.ts
@@ -166,9 +166,9 @@
       countVms: () => Math.max(MIN_VMS, this.vmCount),
       countReportingVms: () => this.vmCount,
       isUpToDate: () => this.hasFreshState,
-      isAggregator: () => this.isGatherer(),
-      sendToAggregators: (evidence) => this.sendToGatherers(evidence),
-      broadcast: (gathered) => this.broadcastTotal(gathered),
+      isAggregator: () => this.isAggregator(),
+      sendToAggregators: (evidence) => this.sendToAggregators(evidence),
+      broadcast: (aggregated) => this.broadcast(aggregated),
     });
   }
 
@@ -189,7 +189,7 @@
     );
   }
 
-  private isGatherer(): boolean {
+  private isAggregator(): boolean {
     const { settings } = this.context;
     const candidates = this.context.readExchange()?.dutyCandidates ?? [];
     return (
@@ -199,15 +199,15 @@
     );
   }
 
-  private sendToGatherers(evidence: VmEvidence): void {
+  private sendToAggregators(evidence: VmEvidence): void {
     const { incarnation } = this;
     this.context
       .readExchange()
       ?.sendReportToDutyCandidates({ kind: 'version-evidence', incarnation, ...evidence });
   }
 
-  private broadcastTotal(gathered: AggregatedEvidence): void {
-    this.context.readExchange()?.sendReportToLinkedPeers({ kind: 'version-total', ...gathered });
+  private broadcast(aggregated: AggregatedEvidence): void {
+    this.context.readExchange()?.sendReportToLinkedPeers({ kind: 'version-total', ...aggregated });
   }
 
   private createGate(): TargetGate {
@@ -219,11 +219,11 @@
     };
     return {
       groupByPreference: (service, targets, isRetry) =>
-        current().selectTargets(service, targets, isRetry),
-      isAllowed: (target) => current().canSendTo(target),
+        current().groupByPreference(service, targets, isRetry),
+      isAllowed: (target) => current().isAllowed(target),
       ignoresAdvice: (service) => current().shouldSendTrial(service),
       listAdvisable: (service, targets) => current().listAdvisable(service, targets),
-      recordSend: (target) => rollOuts.recordAttempt(target),
+      recordSend: (target) => rollOuts.recordSend(target),
     };
   }
 }
--- a/packages/plan-capacity/src/plan-domains.ts
+++ b/packages/plan-capacity/src/plan-domains.ts
@@ -108,9 +108,9 @@
   if (cover === 'none') {
     return perDomain(needed - domains * plain, domains);
   }
-  const domainDown = perDomain(needed - (domains - 1) * plain, domains - 1);
-  const spotAway = perDomain(needed - domains * plain, domains - 1);
-  const oneLoss = Math.max(domainDown, spotAway);
+  const spotForDomainLoss = perDomain(needed - (domains - 1) * plain, domains - 1);
+  const spotForSpotLoss = perDomain(needed - domains * plain, domains - 1);
+  const oneLoss = Math.max(spotForDomainLoss, spotForSpotLoss);
   if (cover === 'one-loss') {
     return oneLoss;
   }
--- a/packages/run-roll-outs/src/fleet.fixture.ts
+++ b/packages/run-roll-outs/src/fleet.fixture.ts
@@ -317,13 +317,13 @@
   private send(vm: Vm, route: Route): void {
     const known = this.targets.map((target) => ({ target }));
     const group =
-      vm.rollOuts.selectTargets(SERVICE, known, false).find(({ length }) => length > 0) ?? [];
+      vm.rollOuts.groupByPreference(SERVICE, known, false).find(({ length }) => length > 0) ?? [];
     const chosen = group[Math.floor(this.random.next() * group.length)];
     if (chosen === undefined) {
       return;
     }
     const { target } = chosen;
-    vm.rollOuts.recordAttempt(target);
+    vm.rollOuts.recordSend(target);
     vm.inFlight.set(target.id, (vm.inFlight.get(target.id) ?? 0) + 1);
     const isTrial = target.version === 'v2';
     const isUpToDate = this.now >= vm.isolatedUntilMs && !this.isStoreDown;
--- a/packages/run-roll-outs/src/roll-out-controller.ts
+++ b/packages/run-roll-outs/src/roll-out-controller.ts
@@ -107,7 +107,7 @@
    * Groups the targets that a request may use. Returns the given array itself if all targets are
    * allowed.
    */
-  selectTargets<Item extends { target: ServiceTarget }>(
+  groupByPreference<Item extends { target: ServiceTarget }>(
     service: string,
     items: readonly Item[],
     isRetry: boolean,
@@ -135,7 +135,7 @@
   }
 
   /** Whether a request may be sent to this target now. */
-  canSendTo(target: ServiceTarget): boolean {
+  isAllowed(target: ServiceTarget): boolean {
     const { service } = target;
     if (this.versions.get(service)?.hasSingleVersion ?? true) {
       return true;
@@ -170,7 +170,7 @@
   }
 
   /** Records that a request was sent to a target. */
-  recordAttempt(target: ServiceTarget): void {
+  recordSend(target: ServiceTarget): void {
     const trial = this.trials.get(target.service);
     if (trial === undefined || isFinal(trial.step)) {
       return;
--- a/packages/run-roll-outs/src/run-roll-outs.test.ts
+++ b/packages/run-roll-outs/src/run-roll-outs.test.ts
@@ -210,7 +210,7 @@
   await vm.runFor(20_000);
   assert.is(vm.status(), 'rolled_back v2');
   const usable = targets.map((known) => ({ target: known }));
-  assert.equal(vm.rollOuts.selectTargets('s', usable, false), [usable.slice(0, 1)]);
+  assert.equal(vm.rollOuts.groupByPreference('s', usable, false), [usable.slice(0, 1)]);
 });
 
 test('a second order replaces the first, whose version gets no more requests', async () => {
@@ -222,7 +222,7 @@
   vm.take({ orders: [order('v3', 60_000, 's', 12)], targets });
   await vm.runFor(10_000);
   assert.is(vm.status(), 'running v3');
-  const [first, second] = vm.rollOuts.selectTargets(
+  const [first, second] = vm.rollOuts.groupByPreference(
     's',
     targets.map((known) => ({ target: known })),
     false,
@@ -238,10 +238,10 @@
   vm.take({ targets: [target('v1')] });
   vm.take({ targets });
   const usable = targets.map((known) => ({ target: known }));
-  assert.equal(vm.rollOuts.selectTargets('s', usable, false), [usable.slice(0, 1)]);
-  assert.not.ok(vm.rollOuts.canSendTo(target('v2')));
+  assert.equal(vm.rollOuts.groupByPreference('s', usable, false), [usable.slice(0, 1)]);
+  assert.not.ok(vm.rollOuts.isAllowed(target('v2')));
   await vm.runFor(5_500);
-  assert.equal(vm.rollOuts.selectTargets('s', usable, false), [usable]);
+  assert.equal(vm.rollOuts.groupByPreference('s', usable, false), [usable]);
 });
 
 test('a replacement target of the same version is used at once without grouping', () => {
@@ -249,7 +249,7 @@
   vm.take({ targets: [target('v1')] });
   vm.take({ targets: [target('v1'), target('v1', 1)] });
   const usable = [target('v1'), target('v1', 1)].map((known) => ({ target: known }));
-  assert.is(vm.rollOuts.selectTargets('s', usable, false)[0], usable);
+  assert.is(vm.rollOuts.groupByPreference('s', usable, false)[0], usable);
 });
 
 test('a retry is not sent to the version under trial', async () => {
@@ -259,8 +259,8 @@
   vm.take({ orders: [order()], targets });
   await vm.runFor(2_000);
   const usable = targets.map((known) => ({ target: known }));
-  assert.is(vm.rollOuts.selectTargets('s', usable, false).length, 2);
-  assert.equal(vm.rollOuts.selectTargets('s', usable, true), [usable.slice(0, 1)]);
+  assert.is(vm.rollOuts.groupByPreference('s', usable, false).length, 2);
+  assert.equal(vm.rollOuts.groupByPreference('s', usable, true), [usable.slice(0, 1)]);
 });
 
 test('a VM that starts after the order gets no share of the slack', async () => {
@@ -291,7 +291,7 @@
   await vm.runFor(1_000);
   vm.take({ orders: [], targets: [target('v2'), target('v1')] });
   await vm.runFor(40_000);
-  assert.ok(vm.rollOuts.canSendTo(target('v1')));
+  assert.ok(vm.rollOuts.isAllowed(target('v1')));
 });
 
 test('a rolled-back version may be used without an order once its order is deleted', async () => {
@@ -299,10 +299,10 @@
   vm.take({ targets: [target('v1')] });
   vm.take({ orders: [order('v2', 0)], targets: [target('v1'), target('v2')] });
   await vm.runFor(60_000);
-  assert.not.ok(vm.rollOuts.canSendTo(target('v2')));
+  assert.not.ok(vm.rollOuts.isAllowed(target('v2')));
   vm.take({ orders: [] });
   await vm.runFor(40_000);
-  assert.ok(vm.rollOuts.canSendTo(target('v2')));
+  assert.ok(vm.rollOuts.isAllowed(target('v2')));
 });
 
 test('a step whose order was deleted is ended by a VM that never saw the order ', async () => {
