--- a/packages/gateway/src/duty-component.ts
+++ b/packages/gateway/src/duty-component.ts
@@ -48,7 +48,7 @@
       log.write('time-lost', { lostMs: Math.round(lostMs) });
     },
   });
-  const readCandidateIndex = (): number | undefined => {
+  const findCandidateIndex = (): number | undefined => {
     const candidates = context.readExchange()?.dutyCandidates;
     if (clock.now() - startedAtMs < CANDIDACY_DELAY_MS) {
       return undefined;
@@ -59,7 +59,7 @@
     const index = candidates.indexOf(formatAddress(settings.peers));
     return index < 0 ? undefined : index;
   };
-  const seat = new ConditionalStoreLease({
+  const storeLease = new ConditionalStoreLease({
     store: platform.storeItems,
     key,
     vm: settings.vm,
@@ -67,14 +67,14 @@
     ttlMs: leaseMs,
     clock,
   });
-  const keeper = new DutyElector({
-    lease: seat,
+  const elector = new DutyElector({
+    lease: storeLease,
     duty,
     clock,
     timers,
     random,
     ttlMs: leaseMs,
-    readCandidateRank: readCandidateIndex,
+    readCandidateRank: findCandidateIndex,
     readIsolatedSinceMs: () => context.readExchange()?.isolatedSinceMs,
     isHeldInStore: () => (storeView.revision > 0 ? storeView.has(key) : undefined),
     onFault: (step, { reason, sent, message }) =>
@@ -87,10 +87,10 @@
       const others = context.readExchange()?.linkedDutyCandidates ?? [];
       if (others.length > 0) {
         log.write('duty-left-to-others', { candidates: others.map(({ peer }) => peer) });
-        keeper.yieldToOthers();
+        elector.yieldToOthers();
       }
     },
-    start: () => keeper.start(),
-    handOver: () => keeper.handOver(),
+    start: () => elector.start(),
+    handOver: () => elector.handOver(),
   };
 }
