--- a/packages/order-capacity/src/capacity-controller.test.ts
+++ b/packages/order-capacity/src/capacity-controller.test.ts
@@ -76,7 +76,7 @@
   await fleet.load([holder], { runs: 16, seconds: 6 });
   assert.ok(fleet.total() >= before, `${fleet.total()} of ${before}`);
   const asked = fleet.orders.filter(({ failureDomain }) => failureDomain === 'b').length;
-  assert.ok(asked >= 2 && asked <= 8, `${asked} questions at a domainsWithoutSpot domain`);
+  assert.ok(asked >= 2 && asked <= 8, `${asked} orders attempted at a domain without spot targets`);
   fleet.domainsWithoutSpot.delete('b');
   await fleet.load([holder], { runs: 16, seconds: 15 });
   assert.is(fleet.count('b', true), spot);
--- a/packages/read-settings/src/read-settings.ts
+++ b/packages/read-settings/src/read-settings.ts
@@ -1,5 +1,5 @@
 /** Reads and validates a settings file. */
-import decodeWithLines from '@limelead/decode-with-lines';
+import decodeJsonc from '@limelead/decode-with-lines';
 import { DecodeError } from '@limelead/errors';
 import * as E from 'fp-ts/lib/Either.js';
 import { readFileSync } from 'node:fs';
@@ -8,7 +8,7 @@
 /** Gives the settings, or an error that lists every invalid key with its line. */
 export default function readSettings(file: string): E.Either<DecodeError, Settings> {
   try {
-    return decodeWithLines(file, readFileSync(file, 'utf8'), settingsCodec);
+    return decodeJsonc(file, readFileSync(file, 'utf8'), settingsCodec);
   } catch (thrown) {
     const found = thrown instanceof Error ? thrown.message : String(thrown);
     return E.left(
--- a/packages/store-configuration/src/apply-change.ts
+++ b/packages/store-configuration/src/apply-change.ts
@@ -72,7 +72,7 @@
   return E.left(
     mayBeAccepted
       ? new LimeleadError('outcome-unknown', 'look for the change id in the history')
-      : new LimeleadError('store-unavailable', "the platform's service does not answer"),
+      : new LimeleadError('store-unavailable', 'the key-value store does not answer'),
   );
 }
 
