--- a/packages/admit-request/src/admission.ts
+++ b/packages/admit-request/src/admission-controller.ts
@@ -1,55 +1,55 @@
-/** The admission of one VM. Every method that depends on time takes the present time. */
+/** Admission control of one VM. Methods that depend on time take the current time. */
 import { LimeleadError } from '@limelead/errors';
 import type { Millis, Organisation } from '@limelead/types';
 import * as E from 'fp-ts/lib/Either.js';
 
-/** Seconds of an organisation's rate that may come at once. */
+/** Size of a burst, in seconds of the organisation's rate. */
 const BURST_SECONDS = 2;
-/** Part of the VM's places that each rank below the most urgent leaves free for the ranks above it. */
-const RESERVED_PER_RANK = 0.1;
-const MAX_RESERVED = 0.5;
+/** Share of the VM's open requests that each rank leaves to more urgent ranks. */
+const RESERVED_SHARE_PER_RANK = 0.1;
+const MAX_RESERVED_SHARE = 0.5;
 const DEMAND_HALF_LIFE_MS = 2_000;
-/** Part of the allowed wait below which nobody is refused for it. */
-const RELAXED_PRESSURE = 0.75;
-/** Part of the allowed wait from which everybody is refused. */
+/** Ratio of the expected to the allowed wait from which requests are shed. */
+const MIN_SHEDDING_PRESSURE = 0.75;
+/** Ratio from which all requests are refused. */
 const REFUSE_ALL_PRESSURE = 1.5;
-/** Times its fair share that an organisation may have open when shares begin to count. */
-const SLACK_AT_RELAXED = 2;
-const MIN_OVERLOAD_RETRY_MS = 500;
+/** Multiple of its fair share that an organisation may use, per unit below REFUSE_ALL_PRESSURE. */
+const SLACK_PER_PRESSURE = 2;
+const MIN_RETRY_AFTER_MS = 500;
 
-/** Limits of the VM itself. */
+/** Limits of the VM. */
 export interface AdmissionLimits {
-  /** Requests open on this VM at a time. */
-  maxOpen: number;
+  /** Maximum number of open requests on this VM. */
+  maxOpenRequests: number;
 }
 
-/** What is to be admitted. */
+/** A request for admission. */
 export interface AdmissionRequest {
   organisation: Organisation;
   rank: number;
-  /** Unix milliseconds; undefined is no deadline. */
+  /** Unix milliseconds; undefined for no deadline. */
   deadlineAtMs?: Millis;
-  /** Milliseconds of waiting for a target, as the router expects. */
+  /** Expected wait for a target in milliseconds. */
   expectedWaitMs: number;
-  /** True for an answer that goes on here: it was admitted once, and is not refused in its middle. */
+  /** True if the request resumes an answer; it was admitted before and is never refused. */
   isResumed: boolean;
-  /** Expected wait beyond which the request's priority wants a refusal. */
+  /** Longest wait in milliseconds that the priority of the request allows. */
   maxQueueMs: number;
 }
 
-/** An admitted request; has to be released once. */
-export interface Ticket {
+/** Represents an open request; `release` must be called when it ends. */
+export interface AdmissionTicket {
   release(): void;
 }
 
-/** Admits requests. */
-export interface Admission {
-  admit(request: AdmissionRequest, now: Millis): E.Either<LimeleadError, Ticket>;
-  open(): number;
-  /** Requests a second that this VM sees of one organisation. */
+/** Admits or refuses requests and tracks the open ones. */
+export interface AdmissionController {
+  admit(request: AdmissionRequest, now: Millis): E.Either<LimeleadError, AdmissionTicket>;
+  countOpen(): number;
+  /** Requests per second of one organisation at this VM. */
   demandOf(organisation: string, now: Millis): number;
-  /** Requests a second that this VM sees of each organisation that asked lately. */
-  demand(now: Millis): { organisation: string; requestsPerSecond: number }[];
+  /** Requests per second of each recently active organisation at this VM. */
+  listDemands(now: Millis): { organisation: string; requestsPerSecond: number }[];
 }
 
 interface OrganisationUse {
@@ -57,24 +57,27 @@
   weight: number;
   tokens: number;
   refilledAtMs: Millis;
-  /** Decaying count of requests, for the demand. */
-  recent: number;
-  recentAtMs: Millis;
+  /** Exponentially decaying count of requests, as of `decayedAtMs`. */
+  recentRequests: number;
+  decayedAtMs: Millis;
 }
 
-/** Creates the admission; `shareOf` gives the part of an organisation's limits that this VM may use. */
-export default function createAdmission(
+/**
+ * Creates an admission controller.
+ * @param shareOf share (0 to 1) of an organisation's limits that this VM may use
+ */
+export default function createAdmissionController(
   limits: AdmissionLimits,
   shareOf: (organisation: string) => number,
-): Admission {
+): AdmissionController {
   const uses = new Map<string, OrganisationUse>();
   let open = 0;
 
-  function admit(request: AdmissionRequest, now: Millis): E.Either<LimeleadError, Ticket> {
+  function admit(request: AdmissionRequest, now: Millis): E.Either<LimeleadError, AdmissionTicket> {
     const { organisation } = request;
     const use = uses.get(organisation.name) ?? createUse(organisation, shareOf, now);
     uses.set(organisation.name, use);
-    noteDemand(use, now);
+    recordDemand(use, now);
     const refusal = request.isResumed
       ? undefined
       : findRefusal(request, { use, uses, open, limits, shareOf }, now);
@@ -87,7 +90,7 @@
     return E.right(createTicket(use));
   }
 
-  function createTicket(use: OrganisationUse): Ticket {
+  function createTicket(use: OrganisationUse): AdmissionTicket {
     let isReleased = false;
     return {
       release() {
@@ -102,28 +105,28 @@
 
   return {
     admit,
-    open: () => open,
+    countOpen: () => open,
     demandOf: (organisation, now) => {
       const use = uses.get(organisation);
-      return use === undefined ? 0 : readDemand(use, now);
+      return use === undefined ? 0 : computeDemand(use, now);
     },
-    demand: (now) => {
-      forgetIdle(uses, now);
+    listDemands: (now) => {
+      evictIdle(uses, now);
       return [...uses].map(([organisation, use]) => ({
         organisation,
-        requestsPerSecond: readDemand(use, now),
+        requestsPerSecond: computeDemand(use, now),
       }));
     },
   };
 }
 
-/** What a refusal is decided from, besides the request. */
+/** State that decides on a refusal, besides the request. */
 interface AdmissionState {
   use: OrganisationUse;
   uses: ReadonlyMap<string, OrganisationUse>;
   open: number;
   limits: AdmissionLimits;
-  /** Worked out only where nothing else refuses. */
+  /** Called only if no other check refuses the request. */
   shareOf: (organisation: string) => number;
 }
 
@@ -134,7 +137,7 @@
 ): LimeleadError | undefined {
   return (
     findDeadlineRefusal(request, now) ??
-    findOverload(request, open, limits) ??
+    findOverloadRefusal(request, open, limits) ??
     findQueueRefusal(request, use, uses, open) ??
     findLimitRefusal(request.organisation, use, shareOf(request.organisation.name), now)
   );
@@ -145,33 +148,36 @@
   shareOf: (organisation: string) => number,
   now: Millis,
 ): OrganisationUse {
-  const tokens = burstOf(organisation, shareOf(organisation.name));
+  const tokens = computeBurst(organisation, shareOf(organisation.name));
   const { weight } = organisation;
-  return { open: 0, weight, tokens, refilledAtMs: now, recent: 0, recentAtMs: now };
+  return { open: 0, weight, tokens, refilledAtMs: now, recentRequests: 0, decayedAtMs: now };
 }
 
 function findDeadlineRefusal(request: AdmissionRequest, now: Millis): LimeleadError | undefined {
   const { deadlineAtMs, expectedWaitMs } = request;
   return deadlineAtMs !== undefined && now + expectedWaitMs > deadlineAtMs
-    ? new LimeleadError('deadline-unreachable', 'the answer could not land before its deadline')
+    ? new LimeleadError(
+        'deadline-unreachable',
+        'no target is expected to be free before the deadline',
+      )
     : undefined;
 }
 
-function findOverload(
+function findOverloadRefusal(
   request: AdmissionRequest,
   open: number,
   limits: AdmissionLimits,
 ): LimeleadError | undefined {
-  const reserved = Math.min(MAX_RESERVED, request.rank * RESERVED_PER_RANK);
-  return open >= limits.maxOpen * (1 - reserved)
+  const reserved = Math.min(MAX_RESERVED_SHARE, request.rank * RESERVED_SHARE_PER_RANK);
+  return open >= limits.maxOpenRequests * (1 - reserved)
     ? new LimeleadError('overloaded', 'this VM has too many open requests')
     : undefined;
 }
 
 /**
- * Refuses before queues at the targets grow. The closer the expected wait comes
- * to what the priority allows, the less an organisation may have open beyond
- * its fair share; those below their share are refused last.
+ * Refuses requests before queues at the targets grow. The closer the expected wait is to
+ * the allowed wait, the fewer open requests an organisation may have relative to its fair
+ * share, so organisations below their share are refused last.
  */
 function findQueueRefusal(
   { organisation, expectedWaitMs, maxQueueMs }: AdmissionRequest,
@@ -180,21 +186,21 @@
   open: number,
 ): LimeleadError | undefined {
   const pressure = expectedWaitMs / maxQueueMs;
-  if (pressure < RELAXED_PRESSURE) {
+  if (pressure < MIN_SHEDDING_PRESSURE) {
     return undefined;
   }
-  const slack = Math.max(0, (REFUSE_ALL_PRESSURE - pressure) * SLACK_AT_RELAXED);
-  const fairShare = organisation.weight / sumWeights(uses);
+  const slack = Math.max(0, (REFUSE_ALL_PRESSURE - pressure) * SLACK_PER_PRESSURE);
+  const fairShare = organisation.weight / sumOpenWeights(uses);
   const isWithinShare = use.open < slack * fairShare * open + 1;
   return isWithinShare && pressure < REFUSE_ALL_PRESSURE
     ? undefined
     : new LimeleadError('overloaded', 'the targets are too busy', {
-        retryAfterMs: Math.ceil(Math.max(expectedWaitMs, MIN_OVERLOAD_RETRY_MS)),
+        retryAfterMs: Math.ceil(Math.max(expectedWaitMs, MIN_RETRY_AFTER_MS)),
       });
 }
 
-/** Weights of the organisations that have something open. */
-function sumWeights(uses: ReadonlyMap<string, OrganisationUse>): number {
+/** Sum of the weights of organisations with open requests. */
+function sumOpenWeights(uses: ReadonlyMap<string, OrganisationUse>): number {
   let sum = 0;
   for (const { open, weight } of uses.values()) {
     sum += open > 0 ? weight : 0;
@@ -209,10 +215,10 @@
   now: Millis,
 ): LimeleadError | undefined {
   const rate = organisation.requestsPerSecond * share;
-  refill(use, rate, burstOf(organisation, share), now);
+  refill(use, rate, computeBurst(organisation, share), now);
   if (use.tokens < 1) {
     const retryAfterMs = Math.ceil(((1 - use.tokens) * 1000) / rate);
-    return new LimeleadError('rate-limited', 'the rate of the organisation is used up', {
+    return new LimeleadError('rate-limited', 'the organisation exceeds its request rate', {
       retryAfterMs,
     });
   }
@@ -227,27 +233,27 @@
   use.refilledAtMs = now;
 }
 
-function burstOf(organisation: Organisation, share: number): number {
+function computeBurst(organisation: Organisation, share: number): number {
   return Math.max(1, organisation.requestsPerSecond * share * BURST_SECONDS);
 }
 
-function noteDemand(use: OrganisationUse, now: Millis): void {
-  use.recent = decay(use, now) + 1;
-  use.recentAtMs = now;
+function recordDemand(use: OrganisationUse, now: Millis): void {
+  use.recentRequests = computeDecayedRequests(use, now) + 1;
+  use.decayedAtMs = now;
 }
 
-function readDemand(use: OrganisationUse, now: Millis): number {
+function computeDemand(use: OrganisationUse, now: Millis): number {
   const meanLifeSeconds = DEMAND_HALF_LIFE_MS / Math.LN2 / 1000;
-  return decay(use, now) / meanLifeSeconds;
+  return computeDecayedRequests(use, now) / meanLifeSeconds;
 }
 
-function decay(use: OrganisationUse, now: Millis): number {
-  return use.recent * 0.5 ** ((now - use.recentAtMs) / DEMAND_HALF_LIFE_MS);
+function computeDecayedRequests(use: OrganisationUse, now: Millis): number {
+  return use.recentRequests * 0.5 ** ((now - use.decayedAtMs) / DEMAND_HALF_LIFE_MS);
 }
 
-function forgetIdle(uses: Map<string, OrganisationUse>, now: Millis): void {
+function evictIdle(uses: Map<string, OrganisationUse>, now: Millis): void {
   for (const [organisation, use] of uses) {
-    if (use.open === 0 && decay(use, now) < 0.01) {
+    if (use.open === 0 && computeDecayedRequests(use, now) < 0.01) {
       uses.delete(organisation);
     }
   }
--- a/packages/configuration-state/src/configuration.ts
+++ b/packages/configuration-state/src/configuration.ts
@@ -1,6 +1,6 @@
-/** The configuration in force, as an index of resources. */
+/** The configuration as an index of resources. */
 import {
-  nameOfResource,
+  getResourceName,
   type Change,
   type ResourceKind,
   type ResourceName,
@@ -9,7 +9,7 @@
   type VersionedResource,
 } from '@limelead/types';
 
-/** Removals remembered, so that a race between a removal and a put is seen; the oldest go first. */
+/** Number of newest removals that are kept to detect conflicts between a removal and a put. */
 const MAX_REMOVALS = 1_000;
 
 /** A resource that was removed. */
@@ -18,7 +18,7 @@
   name: ResourceName;
 }
 
-/** All resources by kind and name, at one revision. Never changed in place. */
+/** All resources by kind and name, at one revision. Immutable. */
 export interface Configuration {
   revision: Revision;
   resources: ReadonlyMap<string, VersionedResource>;
@@ -33,20 +33,20 @@
   removals: new Map(),
 };
 
-/** Builds a configuration from a snapshot. */
-export function fromResources(
+/** Builds a configuration from the contents of a snapshot. */
+export function buildConfiguration(
   revision: Revision,
   resources: readonly VersionedResource[],
   removals: readonly Removal[],
 ): Configuration {
   const entries = resources.map(
-    (versioned) => [keyOf(nameOfResource(versioned.resource)), versioned] as const,
+    (versioned) => [resourceKey(getResourceName(versioned.resource)), versioned] as const,
   );
-  const removed = removals.map((removal) => [keyOf(removal.name), removal] as const);
+  const removed = removals.map((removal) => [resourceKey(removal.name), removal] as const);
   return { revision, resources: new Map(entries), removals: new Map(removed) };
 }
 
-/** Applies accepted changes in order; those at or below the revision are skipped, a gap stops it. */
+/** Applies accepted changes in order. Skips those at or below the revision and stops at a gap. */
 export function applyChanges(
   configuration: Configuration,
   changes: readonly Change[],
@@ -65,34 +65,34 @@
     applyOperations(resources, removals, change);
     revision = change.revision;
   }
-  return { revision, resources, removals: dropOldest(removals) };
+  return { revision, resources, removals: limitRemovals(removals) };
 }
 
-/** Finds one resource's spec. */
+/** Finds the spec of a resource. */
 export function findSpec<Kind extends ResourceKind>(
   configuration: Configuration,
   kind: Kind,
   name: string,
 ): ResourceShapes[Kind] | undefined {
-  const found = configuration.resources.get(keyOf({ kind, name }));
+  const found = configuration.resources.get(resourceKey({ kind, name }));
   return found?.resource.spec as ResourceShapes[Kind] | undefined;
 }
 
 /** Finds a resource with its revision. */
-export function findVersioned(
+export function findResource(
   configuration: Configuration,
   name: ResourceName,
 ): VersionedResource | undefined {
-  return configuration.resources.get(keyOf(name));
+  return configuration.resources.get(resourceKey(name));
 }
 
-/** The revision that last put or removed a resource; 0 where it never was there. */
-export function findLastTouch(configuration: Configuration, name: ResourceName): Revision {
-  const found = findVersioned(configuration, name) ?? configuration.removals.get(keyOf(name));
+/** The revision that last put or removed a resource; 0 if none is known. */
+export function findLastRevision(configuration: Configuration, name: ResourceName): Revision {
+  const found = findResource(configuration, name) ?? configuration.removals.get(resourceKey(name));
   return found?.revision ?? 0;
 }
 
-/** All specs of a kind. */
+/** The specs of all resources of a kind. */
 export function listSpecs<Kind extends ResourceKind>(
   configuration: Configuration,
   kind: Kind,
@@ -102,9 +102,9 @@
     .map(({ resource }) => resource.spec as ResourceShapes[Kind]);
 }
 
-/** Names the resource that an operation touches. */
+/** Returns the name of the resource that an operation changes. */
 export function nameOfOperation(operation: Change['operations'][number]): ResourceName {
-  return 'put' in operation ? nameOfResource(operation.put) : operation.delete;
+  return 'put' in operation ? getResourceName(operation.put) : operation.delete;
 }
 
 function applyOperations(
@@ -115,7 +115,7 @@
   const { revision } = change;
   for (const operation of change.operations) {
     const name = nameOfOperation(operation);
-    const key = keyOf(name);
+    const key = resourceKey(name);
     removals.delete(key);
     if ('put' in operation) {
       resources.set(key, { revision, resource: operation.put });
@@ -126,10 +126,10 @@
   }
 }
 
-function dropOldest(removals: Map<string, Removal>): Map<string, Removal> {
+function limitRemovals(removals: Map<string, Removal>): Map<string, Removal> {
   return new Map([...removals].slice(-MAX_REMOVALS));
 }
 
-function keyOf({ kind, name }: ResourceName): string {
+function resourceKey({ kind, name }: ResourceName): string {
   return `${kind}/${name}`;
 }
--- a/packages/configuration-state/src/plan-change.ts
+++ b/packages/configuration-state/src/plan-change.ts
@@ -1,4 +1,4 @@
-/** Pure decision: whether a change is accepted on top of a configuration. */
+/** Decides whether a change is accepted. */
 import { ConflictError, LimeleadError } from '@limelead/errors';
 import type {
   Change,
@@ -10,24 +10,24 @@
 import * as E from 'fp-ts/lib/Either.js';
 import {
   applyChanges,
-  findLastTouch,
+  findLastRevision,
   findSpec,
-  findVersioned,
+  findResource,
   listSpecs,
   nameOfOperation,
   type Configuration,
 } from './configuration.js';
 
-/** Why a change is refused. */
+/** The error of a refused change. */
 export type ChangeRefusal = LimeleadError | ConflictError<VersionedResource>;
 
-/** Who asks, and when. */
+/** The operator who requests a change, and the time of acceptance. */
 export interface ChangeAuthor {
   operator: string;
   atMs: Millis;
 }
 
-/** Gives the change as it would be accepted, at the next revision. */
+/** Returns the accepted change with the next revision, or the reason of its refusal. */
 export default function planChange(
   configuration: Configuration,
   request: ChangeRequest,
@@ -38,7 +38,7 @@
   }
   const conflicts = findConflicts(configuration, request);
   if (conflicts.length > 0) {
-    return E.left(describeConflict(configuration, conflicts));
+    return E.left(createConflictError(configuration, conflicts));
   }
   const change: Change = { ...request, ...author, revision: configuration.revision + 1 };
   const fault = findDanglingReference(applyChanges(configuration, [change]));
@@ -47,21 +47,21 @@
     : E.left(new LimeleadError('invalid-request', fault));
 }
 
-/** Resources touched by the request that somebody else changed since its base revision. */
+/** Names of requested resources that changed after the request's base revision. */
 function findConflicts(configuration: Configuration, request: ChangeRequest): ResourceName[] {
   return request.operations
     .map(nameOfOperation)
-    .filter((name) => findLastTouch(configuration, name) > request.baseRevision);
+    .filter((name) => findLastRevision(configuration, name) > request.baseRevision);
 }
 
-function describeConflict(
+function createConflictError(
   configuration: Configuration,
   conflicts: ResourceName[],
 ): ConflictError<VersionedResource> {
   const names = conflicts.map(({ kind, name }) => `${kind} ${name}`);
   const message = `changed or removed since the base revision: ${names.join(', ')}`;
   const current = conflicts
-    .map((name) => findVersioned(configuration, name))
+    .map((name) => findResource(configuration, name))
     .filter((versioned) => versioned !== undefined);
   return new ConflictError(message, configuration.revision, current);
 }
@@ -72,5 +72,5 @@
   );
   return dangling === undefined
     ? undefined
-    : `service ${dangling.name} names the priority ${dangling.defaultPriority}, which does not exist`;
+    : `service ${dangling.name} refers to the priority ${dangling.defaultPriority}, which does not exist`;
 }
--- a/packages/daemon/src/create-context.ts
+++ b/packages/daemon/src/create-context.ts
@@ -1,5 +1,5 @@
-/** Creates the parts of one VM and ties them together. */
-import { computeShare, createAdmission } from '@limelead/admit-request';
+/** Creates and connects the components of one VM. */
+import { computeLimitShare, createAdmissionController } from '@limelead/admit-request';
 import { createCallClaimer } from '@limelead/claim-call';
 import {
   createHttpKeyValueStore,
@@ -14,54 +14,57 @@
 import type { Settings } from '@limelead/read-settings';
 import createHandleSigner from '@limelead/resume-handle';
 import { createCallRunner } from '@limelead/run-call';
-import { createGapTable } from '@limelead/run-generation';
+import { createTokenGapTable } from '@limelead/run-generation';
 import { createConfigurationStore } from '@limelead/store-configuration';
 import { createMemberTable } from '@limelead/track-members';
 import { createTargetTable } from '@limelead/track-targets';
 import { randomBytes } from 'node:crypto';
-import Authenticator from './authenticate.js';
+import Authenticator from './authenticator.js';
 import ConfigurationHolder from './configuration-holder.js';
 import OpenGenerations from './open-generations.js';
-import PeerConversation from './peer-conversation.js';
-import type { OutsideSystems, Runtime, Strategies, VmContext } from './vm-context.js';
+import PeerMessenger from './peer-messenger.js';
+import type { ExternalSystems, Runtime, Strategies, VmContext } from './vm-context.js';
 
 const INCARNATION_BYTES = 6;
-/** Recoveries under way on one engine at a time, over all VMs. */
-const RECOVERIES_PER_ENGINE = 4;
+/** Concurrent recoveries per engine, over all VMs. */
+const MAX_RECOVERIES_PER_ENGINE = 4;
 const MIN_RECOVERIES = 2;
 
-/** The parts, and the conversation that they share with the peers. */
-export interface CreatedVm {
+/** The shared context of one VM and its connection to the peers. */
+export interface VmComponents {
   context: VmContext;
-  peers: PeerConversation;
+  peers: PeerMessenger;
 }
 
-/** Creates the parts of one VM; nothing is started yet. */
+/** Creates the components of one VM without starting them. */
 export default function createContext(
   settings: Settings,
   runtime: Runtime,
   strategies: Strategies,
   isDraining: () => boolean,
-): CreatedVm {
+): VmComponents {
   const { clock, timers, random } = runtime;
   const incarnation = `${settings.id}.${randomBytes(INCARNATION_BYTES).toString('hex')}`;
   const metrics = createMetrics();
   const bus = createEventBus(settings.id, clock);
-  const outside = connectOutside(settings);
+  const externalSystems = connectExternalSystems(settings);
   const targets = createTargetTable({ maxListAgeMs: settings.timing.maxListAgeMs });
   const members = createMemberTable(settings.id);
   settings.peers.seeds.forEach((seed) => members.addSeed(seed));
 
   const countVms = (): number => members.present(clock.now()).length + 1;
-  const shareOf = (organisation: string): number => {
+  const computeShare = (organisation: string): number => {
     const own = admission.demandOf(organisation, clock.now());
-    return computeShare(own, peers.demandOf(organisation), countVms());
+    return computeLimitShare(own, peers.listPeerDemands(organisation), countVms());
   };
-  const admission = createAdmission({ maxOpen: settings.limits.maxOpenRequests }, shareOf);
+  const admission = createAdmissionController(
+    { maxOpenRequests: settings.limits.maxOpenRequests },
+    computeShare,
+  );
 
-  const recoveryPlaces = (): number => {
-    const engines = targets.usableEngines(clock.now()).length;
-    return Math.max(MIN_RECOVERIES, Math.ceil((engines * RECOVERIES_PER_ENGINE) / countVms()));
+  const getRecoverySlots = (): number => {
+    const engines = targets.listUsableEngines(clock.now()).length;
+    return Math.max(MIN_RECOVERIES, Math.ceil((engines * MAX_RECOVERIES_PER_ENGINE) / countVms()));
   };
 
   const context: VmContext = {
@@ -71,14 +74,14 @@
     logger: createLogger(settings.id, settings.log.level),
     metrics,
     bus,
-    outside,
+    externalSystems,
     targets,
-    gaps: createGapTable(),
+    gaps: createTokenGapTable(),
     members,
     configuration: new ConfigurationHolder(),
-    configurationStore: createConfigurationStore(outside.store, clock, timers),
+    configurationStore: createConfigurationStore(externalSystems.store, clock, timers),
     admission,
-    pacer: strategies.pacer ?? createRecoveryPacer(recoveryPlaces),
+    pacer: strategies.pacer ?? createRecoveryPacer(getRecoverySlots),
     chooseTarget: strategies.chooseTarget,
     authenticator: new Authenticator(settings.operators),
     signer: createHandleSigner(settings.peers.secret),
@@ -89,20 +92,26 @@
       metrics,
       bus,
       targets,
-      connector: outside.connector,
-      claimer: createCallClaimer({ store: outside.store, clock, timers, random, incarnation }),
-      askHolder: (holder, organisation, requestId) =>
-        peers.askHolder(holder, organisation, requestId),
+      connector: externalSystems.connector,
+      claimer: createCallClaimer({
+        store: externalSystems.store,
+        clock,
+        timers,
+        random,
+        incarnation,
+      }),
+      queryHolder: (holder, organisation, requestId) =>
+        peers.queryClaimHolder(holder, organisation, requestId),
     }),
     isDraining,
   };
-  const peers = new PeerConversation(context);
+  const peers = new PeerMessenger(context);
   context.configuration.onAdvance((configuration) => context.authenticator.update(configuration));
   registerGauges(context);
   return { context, peers };
 }
 
-function connectOutside(settings: Settings): OutsideSystems {
+function connectExternalSystems(settings: Settings): ExternalSystems {
   const transport = createHttpTransport();
   const { keyValue, vmList } = settings.platform;
   return {
@@ -115,13 +124,13 @@
 
 function registerGauges({ metrics, openGenerations, admission, configuration }: VmContext): void {
   metrics.gauge('limelead_open_generations', () => openGenerations.size);
-  metrics.gauge('limelead_open_requests', () => admission.open());
+  metrics.gauge('limelead_open_requests', () => admission.countOpen());
   metrics.gauge('limelead_configuration_revision', () => configuration.configuration.revision);
   metrics.gauge('limelead_cpu_milliseconds', readCpuMilliseconds);
   metrics.gauge('limelead_resident_bytes', () => process.memoryUsage.rss());
 }
 
-/** Processor time of the process since its start. */
+/** CPU time that the process has used since its start. */
 function readCpuMilliseconds(): number {
   const { user, system } = process.cpuUsage();
   return (user + system) / 1000;
--- a/packages/daemon/src/peer-conversation.ts
+++ b/packages/daemon/src/peer-messenger.ts
@@ -1,5 +1,5 @@
-/** What this VM says to its peers, and what it makes of what they say. */
-import type { RememberedCall } from '@limelead/run-call';
+/** Sends messages to the peers of this VM and handles the messages that they send. */
+import type { RecordedOutcome } from '@limelead/run-call';
 import {
   createPeerLinks,
   peerMessageFormat,
@@ -7,31 +7,31 @@
   type PeerMessage,
   type PeerMessageOf,
 } from '@limelead/peer-links';
-import { splitIntoChunks } from '@limelead/store-configuration';
+import { splitIntoParts } from '@limelead/store-configuration';
 import { chooseLinks } from '@limelead/track-members';
 import type { Change, TargetId, VmId } from '@limelead/types';
-import BreakerEvidence from './breaker-evidence.js';
+import BreakerReportTable from './breaker-report-table.js';
 import type { ConfigurationSource } from './configuration-holder.js';
 import startLoop, { type Loop } from './loop.js';
 import PendingQueries from './pending-queries.js';
 import SnapshotAssembler from './snapshot-assembler.js';
 import type { VmContext } from './vm-context.js';
 
-/** Characters of one part of a snapshot, well below the limit on a message. */
-const SNAPSHOT_PART_CHARACTERS = 300_000;
+/** Size of one part of a snapshot, below the limit on the size of a message. */
+const MAX_SNAPSHOT_PART_CHARACTERS = 300_000;
 const CALL_QUERY_TIMEOUT_MS = 10_000;
 const CANCEL_QUERY_TIMEOUT_MS = 1_000;
-/** A peer's list has to be fresher by this much before it is asked for. */
-const LIST_ADVANTAGE_MS = 200;
+/** A peer's list of VMs is requested only if it is newer by more than this. */
+const MIN_LIST_ADVANTAGE_MS = 200;
 
 type DemandReports = PeerMessageOf<'heartbeat'>['demand'];
 
-/** The conversation of one VM with all its peers. */
-export default class PeerConversation {
-  private readonly evidence = new BreakerEvidence();
-  private readonly assembler = new SnapshotAssembler();
-  private readonly demands = new Map<VmId, DemandReports>();
-  private readonly callQueries: PendingQueries<RememberedCall>;
+/** Exchanges heartbeats, configuration, breaker reports and queries with all peers. */
+export default class PeerMessenger {
+  private readonly breakerReports = new BreakerReportTable();
+  private readonly snapshotAssembler = new SnapshotAssembler();
+  private readonly demandsByPeer = new Map<VmId, DemandReports>();
+  private readonly callQueries: PendingQueries<RecordedOutcome>;
   private readonly cancelQueries: PendingQueries<boolean>;
   private links: PeerLinks<PeerMessage> | undefined;
   private loop: Loop | undefined;
@@ -39,18 +39,18 @@
 
   constructor(private readonly context: VmContext) {
     const { timers } = context;
-    this.callQueries = new PendingQueries<RememberedCall>(timers, CALL_QUERY_TIMEOUT_MS, {
+    this.callQueries = new PendingQueries<RecordedOutcome>(timers, CALL_QUERY_TIMEOUT_MS, {
       kind: 'unknown',
     });
     this.cancelQueries = new PendingQueries(timers, CANCEL_QUERY_TIMEOUT_MS, false);
   }
 
-  /** Port on which peers are accepted. */
+  /** Port that accepts connections of peers. */
   get port(): number {
     return this.links?.port ?? 0;
   }
 
-  /** Starts to accept peers and to send heartbeats. */
+  /** Starts to accept connections of peers and to send heartbeats. */
   async start(): Promise<void> {
     const { settings, incarnation, timers, metrics, configuration } = this.context;
     this.links = await createPeerLinks({
@@ -63,22 +63,22 @@
       format: peerMessageFormat,
       onReady: (peer) => this.onReady(peer),
       onMessage: (peer, message) => this.onMessage(peer, message),
-      onLost: (peer) => this.onLost(peer),
-      onDropped: () => metrics.count('limelead_peer_messages_dropped_total'),
+      onLinkLost: (peer) => this.onLost(peer),
+      onMessageDropped: () => metrics.count('limelead_peer_messages_dropped_total'),
     });
-    configuration.onAdvance((_, source) => this.spreadConfiguration(source));
+    configuration.onAdvance((_, source) => this.publishConfiguration(source));
     const { heartbeatMs } = settings.timing;
-    this.loop = startLoop(this.context, heartbeatMs, () => this.beat());
+    this.loop = startLoop(this.context, heartbeatMs, () => this.sendHeartbeat());
   }
 
-  /** Tells peers that this VM is leaving. */
+  /** Announces to peers that this VM is leaving. */
   announceLeaving(): void {
     this.isLeaving = true;
     this.links?.broadcast(this.createHeartbeat());
   }
 
-  /** Tells peers that the breaker of a target opened here. */
-  spreadBreaker(target: TargetId): void {
+  /** Reports to peers that this VM opened the breaker of a target. */
+  publishOpenBreaker(target: TargetId): void {
     const { targets, clock } = this.context;
     const openUntilMs = targets.find(target)?.breaker.openUntilMs ?? 0;
     const openForMs = openUntilMs - clock.now();
@@ -87,55 +87,59 @@
     }
   }
 
-  /** Demand of an organisation as each linked peer reported it last. */
-  demandOf(organisation: string): { vm: VmId; requestsPerSecond: number }[] {
-    return [...this.demands].map(([vm, reports]) => {
+  /** Returns the demand of an organisation that each linked peer reported last. */
+  listPeerDemands(organisation: string): { vm: VmId; requestsPerSecond: number }[] {
+    return [...this.demandsByPeer].map(([vm, reports]) => {
       const report = reports.find((candidate) => candidate.organisation === organisation);
       return { vm, requestsPerSecond: report?.requestsPerSecond ?? 0 };
     });
   }
 
-  /** Asks the VM that holds a claim what became of its call. */
-  askHolder(holder: string, organisation: string, requestId: string): Promise<RememberedCall> {
+  /** Queries the VM that holds the claim of a call for the call's outcome. */
+  queryClaimHolder(
+    holder: string,
+    organisation: string,
+    requestId: string,
+  ): Promise<RecordedOutcome> {
     const peer = this.context.members.findByIncarnation(holder)?.id;
-    if (peer === undefined || this.links?.linked().includes(peer) !== true) {
+    if (peer === undefined || this.links?.listLinked().includes(peer) !== true) {
       return Promise.resolve({ kind: 'unknown' });
     }
-    return this.callQueries.ask((query) =>
+    return this.callQueries.sendQuery((query) =>
       this.links?.send(peer, { kind: 'call-query', query, organisation, requestId }),
     );
   }
 
-  /** Asks linked peers to cancel a generation; says whether one of them had it. */
-  async cancelElsewhere(organisation: string, requestId: string): Promise<boolean> {
-    const peers = this.links?.linked() ?? [];
+  /** Asks linked peers to cancel a generation; returns whether one of them had it. */
+  async cancelOnPeers(organisation: string, requestId: string): Promise<boolean> {
+    const peers = this.links?.listLinked() ?? [];
     const answers = peers.map((peer) =>
-      this.cancelQueries.ask((query) =>
+      this.cancelQueries.sendQuery((query) =>
         this.links?.send(peer, { kind: 'cancel-query', query, organisation, requestId }),
       ),
     );
     return (await Promise.all(answers)).some((cancelled) => cancelled);
   }
 
-  /** Ends all links. */
+  /** Stops the heartbeats and closes all links. */
   async stop(): Promise<void> {
     this.loop?.stop();
     await this.links?.close();
   }
 
-  private async beat(): Promise<void> {
+  private async sendHeartbeat(): Promise<void> {
     const { members, clock, settings } = this.context;
     this.links?.broadcast(this.createHeartbeat());
-    const present = members.all().filter(({ leaving, port }) => !leaving && port > 0);
+    const present = members.list().filter(({ leaving, port }) => !leaving && port > 0);
     const chosen = chooseLinks(
       settings.id,
       present.map(({ id }) => id),
     );
     this.links?.open(present.filter(({ id }) => chosen.includes(id)));
-    for (const peer of this.links?.linked() ?? []) {
+    for (const peer of this.links?.listLinked() ?? []) {
       const member = members.find(peer);
       if (member !== undefined && members.stateOf(member, clock.now()) === 'suspect') {
-        this.links?.drop(peer);
+        this.links?.disconnect(peer);
       }
     }
   }
@@ -155,23 +159,23 @@
       leaving: this.isLeaving,
       listVersion: list.version,
       listAgeMs: Number.isFinite(readAtMs) ? now - readAtMs : Number.MAX_SAFE_INTEGER,
-      demand: admission.demand(now),
+      demand: admission.listDemands(now),
     };
   }
 
   private onReady(peer: VmId): void {
-    this.noteMembership(peer, 'linked');
+    this.publishMembershipChange(peer, 'linked');
     this.links?.send(peer, this.createHeartbeat());
   }
 
   private onLost(peer: VmId): void {
-    this.context.members.noteLost(peer);
-    this.demands.delete(peer);
-    this.assembler.forget(peer);
-    this.noteMembership(peer, 'lost');
+    this.context.members.onLinkLost(peer);
+    this.demandsByPeer.delete(peer);
+    this.snapshotAssembler.discard(peer);
+    this.publishMembershipChange(peer, 'lost');
   }
 
-  private noteMembership(subject: VmId, state: string): void {
+  private publishMembershipChange(subject: VmId, state: string): void {
     const { bus, logger, metrics } = this.context;
     metrics.count('limelead_peer_links_total', 1, { state });
     logger.info('a peer changed', { peer: subject, state });
@@ -202,16 +206,16 @@
       case 'cancel-reply':
         return this.cancelQueries.settle(message.query, message.cancelled);
       case 'call-reply':
-        return this.callQueries.settle(message.query, message.outcome as RememberedCall);
+        return this.callQueries.settle(message.query, message.outcome as RecordedOutcome);
     }
   }
 
   private onHeartbeat(peer: VmId, heartbeat: PeerMessageOf<'heartbeat'>): void {
     const { members, configuration, targets, clock } = this.context;
     const now = clock.now();
-    const { kind: _, listVersion, listAgeMs, demand, ...facts } = heartbeat;
-    members.applyHeartbeat({ ...facts, id: peer }, now);
-    this.demands.set(peer, demand);
+    const { kind: _, listVersion, listAgeMs, demand, ...member } = heartbeat;
+    members.applyHeartbeat({ ...member, id: peer }, now);
+    this.demandsByPeer.set(peer, demand);
     const { revision } = configuration.configuration;
     if (heartbeat.revision > revision) {
       this.links?.send(peer, { kind: 'want-changes', after: revision });
@@ -220,7 +224,10 @@
     const peerReadAtMs = now - listAgeMs;
     if (listVersion === own.list.version) {
       targets.applyList(own.list, peerReadAtMs);
-    } else if (listVersion > own.list.version && peerReadAtMs > own.readAtMs + LIST_ADVANTAGE_MS) {
+    } else if (
+      listVersion > own.list.version &&
+      peerReadAtMs > own.readAtMs + MIN_LIST_ADVANTAGE_MS
+    ) {
       this.links?.send(peer, { kind: 'want-list' });
     }
   }
@@ -236,22 +243,22 @@
   }
 
   private onSnapshot(peer: VmId, message: PeerMessageOf<'snapshot'>): void {
-    const whole = this.assembler.take(peer, message);
-    if (whole !== undefined) {
-      this.context.configuration.adopt(whole, [], 'peer');
+    const snapshot = this.snapshotAssembler.addPart(peer, message);
+    if (snapshot !== undefined) {
+      this.context.configuration.adopt(snapshot, [], 'peer');
     }
   }
 
-  /** Changes go to every linked peer at once; those that have them already do not pass them on. */
-  private spreadConfiguration(source: ConfigurationSource): void {
+  /** Sends the latest change to every linked peer; a peer forwards only changes new to it. */
+  private publishConfiguration(source: ConfigurationSource): void {
     const { configuration, bus, metrics, logger } = this.context;
     const { revision } = configuration.configuration;
     metrics.count('limelead_configuration_advances_total', 1, { source });
     logger.info('the configuration advanced', { revision, source });
     bus.publish('', () => ({ kind: 'configurationAdvanced', revision, source }));
-    const newest = configuration.recent.at(-1);
-    if (newest !== undefined) {
-      this.links?.broadcast({ kind: 'changes', changes: [newest] });
+    const latest = configuration.latestChanges.at(-1);
+    if (latest !== undefined) {
+      this.links?.broadcast({ kind: 'changes', changes: [latest] });
     }
   }
 
@@ -263,7 +270,7 @@
       return;
     }
     const { revision } = configuration.configuration;
-    const parts = splitIntoChunks(configuration.configuration, SNAPSHOT_PART_CHARACTERS);
+    const parts = splitIntoParts(configuration.configuration, MAX_SNAPSHOT_PART_CHARACTERS);
     parts.forEach((content, part) =>
       this.links?.send(peer, {
         kind: 'snapshot',
@@ -285,15 +292,15 @@
     const { targets, members, clock } = this.context;
     const now = clock.now();
     targets.applyList(list, now - ageMs);
-    members.applyList(list, now);
+    members.applyVmList(list, now);
   }
 
   private onBreaker(peer: VmId, { target, openForMs }: PeerMessageOf<'breaker'>): void {
     const { targets, clock, bus } = this.context;
-    const saidAtMs = clock.now();
-    const hasOwnFailure = (targets.find(target)?.breaker.failures ?? 0) > 0;
-    const word = { peer, openUntilMs: saidAtMs + openForMs, saidAtMs };
-    const openUntilMs = this.evidence.take(target, word, hasOwnFailure);
+    const receivedAtMs = clock.now();
+    const hasLocalFailure = (targets.find(target)?.breaker.failureCount ?? 0) > 0;
+    const report = { peer, openUntilMs: receivedAtMs + openForMs, receivedAtMs };
+    const openUntilMs = this.breakerReports.recordReport(target, report, hasLocalFailure);
     if (openUntilMs !== undefined && targets.adoptOpenBreaker(target, openUntilMs)) {
       bus.publish('', () => ({ kind: 'breakerChanged', target, state: 'open', source: peer }));
     }
@@ -301,8 +308,8 @@
 
   private async onCallQuery(peer: VmId, query: PeerMessageOf<'call-query'>): Promise<void> {
     const { callRunner } = this.context;
-    const recalled = callRunner.recall(query.organisation, query.requestId);
-    const outcome: RememberedCall = (await recalled) ?? { kind: 'unknown' };
+    const recalled = callRunner.findOutcome(query.organisation, query.requestId);
+    const outcome: RecordedOutcome = (await recalled) ?? { kind: 'unknown' };
     this.links?.send(peer, { kind: 'call-reply', query: query.query, outcome });
   }
 
--- a/packages/daemon/src/services/calls-service.ts
+++ b/packages/daemon/src/services/calls-service.ts
@@ -1,4 +1,4 @@
-/** The RPC service Calls. */
+/** Implements the RPC service Calls. */
 import { create } from '@bufbuild/protobuf';
 import type { ServiceImpl } from '@connectrpc/connect';
 import { LimeleadError } from '@limelead/errors';
@@ -13,15 +13,15 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { checkRequestId, requirePriority, requireService } from '../check-generate-request.js';
 import type { VmContext } from '../vm-context.js';
-import { countError, refuseWhileDraining } from './generation-service.js';
+import { toCountedRpcError, refuseWhileDraining } from './generation-service.js';
 
-/** Time in which a call may be started whose caller named none. */
+/** Time within which a call must start if its caller sets no limit. */
 const DEFAULT_START_WITHIN_MS = 120_000;
-/** A call may be started at most this far in the future, because its claim is kept that long. */
+/** Longest time within which a call may start; claims are kept this long. */
 const MAX_START_WITHIN_MS = 600_000;
 const OPERATION = /^[\w.-]{1,64}$/;
 
-/** Creates the service of one VM. */
+/** Creates the Calls service of one VM. */
 export default function createCallsService(context: VmContext): ServiceImpl<typeof Calls> {
   return {
     async call(message, rpc) {
@@ -29,7 +29,7 @@
         const organisation = context.authenticator.requireOrganisation(rpc.requestHeader);
         return await serveCall(context, organisation, message);
       } catch (thrown) {
-        throw countError(context, thrown);
+        throw toCountedRpcError(context, thrown);
       }
     },
   };
@@ -91,18 +91,21 @@
     operation: message.operation,
     body: message.body,
     repeatable: message.repeatable,
-    notAfterMs: checkNotAfter(Number(message.notAfterMs), context.clock.now()),
+    notAfterMs: resolveNotAfterMs(Number(message.notAfterMs), context.clock.now()),
     timeoutMs: service.plain.timeoutMs,
   };
 }
 
-function checkNotAfter(notAfterMs: number, now: number): number {
+function resolveNotAfterMs(notAfterMs: number, now: number): number {
   if (notAfterMs === 0) {
     return now + DEFAULT_START_WITHIN_MS;
   }
   if (notAfterMs > now + MAX_START_WITHIN_MS) {
-    const most = MAX_START_WITHIN_MS / 1000;
-    throw new LimeleadError('invalid-request', `not_after_ms: expected at most ${most} s from now`);
+    const maxSeconds = MAX_START_WITHIN_MS / 1000;
+    throw new LimeleadError(
+      'invalid-request',
+      `not_after_ms: expected at most ${maxSeconds} s from now`,
+    );
   }
   return notAfterMs;
 }
--- a/packages/daemon/src/services/observation-service.ts
+++ b/packages/daemon/src/services/observation-service.ts
@@ -1,4 +1,4 @@
-/** The RPC service Observation. */
+/** Implements the RPC service Observation. */
 import { create, type MessageInitShape } from '@bufbuild/protobuf';
 import type { ServiceImpl } from '@connectrpc/connect';
 import {
@@ -13,7 +13,7 @@
 
 type DetailInit = NonNullable<MessageInitShape<typeof ObservedEventSchema>['detail']>;
 
-/** Creates the service of one VM. */
+/** Creates the Observation service of one VM. */
 export default function createObservationService(
   context: VmContext,
 ): ServiceImpl<typeof Observation> {
@@ -28,8 +28,10 @@
       rpc.signal.addEventListener('abort', () => reader.close(), { once: true });
       try {
         for (let batch = await reader.next(); batch !== undefined; batch = await reader.next()) {
-          if (batch.lost > 0) {
-            yield create(WatchResponseSchema, { event: { case: 'lost', value: batch.lost } });
+          if (batch.droppedCount > 0) {
+            yield create(WatchResponseSchema, {
+              event: { case: 'lost', value: batch.droppedCount },
+            });
           }
           for (const event of batch.events) {
             if (requestId === '' || event.requestId === requestId) {
--- a/packages/daemon/src/watch-configuration.ts
+++ b/packages/daemon/src/watch-configuration.ts
@@ -1,48 +1,48 @@
-/** Keeps the configuration of this VM up with the platform's service. */
+/** Keeps this VM's configuration up to date with the key-value store. */
 import type { PortFault } from '@limelead/errors';
-import type { ReadResult } from '@limelead/store-configuration';
+import type { StoredConfiguration } from '@limelead/store-configuration';
 import * as E from 'fp-ts/lib/Either.js';
 import isWatcher from './is-watcher.js';
 import startLoop, { type Loop } from './loop.js';
 import type { VmContext } from './vm-context.js';
 
-const PAUSE_MS = 250;
-/** A VM that does not watch still looks by itself now and then. */
-const OWN_LOOK_INTERVAL_MS = 30_000;
+const LOOP_PAUSE_MS = 250;
+/** Interval at which a VM that is not a watcher reads the configuration. */
+const READ_INTERVAL_MS = 30_000;
 
-/** Starts to watch, as one of the few VMs that do, or else to look now and then. */
+/** Starts to watch the configuration if this VM is a watcher, or else to read it at intervals. */
 export default function watchConfiguration(context: VmContext): Loop {
   const watcher = new ConfigurationWatcher(context);
-  return startLoop(context, PAUSE_MS, () => watcher.look());
+  return startLoop(context, LOOP_PAUSE_MS, () => watcher.refresh());
 }
 
 class ConfigurationWatcher {
   private headVersion = 0;
-  private nextLookMs = 0;
+  private nextReadAtMs = 0;
   private isReachable = true;
 
   constructor(private readonly context: VmContext) {}
 
-  async look(): Promise<void> {
+  async refresh(): Promise<void> {
     const { configurationStore, configuration, settings, clock, metrics } = this.context;
     const known = configuration.configuration;
     if (known.revision > 0 && isWatcher(this.context)) {
       metrics.count('limelead_store_watches_total');
       const { configurationWaitMs } = settings.timing;
-      // A service that did not answer is asked for an answer at once: a watch that is lost
-      // right before its return would hide every change for as long as it may wait.
+      // After a failure, read without waiting: a lost watch would hide every
+      // change until it times out.
       const call = this.isReachable
         ? configurationStore.watch(known, this.headVersion, configurationWaitMs)
         : configurationStore.read(known);
-      await this.take(await call());
-    } else if (known.revision === 0 || clock.now() >= this.nextLookMs) {
-      this.nextLookMs = clock.now() + OWN_LOOK_INTERVAL_MS;
-      await this.take(await configurationStore.read(known)());
+      await this.applyResult(await call());
+    } else if (known.revision === 0 || clock.now() >= this.nextReadAtMs) {
+      this.nextReadAtMs = clock.now() + READ_INTERVAL_MS;
+      await this.applyResult(await configurationStore.read(known)());
     }
   }
 
-  private async take(result: E.Either<PortFault, ReadResult>): Promise<void> {
-    this.noteReachable(E.isRight(result));
+  private async applyResult(result: E.Either<PortFault, StoredConfiguration>): Promise<void> {
+    this.recordReachability(E.isRight(result));
     if (E.isLeft(result)) {
       return;
     }
@@ -50,27 +50,27 @@
     this.headVersion = headVersion;
     this.context.configuration.adopt(configuration, changes, 'store');
     if (storedRevision < this.context.configuration.configuration.revision) {
-      await this.putBack();
+      await this.restoreStore();
     }
   }
 
-  /** The service was restored from something older than what is in force here. */
-  private async putBack(): Promise<void> {
+  /** Writes the current configuration back to a store that was restored to an older one. */
+  private async restoreStore(): Promise<void> {
     const { configurationStore, configuration, logger, metrics } = this.context;
     const { revision } = configuration.configuration;
     logger.warn('the key-value service holds an older configuration', { revision });
     metrics.count('limelead_configuration_restores_total');
-    await configurationStore.restore(configuration.configuration, configuration.recent)();
+    await configurationStore.restore(configuration.configuration, configuration.latestChanges)();
   }
 
-  private noteReachable(now: boolean): void {
+  private recordReachability(isReachable: boolean): void {
     const { logger, metrics } = this.context;
-    if (!now) {
+    if (!isReachable) {
       metrics.count('limelead_store_faults_total');
     }
-    if (now !== this.isReachable) {
-      this.isReachable = now;
-      logger.warn('reachability of the key-value service changed', { reachable: now });
+    if (isReachable !== this.isReachable) {
+      this.isReachable = isReachable;
+      logger.warn('reachability of the key-value service changed', { reachable: isReachable });
     }
   }
 }
--- a/packages/demo/src/demo-cluster.ts
+++ b/packages/demo/src/demo-cluster.ts
@@ -1,4 +1,4 @@
-/** VMs and stand-ins in one process, on real loopback sockets. */
+/** Starts a cluster of VMs and stand-ins in one process, on loopback sockets. */
 import { create } from '@bufbuild/protobuf';
 import { createClient } from '@limelead/client';
 import { startDaemon, type Daemon, type Strategies } from '@limelead/daemon';
@@ -21,7 +21,7 @@
 const HOST = '127.0.0.1';
 const READY_CHECK_MS = 20;
 
-/** How large the cluster is. */
+/** Size and configuration of the cluster. */
 export interface DemoClusterOptions {
   vms: number;
   engines: number;
@@ -30,7 +30,7 @@
   engine: Partial<EngineOptions>;
   platform: Partial<PlatformOptions>;
   strategies?: Strategies;
-  /** Names of failure domains, over which VMs and targets are dealt out. */
+  /** Names of the failure domains, assigned to VMs and targets in turn. */
   domains: readonly string[];
 }
 
@@ -70,23 +70,23 @@
 export default async function startDemoCluster(
   options: Partial<DemoClusterOptions> = {},
 ): Promise<DemoCluster> {
-  const sizes = { ...DEFAULT_OPTIONS, ...options };
-  const platform = await startPlatform(sizes.platform);
-  const engines = await startEngines(sizes, platform);
-  const plainServices = await startPlainServices(sizes, platform);
+  const settings = { ...DEFAULT_OPTIONS, ...options };
+  const platform = await startPlatform(settings.platform);
+  const engines = await startEngines(settings, platform);
+  const plainServices = await startPlainServices(settings, platform);
   const vms: DemoVm[] = [];
 
   async function startVm(): Promise<DemoVm> {
-    const vm = await startDemoVm(platform, vms, sizes);
+    const vm = await startDemoVm(platform, vms, settings);
     vms.push(vm);
     return vm;
   }
 
-  for (let index = 0; index < sizes.vms; index += 1) {
+  for (let index = 0; index < settings.vms; index += 1) {
     await startVm();
   }
-  await applyResources(vms[0], sizes.resources);
-  await Promise.all(vms.map((vm) => whenReady(vm.url)));
+  await applyResources(vms[0], settings.resources);
+  await Promise.all(vms.map((vm) => waitUntilReady(vm.url)));
 
   return {
     platform,
@@ -96,7 +96,7 @@
     urls: () => vms.filter(({ isUp }) => isUp).map(({ url }) => url),
     async addVm() {
       const vm = await startVm();
-      await whenReady(vm.url);
+      await waitUntilReady(vm.url);
       return vm;
     },
     async stop() {
@@ -108,8 +108,8 @@
   };
 }
 
-/** Resolves once a VM's readiness page says so. */
-export async function whenReady(url: string): Promise<void> {
+/** Resolves once the readiness endpoint of a VM reports that it is ready. */
+export async function waitUntilReady(url: string): Promise<void> {
   for (;;) {
     const response = await fetch(`${url}/readyz`);
     await response.arrayBuffer();
@@ -120,12 +120,18 @@
   }
 }
 
-async function startEngines(sizes: DemoClusterOptions, platform: Platform): Promise<Engine[]> {
+async function startEngines(options: DemoClusterOptions, platform: Platform): Promise<Engine[]> {
   const engines: Engine[] = [];
-  for (let index = 0; index < sizes.engines; index += 1) {
+  for (let index = 0; index < options.engines; index += 1) {
     const id = `engine-${index + 1}`;
-    const engine = await startEngine({ id, loaded: Object.values(DEMO_VERSIONS), ...sizes.engine });
-    platform.vms.add(listed(id, 'engine', engine.port, domainAt(sizes.domains, index)));
+    const engine = await startEngine({
+      id,
+      loaded: Object.values(DEMO_VERSIONS),
+      ...options.engine,
+    });
+    platform.vms.add(
+      createListedVm(id, 'engine', engine.port, selectDomain(options.domains, index)),
+    );
     engines.push(engine);
   }
   return engines;
@@ -138,7 +144,12 @@
   const services: PlainServiceStandIn[] = [];
   for (let index = 0; index < count; index += 1) {
     const service = await startPlainService();
-    const vm = listed(`plain-${index + 1}`, 'plain', service.port, domainAt(domains, index));
+    const vm = createListedVm(
+      `plain-${index + 1}`,
+      'plain',
+      service.port,
+      selectDomain(domains, index),
+    );
     platform.vms.add({ ...vm, services: ['booking'] });
     services.push(service);
   }
@@ -155,10 +166,10 @@
   const seeds = others
     .filter(({ isUp }) => isUp)
     .map((vm) => ({ id: vm.id, host: HOST, port: vm.daemon.peerPort }));
-  const failureDomain = domainAt(domains, index);
+  const failureDomain = selectDomain(domains, index);
   const settings = createSettings({ id, failureDomain, platformPort: platform.port, seeds });
   const daemon = await startDaemon(settings, undefined, strategies);
-  platform.vms.add(listed(id, 'entry', daemon.peerPort, failureDomain));
+  platform.vms.add(createListedVm(id, 'entry', daemon.peerPort, failureDomain));
   return { id, daemon, url: `http://${HOST}:${daemon.rpcPort}`, isUp: true };
 }
 
@@ -177,10 +188,15 @@
   await client.close();
 }
 
-function listed(id: string, role: ListedVm['role'], port: number, failureDomain: string): ListedVm {
+function createListedVm(
+  id: string,
+  role: ListedVm['role'],
+  port: number,
+  failureDomain: string,
+): ListedVm {
   return { id, role, host: HOST, port, failureDomain, leaving: false, services: [] };
 }
 
-function domainAt(domains: readonly string[], index: number): string {
+function selectDomain(domains: readonly string[], index: number): string {
   return domains[index % domains.length] ?? '';
 }
--- a/packages/demo/src/report.ts
+++ b/packages/demo/src/report.ts
@@ -1,14 +1,14 @@
-/** The report of a demonstration, from what callers saw and what the stand-ins recorded. */
+/** Creates the report of a demonstration from the records of callers and stand-ins. */
 import { answerLength, tokenAt, type Engine, type TokenSource } from '@limelead/stand-ins';
-import type { InjectedFault } from './inject-faults.js';
-import type { AnswerRecord, CallRecord } from './run-work.js';
+import type { InjectedFault } from './fault-injector.js';
+import type { AnswerRecord, CallRecord } from './run-request.js';
 
-/** What a demonstration found. */
+/** Results of a demonstration. */
 export interface DemoReport {
   fault: string;
   seed: number;
   requests: number;
-  /** Requests that ended with an error; an error is no broken promise. */
+  /** Requests that ended with an error. */
   failed: { requestId: string; kind: string; message: string }[];
   tokensExpected: number;
   tokensDelivered: number;
@@ -18,7 +18,7 @@
   nonRepeatableSent: number;
   nonRepeatableRunsMax: number;
   notRunButRan: number;
-  /** Generations begun on a leaving engine more than four seconds after the announcement. */
+  /** Generations that began on a leaving engine after the grace period. */
   lateWorkOnLeaving: number;
   resumeLatencyMs: { count: number; p50: number; p95: number; max: number };
   extraPrefillTokens: number;
@@ -27,29 +27,29 @@
   promisesHeld: boolean;
 }
 
-/** Everything that the report is made from. */
-export interface DemoEvidence {
+/** Input of the report. */
+export interface DemoObservations {
   fault: string;
   seed: number;
   answers: AnswerRecord[];
   calls: CallRecord[];
   engines: Engine[];
-  /** Runs of each call at all plain services together. */
-  runsOf(requestId: string): number;
+  /** Counts the runs of a call over all plain services. */
+  countRuns(requestId: string): number;
   lateWorkOnLeaving: number;
   faults: InjectedFault[];
 }
 
-/** Assembles the report. */
-export default function assembleReport(evidence: DemoEvidence): DemoReport {
-  const { answers, calls } = evidence;
+/** Checks all answers and calls and creates the report. */
+export default function assembleReport(observations: DemoObservations): DemoReport {
+  const { answers, calls } = observations;
   const checks = answers.map(checkAnswer);
   const sum = (pick: (check: AnswerCheck) => number): number =>
     checks.reduce((total, check) => total + pick(check), 0);
-  const runs = calls.map(({ work }) => evidence.runsOf(work.requestId));
+  const runs = calls.map(({ request }) => observations.countRuns(request.requestId));
   const report = {
-    fault: evidence.fault,
-    seed: evidence.seed,
+    fault: observations.fault,
+    seed: observations.seed,
     requests: answers.length + calls.length,
     failed: listFailures([...answers, ...calls]),
     tokensExpected: sum((check) => check.expected),
@@ -60,25 +60,25 @@
     nonRepeatableSent: calls.length,
     nonRepeatableRunsMax: Math.max(0, ...runs),
     notRunButRan: calls.filter(
-      (call) => saidNotRun(call) && evidence.runsOf(call.work.requestId) > 0,
+      (call) => isReportedNotRun(call) && observations.countRuns(call.request.requestId) > 0,
     ).length,
-    lateWorkOnLeaving: evidence.lateWorkOnLeaving,
+    lateWorkOnLeaving: observations.lateWorkOnLeaving,
     resumeLatencyMs: summarize(answers.flatMap(({ resumeLatenciesMs }) => resumeLatenciesMs)),
-    ...countExtraWork(evidence),
-    faults: evidence.faults,
+    ...countExtraWork(observations),
+    faults: observations.faults,
   };
-  return { ...report, promisesHeld: holdsPromises(report) };
+  return { ...report, promisesHeld: holdsGuarantees(report) };
 }
 
-function holdsPromises(report: Omit<DemoReport, 'promisesHeld'>): boolean {
-  const broken =
+function holdsGuarantees(report: Omit<DemoReport, 'promisesHeld'>): boolean {
+  const violations =
     report.missing +
     report.repeated +
     report.mixed +
     report.notRunButRan +
     report.lateWorkOnLeaving +
     report.failed.filter(({ kind }) => kind !== 'outcome-unknown').length;
-  return broken === 0 && report.nonRepeatableRunsMax <= 1;
+  return violations === 0 && report.nonRepeatableRunsMax <= 1;
 }
 
 interface AnswerCheck {
@@ -89,11 +89,11 @@
   mixed: number;
 }
 
-/** Compares an answer token by token with what one generation under its binding gives. */
+/** Compares an answer token by token with the expected output of its first binding. */
 function checkAnswer(record: AnswerRecord): AnswerCheck {
-  const { work, tokens } = record;
-  const source = findSource(record);
-  const length = source === undefined ? work.maxTokens : answerLength(source, work.maxTokens);
+  const { request, tokens } = record;
+  const source = findTokenSource(record);
+  const length = source === undefined ? request.maxTokens : answerLength(source, request.maxTokens);
   const seen = new Map<number, number>();
   let mixed = countChangedBindings(record);
   for (const { offset, token } of tokens) {
@@ -111,49 +111,51 @@
   };
 }
 
-/** The binding under which the first token was delivered. */
-function findSource({ work, started }: AnswerRecord): TokenSource | undefined {
-  const binding = started.findLast(({ deliveredBefore }) => deliveredBefore === 0)?.started;
+/** Returns the input of the stand-in's tokens under the binding of the first token. */
+function findTokenSource({ request, bindings }: AnswerRecord): TokenSource | undefined {
+  const binding = bindings.findLast(({ deliveredBefore }) => deliveredBefore === 0)?.binding;
   if (binding === undefined) {
     return undefined;
   }
   const { model, adapter, version, seed } = binding;
   return {
-    prompt: work.prompt,
+    prompt: request.prompt,
     modelVersion: { model, adapter, version },
     seed: Number(seed),
   };
 }
 
-/** Bindings announced in mid-answer that differ from the one it began with. */
-function countChangedBindings({ started }: AnswerRecord): number {
-  const first = started.findLast(({ deliveredBefore }) => deliveredBefore === 0)?.started;
-  return started.filter(
-    ({ started: later, deliveredBefore }) =>
+/** Counts later bindings that differ from the binding of the first token. */
+function countChangedBindings({ bindings }: AnswerRecord): number {
+  const first = bindings.findLast(({ deliveredBefore }) => deliveredBefore === 0)?.binding;
+  return bindings.filter(
+    ({ binding: later, deliveredBefore }) =>
       deliveredBefore > 0 && (later.seed !== first?.seed || later.version !== first.version),
   ).length;
 }
 
-function saidNotRun({ error }: CallRecord): boolean {
+function isReportedNotRun({ error }: CallRecord): boolean {
   return error?.execution === 'not-run';
 }
 
 function listFailures(records: (AnswerRecord | CallRecord)[]): DemoReport['failed'] {
-  return records.flatMap(({ work, error }) =>
+  return records.flatMap(({ request, error }) =>
     error === undefined
       ? []
-      : [{ requestId: work.requestId, kind: error.kind ?? 'link', message: error.message }],
+      : [{ requestId: request.requestId, kind: error.kind ?? 'link', message: error.message }],
   );
 }
 
-/** What the engines did beyond one prefill and one decoding of each answer. */
-function countExtraWork({ answers, engines }: DemoEvidence) {
+/** Counts prompt and decoded tokens beyond a single generation of each answer. */
+function countExtraWork({ answers, engines }: DemoObservations) {
   const records = engines.flatMap((engine) => engine.records());
   let extraPrefillTokens = 0;
   let extraDecodedTokens = 0;
-  for (const { work, tokens } of answers) {
-    // A generation's id names organisation, request, incarnation and attempt.
-    const own = records.filter(({ generationId }) => generationId.split('.')[1] === work.requestId);
+  for (const { request, tokens } of answers) {
+    // The second part of a generation's id is the id of its request.
+    const own = records.filter(
+      ({ generationId }) => generationId.split('.')[1] === request.requestId,
+    );
     const prefills = own.map(({ prefillTokens }) => prefillTokens);
     const decoded = own.reduce((sum, { decodedTokens }) => sum + decodedTokens, 0);
     extraPrefillTokens += prefills.slice(1).reduce((sum, prefill) => sum + prefill, 0);
--- a/packages/forward-request/src/report-refusal.ts
+++ b/packages/forward-request/src/report-refusal.ts
@@ -1,20 +1,20 @@
-/** Says why no target could serve a request in time. */
-import type { AnswerOverrides } from '@limelead/errors';
+/** Logs and counts requests that are refused because no slot is available in time. */
+import type { ErrorAnswerOverrides } from '@limelead/errors';
 import type { AdmittedRequest } from './admitted-request.js';
 import type { ForwardContext } from './context.js';
 import type { SlotRefusal } from './slot-refusal.js';
 
-/** What callers are told. */
-export const REFUSED_MESSAGE = 'the targets take no more requests before the deadline';
+/** Error message for the caller. */
+export const REFUSAL_MESSAGE = 'no target accepts the request before its deadline';
 
-/** Writes the line; gives what the answer says beside its kind. */
+/** Logs the refusal and returns the fields that it adds to the error answer. */
 export default function reportRefusal(
   { clock, log, metrics }: Pick<ForwardContext, 'clock' | 'log' | 'metrics'>,
   { request, service, dueAtMs }: AdmittedRequest,
   refusal: SlotRefusal,
-): AnswerOverrides {
+): ErrorAnswerOverrides {
   const { retryAfterMs } = refusal;
-  const facts = {
+  const fields = {
     requestId: request.requestId,
     service,
     leftMs: Math.round(dueAtMs - clock.now()),
@@ -22,9 +22,9 @@
   };
   if (refusal.kind === 'cooling') {
     metrics.count('limelead_refused_for_cooldown_total');
-    log.write('cooldown-refused', { ...facts, targets: refusal.targets });
+    log.write('cooldown-refused', { ...fields, targets: refusal.targets });
   } else {
-    log.write('permit-refused', { ...facts, grantedBy: refusal.grantedBy });
+    log.write('permit-refused', { ...fields, grantedBy: refusal.grantedBy });
   }
   return { retryAfterMs };
 }
--- a/packages/forward-request/src/slot-refusal.ts
+++ b/packages/forward-request/src/slot-refusal.ts
@@ -1,5 +1,5 @@
-/** Why a request that waits for a slot gets none in time, where that is certain at once. */
-import type { CoolingRefusal } from '@limelead/track-backpressure';
+/** Reason why a request is refused at once because it cannot get a slot before its deadline. */
+import type { CooldownRefusal } from '@limelead/track-backpressure';
 import type { PermitRefusal } from '@limelead/types';
 
-export type SlotRefusal = CoolingRefusal | ({ kind: 'no-permit' } & PermitRefusal);
+export type SlotRefusal = CooldownRefusal | ({ kind: 'no-permit' } & PermitRefusal);
--- a/packages/gateway/src/capacity.test.ts
+++ b/packages/gateway/src/capacity-component.test.ts
@@ -6,13 +6,13 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import createCapacity from './capacity.js';
-import type { FleetPartContext } from './fleet-part.js';
+import createCapacityComponent from './capacity-component.js';
+import type { FleetComponentContext } from './fleet-component.js';
 
 const SCALING = { min: 1, max: 9, bootMs: 4_000, domainPrices: {} };
 const TARGET = { id: 't', service: 's' } as ServiceTarget;
 
-function createPart(service: Partial<ServedService>) {
+function createSetup(service: Partial<ServedService>) {
   const time = createManualTime();
   const reports: unknown[] = [];
   const services = [{ name: 's', maxConnections: 9, ...service }];
@@ -23,21 +23,23 @@
     log: { write: () => undefined },
     metrics: createMetrics(),
     directory: { all: () => [] },
-    knowledge: {
+    storeView: {
       routes: { listServices: () => services, findService: () => services[0] },
     },
-    readExchange: () => ({ reportToCandidates: (report: unknown) => void reports.push(report) }),
-  } as unknown as FleetPartContext;
-  const part = createCapacity(context, {
+    readExchange: () => ({
+      sendReportToDutyCandidates: (report: unknown) => void reports.push(report),
+    }),
+  } as unknown as FleetComponentContext;
+  const component = createCapacityComponent(context, {
     duties: { callsPerSecond: 9 } as never,
-    duty: { holder: 'vm1', permit: () => undefined, noteOutdated: () => undefined },
+    duty: { holder: 'vm1', permit: () => undefined, markTokenOutdated: () => undefined },
     dutyPlatform: {
       reportUsage: () => async () => E.right<never, DutyAnswer>('taken'),
       orderTargets: () => async () => E.right<never, DutyAnswer>('invalid'),
     },
   });
-  part.start();
-  return { part, time, reports };
+  component.start();
+  return { component, time, reports };
 }
 
 const ADMITTED = {
@@ -45,14 +47,14 @@
   request: { promptTokens: 800, lastPiece: 0 },
 } as AdmittedRequest;
 
-test('a VM tells what its callers ask of a service whose targets are ordered', async () => {
-  const { part, time, reports } = createPart({ scaling: SCALING });
-  part.observer?.onAdmitted?.(ADMITTED);
+test('a VM reports the demand for a service with scaling', async () => {
+  const { component, time, reports } = createSetup({ scaling: SCALING });
+  component.observer?.onAdmitted?.(ADMITTED);
   await time.advance(1_000);
-  part.observer?.onBegun?.(ADMITTED, TARGET);
+  component.observer?.onRunStarted?.(ADMITTED, TARGET);
   await time.advance(1_000);
-  part.observer?.onSendEnded?.(ADMITTED, TARGET, { isGood: true, afterMs: 100 });
-  part.observer?.onFinished?.(ADMITTED);
+  component.observer?.onAttemptEnded?.(ADMITTED, TARGET, { isGood: true, afterMs: 100 });
+  component.observer?.onFinished?.(ADMITTED);
   await time.advance(1_000);
   const seen = reports.map((report) => (report as { services: unknown[] }).services[0]);
   const base = { service: 's', arrived: 1, promptTokens: 800 };
@@ -64,10 +66,10 @@
   ]);
 });
 
-test('where nobody orders targets nothing is counted or told', async () => {
-  const { part, time, reports } = createPart({});
-  part.observer?.onAdmitted?.(ADMITTED);
-  part.observer?.onFinished?.(ADMITTED);
+test('without scaling nothing is counted or reported', async () => {
+  const { component, time, reports } = createSetup({});
+  component.observer?.onAdmitted?.(ADMITTED);
+  component.observer?.onFinished?.(ADMITTED);
   await time.advance(5_000);
   assert.equal(reports, []);
 });
--- a/packages/gateway/src/create-exchange.ts
+++ b/packages/gateway/src/create-exchange.ts
@@ -1,11 +1,11 @@
-/** Joins a gateway's knowledge, load and evidence to the conversation with its peers. */
+/** Connects a gateway's components to the exchange with its peers. */
 import type { DecisionLog } from '@limelead/decision-log';
 import type { StoreFollower } from '@limelead/follow-store';
 import type { Locality } from '@limelead/locality';
 import type { TargetGate } from '@limelead/forward-request';
-import type { SendPermits } from '@limelead/permit-sends';
+import type { SendLimiter } from '@limelead/permit-sends';
 import type { RequestGuard } from '@limelead/quarantine-requests';
-import { EvidenceExchange, type PeerId, type PeerReport } from '@limelead/share-evidence';
+import { PeerExchange, type PeerId, type PeerReport } from '@limelead/share-evidence';
 import type { RetryBudgets } from '@limelead/spend-retries';
 import type { Backpressure } from '@limelead/track-backpressure';
 import type { TargetDirectory } from '@limelead/track-service-targets';
@@ -14,45 +14,47 @@
 import type { IncomingMessage } from 'node:http';
 import type EngineLoad from './engine-load.js';
 import formatAddress from './format-address.js';
-import type Knowledge from './knowledge.js';
+import type StoreView from './store-view.js';
 import type { GatewaySettings } from './settings.js';
 import TargetScheduler from './target-scheduler.js';
 
-/** What the conversation is about. */
-export interface ExchangeParts {
+/** The components and handlers that the exchange uses. */
+export interface ExchangeDependencies {
   settings: GatewaySettings;
   clock: Clock;
   log: DecisionLog;
   directory: TargetDirectory;
   locality: Locality;
-  knowledge: Knowledge;
+  storeView: StoreView;
   follower: StoreFollower;
   engineLoad: EngineLoad;
-  retries: RetryBudgets;
+  retryBudgets: RetryBudgets;
   guard: RequestGuard;
-  permits: SendPermits;
+  permits: SendLimiter;
   backpressure: Backpressure;
   gate: TargetGate;
   storeAddress: string;
-  onStranger(peer: PeerId): void;
+  onPeerOfOtherStore(peer: PeerId): void;
   onFault(): void;
   onMisdirected(message: IncomingMessage): void;
-  onRepeats(service: string, repeats: number): void;
+  onBorrowedRetries(service: string, repeats: number): void;
   onReport(peer: PeerId, report: PeerReport): void;
 }
 
-/** Creates the conversation; undefined where this VM has no address for peers. */
-export default function createExchange(parts: ExchangeParts): EvidenceExchange | undefined {
-  const { settings, clock, log, directory, locality, knowledge } = parts;
-  const { follower, engineLoad, retries } = parts;
+/** Creates the exchange with peers; undefined if this VM has no peer address. */
+export default function createExchange(
+  dependencies: ExchangeDependencies,
+): PeerExchange | undefined {
+  const { settings, clock, log, directory, locality, storeView } = dependencies;
+  const { follower, engineLoad, retryBudgets } = dependencies;
   const { failureDomain, peers, seeds } = settings;
   if (peers === undefined) {
     return undefined;
   }
   const id = formatAddress(peers);
-  const { gate, permits } = parts;
+  const { gate, permits } = dependencies;
   const scheduler = new TargetScheduler({ self: id, clock, directory, locality, gate, permits });
-  return new EvidenceExchange({
+  return new PeerExchange({
     ...peers,
     id,
     incarnation: randomUUID(),
@@ -60,38 +62,39 @@
     region: locality.region,
     seeds: seeds.map(formatAddress),
     secret: settings.peerSecret,
-    storeAddress: parts.storeAddress,
+    storeAddress: dependencies.storeAddress,
     clock,
     timers: systemTimers,
     random: systemRandom,
     log,
-    readKnowledge: () => ({
-      revision: knowledge.revision,
-      configuration: knowledge.routes?.version ?? 0,
-      configurationBytes: knowledge.configurationBytes,
-      isInTouch: follower.isInTouch,
-      isStoreAway: follower.isStoreAway,
+    readSyncState: () => ({
+      revision: storeView.revision,
+      configuration: storeView.routes?.version ?? 0,
+      configurationBytes: storeView.configurationBytes,
+      isStoreAnswering: follower.isReceivingChanges,
+      hasStoreCallFailed: follower.isStoreUnavailable,
     }),
-    readMarks: () => knowledge.readMarks(),
-    onStranger: parts.onStranger,
-    onFault: parts.onFault,
-    onMisdirected: parts.onMisdirected,
-    readUpdate: (since) => knowledge.readUpdate(since),
+    readStoreMarks: () => storeView.listFingerprints(),
+    onForeignPeer: dependencies.onPeerOfOtherStore,
+    onFault: dependencies.onFault,
+    onMisdirected: dependencies.onMisdirected,
+    readStoreUpdate: (since) => storeView.createUpdate(since),
     readLoad: () => engineLoad.read(),
-    onLoad: (peer, load) => directory.takePeerLoad(peer, load),
+    onPeerLoad: (peer, load) => directory.onPeerLoad(peer, load),
     adviseTarget: (peer, question) => scheduler.advise(peer, question),
-    onLost: (target, loss) => directory.takePeerLoss(target, loss),
-    readGuardNews: () => parts.guard.listNews(),
-    onGuardNews: (news, peer) => parts.guard.hear(news, peer),
-    readLimits: () => parts.permits.listLimits(),
-    onLimits: (facts, peer) => parts.permits.onPeerUpdate(peer, facts),
-    readLeaving: () => parts.backpressure.listLeaving(),
-    onLeaving: (facts, peer) => parts.backpressure.onPeerUpdate(peer, facts),
-    onPermits: (message, peer) => parts.permits.hear(peer, message),
-    onPermitPeerLost: (peer) => parts.permits.onPeerLost(peer),
-    lendRepeats: (service, wanted) => retries.lend(service, wanted),
-    onRepeats: parts.onRepeats,
-    onReport: parts.onReport,
-    onUpdate: (update, peer) => knowledge.takePeerUpdate(update, peer),
+    onTargetLost: (target, loss) => directory.onPeerLoss(target, loss),
+    readQuarantineState: () => dependencies.guard.createSnapshot(),
+    onQuarantineUpdate: (quarantineUpdate, peer) =>
+      dependencies.guard.onPeerUpdate(quarantineUpdate, peer),
+    readLimits: () => dependencies.permits.listLimits(),
+    onLimits: (updates, peer) => dependencies.permits.onPeerUpdate(peer, updates),
+    readLeaving: () => dependencies.backpressure.listLeaving(),
+    onLeaving: (updates, peer) => dependencies.backpressure.onPeerUpdate(peer, updates),
+    onPermitMessage: (message, peer) => dependencies.permits.onMessage(peer, message),
+    onPermitPeerLost: (peer) => dependencies.permits.onPeerLost(peer),
+    lendRetries: (service, wanted) => retryBudgets.lend(service, wanted),
+    onRetriesBorrowed: dependencies.onBorrowedRetries,
+    onReport: dependencies.onReport,
+    onStoreUpdate: (update, peer) => storeView.applyPeerUpdate(update, peer),
   });
 }
--- a/packages/gateway/src/follower-events.ts
+++ b/packages/gateway/src/follower-events.ts
@@ -1,51 +1,51 @@
-/** What a gateway does with what its follower of the store tells it. */
+/** Handles the events of the gateway's store follower. */
 import type { DecisionLog } from '@limelead/decision-log';
 import { describeThrown } from '@limelead/errors';
 import type { StoreFollowerEvents } from '@limelead/follow-store';
 import type { Metrics } from '@limelead/metrics';
-import type { EvidenceExchange } from '@limelead/share-evidence';
+import type { PeerExchange } from '@limelead/share-evidence';
 import type { Millis } from '@limelead/types';
-import type Knowledge from './knowledge.js';
+import type StoreView from './store-view.js';
 
-/** What the events need. */
+/** What the event handlers use. */
 export interface FollowerEventsOptions {
   log: DecisionLog;
   metrics: Metrics;
-  knowledge: Knowledge;
-  /** Undefined where this VM has no address for peers. */
-  readExchange(): EvidenceExchange | undefined;
-  /** Time since the store last confirmed what this VM knows, in milliseconds. */
-  readKnowledgeAgeMs(): Millis;
+  storeView: StoreView;
+  /** Undefined if this VM has no peer address. */
+  readExchange(): PeerExchange | undefined;
+  /** Time since the store last confirmed this VM's view. */
+  readStoreViewAgeMs(): Millis;
 }
 
-/** Writes each event, and passes on what it means for knowledge and peers. */
+/** Creates handlers that log each event and update the store view and the exchange with peers. */
 export default function createFollowerEvents(options: FollowerEventsOptions): StoreFollowerEvents {
-  const { log, metrics, knowledge, readExchange, readKnowledgeAgeMs } = options;
-  const noteSkipped = (rows = 0): void => {
+  const { log, metrics, storeView, readExchange, readStoreViewAgeMs } = options;
+  const logSkipped = (rows = 0): void => {
     if (rows > 0) {
       log.write('store-rows-skipped', { rows });
     }
   };
   return {
     onList(list) {
-      noteSkipped(list.skipped);
+      logSkipped(list.skipped);
       log.write('store-listed', { items: list.items.length, revision: list.revision });
-      knowledge.takeList(list);
-      readExchange()?.noteStoreAnswered();
+      storeView.applyList(list);
+      readExchange()?.onStoreAnswered();
     },
     onChanges(changes) {
-      noteSkipped(changes.skipped);
-      knowledge.takeChanges(changes);
-      readExchange()?.noteStoreAnswered();
+      logSkipped(changes.skipped);
+      storeView.applyChanges(changes);
+      readExchange()?.onStoreAnswered();
     },
-    onBehind({ known, revision }) {
+    onRevisionDecreased({ known, revision }) {
       log.write('store-behind', { known, revision });
-      knowledge.forgetAll('store-behind', revision);
+      storeView.reset('store-behind', revision);
     },
     onLost(fault) {
       metrics.count('limelead_store_lost_total', 1, { fault });
-      log.write('store-lost', { fault, knowledgeAgeMs: readKnowledgeAgeMs() });
-      knowledge.noteStoreLost(readExchange()?.storeConfirmedAtMs);
+      log.write('store-lost', { fault, knowledgeAgeMs: readStoreViewAgeMs() });
+      storeView.onStoreLost(readExchange()?.storeConfirmedAtMs);
     },
     onCallFailed({ afterMs, pauseMs, ...failure }) {
       log.write('store-call-failed', {
@@ -54,16 +54,16 @@
         pauseMs: Math.round(pauseMs),
       });
     },
-    onStepFailed(thrown) {
+    onProcessingFailed(thrown) {
       metrics.count('limelead_faults_total', 1, { boundary: 'store' });
       log.write('store-step-failed', { reason: describeThrown(thrown) });
     },
     onRegained({ awayMs, failures }) {
       log.write('store-regained', { awayMs: Math.round(awayMs), failures });
-      knowledge.noteStoreRegained();
+      storeView.onStoreRegained();
     },
-    onFollowing(isFollowing) {
-      log.write('store-following', { isFollowing, vms: readExchange()?.vmCount });
+    onFollowingChanged(isFollowing) {
+      log.write('store-following', { isFollowing, vms: readExchange()?.totalVmCount });
     },
   };
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,18 +1,18 @@
-/** One process of the HTTP front door. */
+/** The process of the HTTP front door: wires its components and controls start, reload and stop. */
 import createDecisionLog, {
-  createLineLimit,
+  createRateLimitedLog,
   type DecisionLog,
-  type LimitedLines,
+  type RateLimitedLog,
 } from '@limelead/decision-log';
 import { StoreFollower, type StorePort } from '@limelead/follow-store';
 import {
-  KeptPrompts,
+  CachedPromptFinder,
   OPEN_GATE,
   SlotQueue,
-  ReadingTime,
-  SilenceWatch,
-  TargetPace,
-  tellAll,
+  PrefillEstimator,
+  SilenceMonitor,
+  SlownessTracker,
+  combineObservers,
   type ForwardContext,
   type TargetDialect,
   type TargetGate,
@@ -21,8 +21,8 @@
 import { createLocality, type Locality } from '@limelead/locality';
 import type { ConditionalStore, DutyPlatform } from '@limelead/ports';
 import createMetrics, { type Metrics } from '@limelead/metrics';
-import type { SendPermits } from '@limelead/permit-sends';
-import type { EvidenceExchange } from '@limelead/share-evidence';
+import type { SendLimiter } from '@limelead/permit-sends';
+import type { PeerExchange } from '@limelead/share-evidence';
 import { RetryBudgets } from '@limelead/spend-retries';
 import { TargetConnections } from '@limelead/target-connections';
 import {
@@ -31,55 +31,46 @@
   type TrackedServiceTarget,
 } from '@limelead/track-service-targets';
 import type { Backpressure } from '@limelead/track-backpressure';
-import { askNobody, delay, steadyClock, systemRandom, systemTimers } from '@limelead/types';
+import { noTargetAdvice, delay, steadyClock, systemRandom, systemTimers } from '@limelead/types';
 import type { IncomingMessage, Server } from 'node:http';
 import createBackpressure from './create-backpressure.js';
 import createExchange from './create-exchange.js';
-import createFleetParts from './create-fleet-parts.js';
+import createFleetComponents from './create-fleet-components.js';
 import createPermits from './create-permits.js';
 import EngineLoad from './engine-load.js';
-import type { FleetPart, FleetPartContext } from './fleet-part.js';
+import type { FleetComponent, FleetComponentContext } from './fleet-component.js';
 import createFollowerEvents from './follower-events.js';
-import Knowledge, { type StoreDialect } from './knowledge.js';
+import StoreView, { type StoreDialect } from './store-view.js';
 import formatAddress from './format-address.js';
-import listenUntilFree from './listen-until-free.js';
-import createQuarantinePart, { type QuarantinePart } from './quarantine-part.js';
+import listenWithRetry from './listen-with-retry.js';
+import createQuarantineComponent, { type QuarantineComponent } from './quarantine-component.js';
 import { startMetricsServer, startReadinessServer } from './readiness-server.js';
 import type { GatewaySettings } from './settings.js';
 
-/**
- * Time for a connection to a target, in milliseconds. One takes 2 to 6 ms within
- * the users' regions; a stream may stand still for 700 ms until it goes on.
- */
+/** Timeout for opening a connection to a target; short, so that another target can be tried. */
 const CONNECT_TIMEOUT_MS = 250;
-/**
- * Idle connections kept to one target. The users' targets take 90 to 640 from all
- * VMs together, 410 VMs at most; calls of one VM seldom overlap at a target.
- */
+/** Idle connections kept per target. Low, because a target's connection limit is shared by all VMs. */
 const MAX_IDLE_CONNECTIONS = 4;
-/** VMs assumed to share the retry budget while nobody told of more: the smallest site's. */
-const LEAST_VMS = 6;
-/**
- * Time for the balancer to notice that this VM is not ready any more, in
- * milliseconds: it asks once a second and takes a VM out at the second miss.
- */
-const LEAVE_BALANCER_MS = 2_500;
-/** Part of the grace that is kept for closing connections and writing the last lines. */
+/** Minimum number of VMs assumed to share the retry budget, until peers report more. */
+const MIN_VMS = 6;
+/** Time for the load balancer to remove a VM that reports not ready. */
+const BALANCER_REMOVAL_MS = 2_500;
+/** Part of the stop grace period that is kept for closing connections and flushing the log. */
 const STOP_RESERVE_MS = 150;
-/** Pause between two looks whether anything is still under way, in milliseconds. */
-const STOP_CHECK_MS = 50;
+/** Interval at which a stop checks for requests in progress. */
+const STOP_CHECK_INTERVAL_MS = 50;
 
-/** What this VM listens for. */
-type Door = 'front-door' | 'readiness' | 'metrics' | 'peers';
+/** The servers of this VM, as log lines and metrics name them. */
+type Listener = 'front-door' | 'readiness' | 'metrics' | 'peers';
 
-/** What a gateway needs from the platform. */
+/** The platform's store, protocols and paths that a gateway uses. */
 export interface GatewayPlatform {
   store: StorePort;
-  /** Where the store is, as "host:port"; peers that name the same are believed before it answers. */
+  /** Address of the store as "host:port". Until the store answers, peers with the same address are trusted. */
   storeAddress: string;
   /** The same store, for reads and writes of single items. */
   storeItems: ConditionalStore;
-  /** Undefined where the platform names no duties. */
+  /** Undefined if the platform configures no duties. */
   dutyPlatform?: DutyPlatform;
   storeDialect: StoreDialect;
   targetDialect: TargetDialect;
@@ -88,27 +79,27 @@
   metricsPath: string;
 }
 
-/** Runs one process. */
+/** One entry VM: accepts requests, follows the store and exchanges state with its peers. */
 export default class Gateway {
   readonly log: DecisionLog;
-  private readonly noteMisdirected: LimitedLines;
+  private readonly logMisdirected: RateLimitedLog;
   private readonly metrics: Metrics = createMetrics();
   private readonly directory: TargetDirectory;
   private readonly locality: Locality;
   private readonly connections: TargetConnections;
-  private readonly knowledge: Knowledge;
+  private readonly storeView: StoreView;
   private readonly follower: StoreFollower;
-  /** Undefined where this VM has no address for peers. */
-  private readonly exchange: EvidenceExchange | undefined;
+  /** Undefined if this VM has no peer address. */
+  private readonly exchange: PeerExchange | undefined;
   private readonly frontDoor: HttpFrontDoor;
-  private readonly pace: TargetPace;
+  private readonly slowness: SlownessTracker;
   private readonly engineLoad: EngineLoad;
-  private readonly retries: RetryBudgets;
-  /** Parts that look at the whole fleet; those that nothing asks for are not there. */
-  private readonly parts: FleetPart[];
-  private readonly permits: SendPermits;
+  private readonly retryBudgets: RetryBudgets;
+  /** Fleet-wide components that the settings enable. */
+  private readonly components: FleetComponent[];
+  private readonly permits: SendLimiter;
   private readonly backpressure: Backpressure;
-  private readonly quarantine: QuarantinePart;
+  private readonly quarantine: QuarantineComponent;
   private readonly servers: Server[] = [];
   private isStopping = false;
 
@@ -117,49 +108,49 @@
     private readonly platform: GatewayPlatform,
   ) {
     this.log = createDecisionLog({ vm: settings.vm, clock: steadyClock });
-    this.noteMisdirected = createLineLimit(this.log, steadyClock, 'request-misdirected');
+    this.logMisdirected = createRateLimitedLog(this.log, steadyClock, 'request-misdirected');
     this.locality = createLocality({ ...settings, prices: settings.localityPrices });
-    this.retries = new RetryBudgets({
-      budget: settings.retryBudget,
+    this.retryBudgets = new RetryBudgets({
+      limits: settings.retryBudget,
       clock: steadyClock,
       countVms: () => this.countVms(),
-      onShort: (service) => this.exchange?.wantRepeats(service),
+      onLow: (service) => this.exchange?.borrowRetries(service),
     });
     this.directory = new TargetDirectory(steadyClock, {
-      onNotice: (notice) => this.onNotice(notice),
-      onLost: (id, loss) => this.exchange?.noteLost(id, loss),
-      onLoad: (tracked) => this.engineLoad.note(tracked),
+      onNotice: (notice) => this.onTargetNotice(notice),
+      onLost: (id, loss) => this.exchange?.publishLoss(id, loss),
+      onLoad: (tracked) => this.engineLoad.onTargetLoadChange(tracked),
       hasAnnouncedLeaving: (id) => this.backpressure.isLeaving(id),
     });
-    this.pace = new TargetPace((id, slowness) => {
-      this.directory.notePace(id, slowness);
-      this.exchange?.noteLoad();
+    this.slowness = new SlownessTracker((id, slowness) => {
+      this.directory.recordSlowness(id, slowness);
+      this.exchange?.onLoadChanged();
     });
     this.engineLoad = new EngineLoad({
       directory: this.directory,
-      pace: this.pace,
-      isEngine: (service) => this.knowledge.routes?.findService(service)?.engine !== undefined,
-      onChange: () => this.exchange?.noteLoad(),
+      slowness: this.slowness,
+      isEngine: (service) => this.storeView.routes?.findService(service)?.engine !== undefined,
+      onChange: () => this.exchange?.onLoadChanged(),
     });
     this.connections = new TargetConnections({
       clock: steadyClock,
       connectTimeoutMs: CONNECT_TIMEOUT_MS,
-      maxIdle: MAX_IDLE_CONNECTIONS,
+      maxIdlePerTarget: MAX_IDLE_CONNECTIONS,
       onOpened: () => this.metrics.count('limelead_connections_opened_total'),
     });
-    this.knowledge = new Knowledge({
+    this.storeView = new StoreView({
       clock: steadyClock,
       timers: systemTimers,
       log: this.log,
       leavingTargetMs: settings.leavingTargetMs,
       directory: this.directory,
       dialect: platform.storeDialect,
-      readAgeMs: () => this.knowledgeAgeMs,
+      readAgeMs: () => this.storeViewAgeMs,
       onConfiguration: (table) => this.frontDoor.applyLimits(table.limits),
-      onForgotten: () => this.exchange?.forgetStore(),
-      onChange: () => this.onKnowledge(),
+      onReset: () => this.exchange?.onStoreReplaced(),
+      onChange: () => this.onStoreViewChange(),
     });
-    const partContext: FleetPartContext = {
+    const partContext: FleetComponentContext = {
       settings,
       platform,
       clock: steadyClock,
@@ -168,26 +159,26 @@
       log: this.log,
       metrics: this.metrics,
       directory: this.directory,
-      knowledge: this.knowledge,
-      readKnowledgeAgeMs: () => this.knowledgeAgeMs,
+      storeView: this.storeView,
+      readStoreViewAgeMs: () => this.storeViewAgeMs,
       readExchange: () => this.exchange,
     };
     this.permits = createPermits(partContext);
     this.backpressure = createBackpressure(partContext);
-    this.quarantine = createQuarantinePart(partContext, {
+    this.quarantine = createQuarantineComponent(partContext, {
       connections: this.connections,
       countVms: () => this.countVms(),
     });
-    this.parts = [this.quarantine, ...createFleetParts(partContext)];
+    this.components = [this.quarantine, ...createFleetComponents(partContext)];
     this.frontDoor = new HttpFrontDoor({
       ...settings.frontDoor,
       context: this.createContext(),
       dialect: platform.ingressDialect,
     });
-    this.metrics.gauge('limelead_requests_under_way', () => this.frontDoor.underWay);
-    this.metrics.gauge('limelead_held_body_bytes', () => this.frontDoor.heldBodyBytes);
+    this.metrics.gauge('limelead_requests_under_way', () => this.frontDoor.openRequests);
+    this.metrics.gauge('limelead_held_body_bytes', () => this.frontDoor.bufferedBodyBytes);
     this.metrics.gauge('limelead_log_lines_dropped', () => this.log.dropped);
-    this.metrics.gauge('limelead_store_knowledge_age_ms', () => this.knowledgeAgeMs);
+    this.metrics.gauge('limelead_store_knowledge_age_ms', () => this.storeViewAgeMs);
     this.follower = this.createFollower();
     this.exchange = createExchange({
       settings,
@@ -195,10 +186,10 @@
       log: this.log,
       directory: this.directory,
       locality: this.locality,
-      knowledge: this.knowledge,
+      storeView: this.storeView,
       follower: this.follower,
       engineLoad: this.engineLoad,
-      retries: this.retries,
+      retryBudgets: this.retryBudgets,
       guard: this.quarantine.guard,
       permits: this.permits,
       backpressure: this.backpressure,
@@ -206,13 +197,14 @@
       storeAddress: platform.storeAddress,
       onMisdirected: (message) => this.onMisdirected('peers', message),
       onFault: () => this.metrics.count('limelead_faults_total', 1, { boundary: 'peer' }),
-      onStranger: () => this.metrics.count('limelead_strangers_total'),
-      onRepeats: (service, repeats) => this.onRepeats(service, repeats),
-      onReport: (peer, report) => this.parts.forEach((part) => part.onReport?.(peer, report)),
+      onPeerOfOtherStore: () => this.metrics.count('limelead_strangers_total'),
+      onBorrowedRetries: (service, repeats) => this.onBorrowedRetries(service, repeats),
+      onReport: (peer, report) =>
+        this.components.forEach((component) => component.onReport?.(peer, report)),
     });
   }
 
-  /** Listens, then learns what there is to know; resolves when it listens. */
+  /** Opens all servers, then starts to follow the store. Resolves when the servers listen. */
   async start(): Promise<void> {
     const { settings } = this;
     await this.listen('front-door', () => this.frontDoor.listen());
@@ -226,18 +218,27 @@
       sinceProcessStartMs: Math.round(performance.now()),
     });
     void this.follower.run();
-    this.parts.forEach((part) => part.start());
+    this.components.forEach((component) => component.start());
   }
 
-  private listen<Listening>(door: Door, open: () => Promise<Listening>): Promise<Listening> {
-    return listenUntilFree({ log: this.log, timers: systemTimers }, door, open);
+  private listen<Listening>(
+    listener: Listener,
+    open: () => Promise<Listening>,
+  ): Promise<Listening> {
+    return listenWithRetry({ log: this.log, timers: systemTimers }, listener, open);
   }
 
   private async startReadiness(): Promise<void> {
     const { readinessPath } = this.platform;
     const isReady = (): boolean => this.isReady;
-    const note = (message: IncomingMessage): void => this.onMisdirected('readiness', message);
-    const server = startReadinessServer(this.settings.readiness, readinessPath, isReady, note);
+    const onMisdirected = (message: IncomingMessage): void =>
+      this.onMisdirected('readiness', message);
+    const server = startReadinessServer(
+      this.settings.readiness,
+      readinessPath,
+      isReady,
+      onMisdirected,
+    );
     this.servers.push(await server);
   }
 
@@ -247,36 +248,37 @@
       return;
     }
     const render = (): string => this.metrics.render();
-    const note = (message: IncomingMessage): void => this.onMisdirected('metrics', message);
-    const server = startMetricsServer(metrics, this.platform.metricsPath, render, note);
+    const onMisdirected = (message: IncomingMessage): void =>
+      this.onMisdirected('metrics', message);
+    const server = startMetricsServer(metrics, this.platform.metricsPath, render, onMisdirected);
     this.servers.push(await server);
   }
 
-  /** A request at a door that is not the callers'; it was told that it was not run. */
-  private onMisdirected(door: Door, { method, url, rawHeaders }: IncomingMessage): void {
+  /** Counts and logs a request that reached the wrong server; its answer says that it was not run. */
+  private onMisdirected(listener: Listener, { method, url, rawHeaders }: IncomingMessage): void {
     const requestId = readRequestId(this.platform.ingressDialect, rawHeaders);
-    this.metrics.count('limelead_misdirected_total', 1, { door });
-    this.noteMisdirected({ door, requestId, method, path: url });
+    this.metrics.count('limelead_misdirected_total', 1, { door: listener });
+    this.logMisdirected({ door: listener, requestId, method, path: url });
   }
 
-  /** Whether new connections are welcome. */
+  /** Whether this VM reports ready to the load balancer. */
   get isReady(): boolean {
-    return !this.isStopping && this.knowledge.isComplete;
+    return !this.isStopping && this.storeView.isComplete;
   }
 
-  /** Takes over new settings; addresses stay as they are until the next start. */
+  /** Applies new settings. Addresses take effect at the next start only. */
   reload(settings: GatewaySettings): void {
     this.settings = settings;
-    this.retries.change(settings.retryBudget);
+    this.retryBudgets.changeLimits(settings.retryBudget);
     this.log.write('settings-reloaded', { failureDomain: settings.failureDomain });
   }
 
-  /** Keeps the last good settings. */
-  noteBadSettings(reason: string): void {
+  /** Logs invalid settings; the last valid ones stay in force. */
+  onInvalidSettings(reason: string): void {
     this.log.write('settings-refused', { reason });
   }
 
-  /** A planned stop: nothing that is under way is cut while the grace lasts. */
+  /** Stops gracefully: requests in progress may finish within the grace period. */
   async stop(): Promise<void> {
     if (this.isStopping) {
       return;
@@ -284,25 +286,25 @@
     this.isStopping = true;
     const startedAtMs = steadyClock.now();
     const { stopGraceMs } = this.settings;
-    const handedOver = Promise.all(this.parts.map((part) => part.handOver()));
-    this.log.write('stopping', { underWay: this.frontDoor.underWay, graceMs: stopGraceMs });
-    this.frontDoor.beginStop(startedAtMs + stopGraceMs - STOP_RESERVE_MS);
+    const handedOver = Promise.all(this.components.map((component) => component.handOver()));
+    this.log.write('stopping', { underWay: this.frontDoor.openRequests, graceMs: stopGraceMs });
+    this.frontDoor.startDraining(startedAtMs + stopGraceMs - STOP_RESERVE_MS);
     const elapsed = (): number => steadyClock.now() - startedAtMs;
     while (
       elapsed() < stopGraceMs - STOP_RESERVE_MS &&
-      (elapsed() < LEAVE_BALANCER_MS || this.frontDoor.underWay > 0)
+      (elapsed() < BALANCER_REMOVAL_MS || this.frontDoor.openRequests > 0)
     ) {
-      await delay(systemTimers, STOP_CHECK_MS);
+      await delay(systemTimers, STOP_CHECK_INTERVAL_MS);
     }
     this.log.write('stopped', {
-      underWay: this.frontDoor.underWay,
+      underWay: this.frontDoor.openRequests,
       afterMs: Math.round(elapsed()),
     });
     await handedOver;
-    this.parts.forEach((part) => part.leave?.());
+    this.components.forEach((component) => component.onDrained?.());
     this.follower.stop();
     await this.exchange?.stop();
-    // Callers go first: a stream that loses its target while it has a caller is sent on.
+    // Callers' connections close first: a stream whose target is lost while its caller is connected is retried.
     await this.frontDoor.close();
     this.connections.closeAll();
     this.servers.forEach((server) => server.close());
@@ -310,7 +312,7 @@
   }
 
   private get gate(): TargetGate {
-    return this.parts.find(({ gate }) => gate !== undefined)?.gate ?? OPEN_GATE;
+    return this.components.find(({ gate }) => gate !== undefined)?.gate ?? OPEN_GATE;
   }
 
   private createContext(): ForwardContext {
@@ -334,20 +336,26 @@
       locality,
       connections,
       dialect,
-      slots: new SlotQueue({ ...shared, failureDomain, locality, limit: limitOf, permits }),
-      askTarget: (request, receive) =>
-        this.exchange?.askTarget(request, receive) ?? askNobody(request, receive),
-      silence: new SilenceWatch({ ...shared, connections, dialect, log }),
-      reading: new ReadingTime(),
-      pace: this.pace,
-      kept: new KeptPrompts({ ...shared, connections, dialect, log }),
+      slots: new SlotQueue({
+        ...shared,
+        failureDomain,
+        locality,
+        limit: concurrencyLimitOf,
+        permits,
+      }),
+      requestAdvice: (request, receive) =>
+        this.exchange?.requestTargetAdvice(request, receive) ?? noTargetAdvice(request, receive),
+      silence: new SilenceMonitor({ ...shared, connections, dialect, log }),
+      prefill: new PrefillEstimator(),
+      slowness: this.slowness,
+      cachedPrompts: new CachedPromptFinder({ ...shared, connections, dialect, log }),
       log,
       metrics: this.metrics,
-      observer: tellAll(this.parts.flatMap(({ observer }) => observer ?? [])),
-      readTable: () => this.knowledge.routes,
-      readKnowledgeAgeMs: () => this.knowledgeAgeMs,
-      readConfigurationSource: () => this.knowledge.configurationSource,
-      retriesOf: (service) => this.retries.of(service),
+      observer: combineObservers(this.components.flatMap(({ observer }) => observer ?? [])),
+      readRouteTable: () => this.storeView.routes,
+      readStoreViewAgeMs: () => this.storeViewAgeMs,
+      readConfigurationSource: () => this.storeView.configurationSource,
+      retryBudgetOf: (service) => this.retryBudgets.forService(service),
       countVms: () => this.countVms(),
     };
   }
@@ -356,28 +364,28 @@
     const { configurationWithinMs, leavingTargetMs } = this.settings;
     return new StoreFollower({
       port: this.platform.store,
-      noticeWithinMs: Math.min(configurationWithinMs, leavingTargetMs),
+      maxStalenessMs: Math.min(configurationWithinMs, leavingTargetMs),
       clock: steadyClock,
       timers: systemTimers,
       random: systemRandom,
-      countFollowers: () => Math.max(1, this.exchange?.followerCount ?? 0),
-      mustFollow: () => this.exchange?.mustFollow ?? true,
-      followsForOthers: () => this.exchange?.followsForOthers ?? false,
-      readRevision: () => this.knowledge.revision,
-      othersTry: () => this.exchange?.othersTry ?? false,
-      startWaitMs: () => this.exchange?.startWaitMs ?? 0,
+      countFollowers: () => Math.max(1, this.exchange?.storeFollowerCount ?? 0),
+      mustFollow: () => this.exchange?.mustFollowStore ?? true,
+      followsForPeers: () => this.exchange?.isStoreFollower ?? false,
+      readRevision: () => this.storeView.revision,
+      peersRetry: () => this.exchange?.delegatesStoreRetries ?? false,
+      startupWaitMs: () => this.exchange?.firstWatchDelayMs ?? 0,
       events: createFollowerEvents({
         log: this.log,
         metrics: this.metrics,
-        knowledge: this.knowledge,
+        storeView: this.storeView,
         readExchange: () => this.exchange,
-        readKnowledgeAgeMs: () => this.knowledgeAgeMs,
+        readStoreViewAgeMs: () => this.storeViewAgeMs,
       }),
     });
   }
 
-  /** Milliseconds since the store last answered this VM, or one whose news came here. */
-  private get knowledgeAgeMs(): number {
+  /** Time since the store last confirmed this VM's view, directly or through a peer. */
+  private get storeViewAgeMs(): number {
     const newestMs = Math.max(
       this.follower.lastAnswerAtMs,
       this.exchange?.storeConfirmedAtMs ?? -Infinity,
@@ -385,23 +393,23 @@
     return Math.round(steadyClock.now() - newestMs);
   }
 
-  private onKnowledge(): void {
-    this.parts.forEach((part) => part.onKnowledge?.());
-    this.exchange?.noteKnowledge();
-    this.frontDoor.noteKnowledge();
+  private onStoreViewChange(): void {
+    this.components.forEach((component) => component.onStoreViewChange?.());
+    this.exchange?.onSyncStateChanged();
+    this.frontDoor.onStoreViewChange();
   }
 
   private countVms(): number {
-    return Math.max(LEAST_VMS, this.exchange?.vmCount ?? 0);
+    return Math.max(MIN_VMS, this.exchange?.totalVmCount ?? 0);
   }
 
-  private onRepeats(service: string, repeats: number): void {
-    this.retries.borrow(service, repeats);
+  private onBorrowedRetries(service: string, repeats: number): void {
+    this.retryBudgets.borrow(service, repeats);
     this.metrics.count('limelead_repeats_borrowed_total', repeats);
     this.log.write('repeats-borrowed', { service, repeats });
   }
 
-  private onNotice({ kind, target }: TargetNotice): void {
+  private onTargetNotice({ kind, target }: TargetNotice): void {
     this.log.write(`target-${kind}`, {
       target: target.id,
       service: target.service,
@@ -414,13 +422,13 @@
       this.permits.forget(target.id);
     }
     if (kind !== 'joined') {
-      this.connections.release(target.id);
-      this.pace.forget(target.id);
+      this.connections.closeIdle(target.id);
+      this.slowness.forget(target.id);
     }
   }
 }
 
-/** A target is sent as many requests as it runs at once. */
-function limitOf({ target }: TrackedServiceTarget): number {
+/** The number of requests that may run at a target at once. */
+function concurrencyLimitOf({ target }: TrackedServiceTarget): number {
   return Math.max(1, target.slots);
 }
--- a/packages/gateway/src/lapsed-targets.ts
+++ b/packages/gateway/src/lapsed-targets.ts
@@ -1,99 +1,98 @@
 /**
- * Targets whose entries lapsed while the store was away. They live on as long as
- * they did before; those that reach the store write themselves again soon after
- * its return. Dropping them at once would leave requests without any target.
+ * Keeps targets whose store entries expired during an outage of the store. Running targets
+ * write their entries again soon after the outage; without the delay no target would be left.
  */
 import type { TargetChange } from '@limelead/track-service-targets';
 import type { CancelTimer, Clock, Millis, Timers } from '@limelead/types';
 
-/** An outage shorter than this lets no entry lapse, in milliseconds. */
-const LEAST_OUTAGE_MS = 2_000;
-/** Time in which entries that lapsed are back after the store's return, in milliseconds. */
-const LONGEST_GRACE_MS = 2_000;
-/** Part of the time in which a target that left may still get work. */
-const GRACE_SHARE = 0.9;
+/** An outage shorter than this expires no entries. */
+const MIN_OUTAGE_MS = 2_000;
+/** Longest time that a removal is held back; targets write their entries again within it. */
+const MAX_GRACE_MS = 2_000;
+/** Fraction of `leavingTargetMs` that a removal may be held back. */
+const GRACE_FRACTION = 0.9;
 
-/** What holding needs. */
+/** Options of `LapsedTargets`. */
 export interface LapsedTargetsOptions {
   clock: Clock;
   timers: Timers;
-  /** Time after which a target that leaves may get no work any more, in milliseconds. */
+  /** Time within which a leaving target must stop receiving requests. */
   leavingTargetMs: Millis;
-  /** Whether a target is known and said that it leaves; its end is no lapse. */
+  /** Whether a target announced that it leaves; its removal is not held back. */
   isLeaving(id: string): boolean;
-  /** The entry did not come back. */
-  onGone(id: string): void;
+  /** Called when a held entry was not written again in time. */
+  onRemoved(id: string): void;
 }
 
-/** Holds back the end of targets during and right after an outage of the store. */
+/** Holds back removals of targets during an outage of the store and shortly after it. */
 export default class LapsedTargets {
   private lostAtMs: Millis | undefined;
   private graceEndsAtMs: Millis = -Infinity;
-  private readonly missing = new Map<string, CancelTimer>();
+  private readonly heldRemovals = new Map<string, CancelTimer>();
   private readonly graceMs: Millis;
 
   constructor(private readonly options: LapsedTargetsOptions) {
-    this.graceMs = Math.min(LONGEST_GRACE_MS, options.leavingTargetMs * GRACE_SHARE);
+    this.graceMs = Math.min(MAX_GRACE_MS, options.leavingTargetMs * GRACE_FRACTION);
   }
 
   /**
-   * The store stopped answering this VM, which may notice it only some time after
-   * the store's last answer to any VM.
+   * Starts an outage.
+   * @param lastAnswerAtMs the store's last answer to any VM, which may precede the detection
    */
-  noteStoreLost(lastAnswerAtMs: Millis = -Infinity): void {
+  onStoreLost(lastAnswerAtMs: Millis = -Infinity): void {
     const now = this.options.clock.now();
     const isKnown = Number.isFinite(lastAnswerAtMs);
     this.lostAtMs ??= isKnown ? Math.min(now, lastAnswerAtMs) : now;
   }
 
-  /** The store answers again. */
-  noteStoreRegained(): void {
+  /** Ends the outage; after a long one the grace period begins. */
+  onStoreRegained(): void {
     if (this.isLongOutage) {
       this.graceEndsAtMs = this.options.clock.now() + this.graceMs;
     }
     this.lostAtMs = undefined;
   }
 
-  /** Takes changes and gives those that hold now. */
+  /** Returns the changes to apply now; other removals are held back. */
   filter(changes: TargetChange[]): TargetChange[] {
-    return changes.filter((change) => !this.holdsBack(change));
+    return changes.filter((change) => !this.shouldHold(change));
   }
 
-  private holdsBack(change: TargetChange): boolean {
+  private shouldHold(change: TargetChange): boolean {
     if (change.kind === 'put') {
-      this.forget(change.target.id);
+      this.cancelHold(change.target.id);
       return false;
     }
     const { clock, isLeaving } = this.options;
     const mayBeBack = this.isLongOutage || clock.now() < this.graceEndsAtMs;
     if (!mayBeBack || isLeaving(change.id)) {
-      this.forget(change.id);
+      this.cancelHold(change.id);
       return false;
     }
     this.hold(change.id);
     return true;
   }
 
-  /** A peer may know the store again before this VM does. */
+  /** Whether a long outage is in progress. Changes may arrive through a peer that reaches the store first. */
   private get isLongOutage(): boolean {
     const now = this.options.clock.now();
-    return this.lostAtMs !== undefined && now - this.lostAtMs >= LEAST_OUTAGE_MS;
+    return this.lostAtMs !== undefined && now - this.lostAtMs >= MIN_OUTAGE_MS;
   }
 
-  /** Each entry has its own time to come back, from when it was first missing. */
+  /** Starts the grace period of an entry, unless it is already held. */
   private hold(id: string): void {
-    if (this.missing.has(id)) {
+    if (this.heldRemovals.has(id)) {
       return;
     }
     const cancel = this.options.timers.after(this.graceMs, () => {
-      this.missing.delete(id);
-      this.options.onGone(id);
+      this.heldRemovals.delete(id);
+      this.options.onRemoved(id);
     });
-    this.missing.set(id, cancel);
+    this.heldRemovals.set(id, cancel);
   }
 
-  private forget(id: string): void {
-    this.missing.get(id)?.();
-    this.missing.delete(id);
+  private cancelHold(id: string): void {
+    this.heldRemovals.get(id)?.();
+    this.heldRemovals.delete(id);
   }
 }
--- a/packages/http-front-door/src/http-front-door.test.ts
+++ b/packages/http-front-door/src/http-front-door.test.ts
@@ -2,24 +2,24 @@
 import { LimeleadError } from '@limelead/errors';
 import type { ForwardContext, TargetDialect } from '@limelead/forward-request';
 import {
-  KeptPrompts,
+  CachedPromptFinder,
   NO_BACKPRESSURE,
-  NO_LIMITS,
+  NO_RATE_LIMITS,
   OPEN_GATE,
   SlotQueue,
-  ReadingTime,
-  SilenceWatch,
-  TargetPace,
+  PrefillEstimator,
+  SilenceMonitor,
+  SlownessTracker,
 } from '@limelead/forward-request';
 import { createLocality } from '@limelead/locality';
 import createMetrics from '@limelead/metrics';
-import { createLoneGuard } from '@limelead/quarantine-requests';
+import { createIsolatedGuard } from '@limelead/quarantine-requests';
 import compileRoutes, { type RouteTable } from '@limelead/route-requests';
-import { RetrySpender } from '@limelead/spend-retries';
+import { RetryBudgetTracker } from '@limelead/spend-retries';
 import { TargetConnections } from '@limelead/target-connections';
 import { TargetDirectory } from '@limelead/track-service-targets';
 import {
-  askNobody,
+  noTargetAdvice,
   NO_DIRECTIVES,
   systemRandom,
   systemTimers,
@@ -36,7 +36,7 @@
 const clock = { now: () => performance.now() };
 
 const ingress: IngressDialect = {
-  readFacts(rawHeaders) {
+  parseHeaders(rawHeaders) {
     const read = (name: string): string | undefined => {
       const index = rawHeaders.findIndex((part, at) => at % 2 === 0 && part.toLowerCase() === name);
       return index < 0 ? undefined : rawHeaders[index + 1];
@@ -64,8 +64,8 @@
   }),
   composeProbe: () => ({ method: 'GET', path: '/', headers: [], body: Buffer.alloc(0) }),
   readProbe: () => undefined,
-  composeKeptQuery: () => ({ method: 'GET', path: '/', headers: [], body: Buffer.alloc(0) }),
-  readKept: () => new Set(),
+  composeCacheQuery: () => ({ method: 'GET', path: '/', headers: [], body: Buffer.alloc(0) }),
+  readCachedPrompts: () => new Set(),
 };
 
 const route: ServingRoute = {
@@ -95,11 +95,11 @@
   },
 };
 
-/** In place of a configuration: the VM has not learned any yet. */
-const NOTHING_KNOWN = 'nothing-known';
+/** Starts a VM that has no configuration yet. */
+const NO_CONFIGURATION = 'no-configuration';
 
-/** Bodies that the VM of these tests holds at once. */
-const MAX_HELD_BYTES = 2_500;
+/** Limit on request bodies in memory in these tests. */
+const MAX_BUFFERED_BODY_BYTES = 2_500;
 
 interface Arrived {
   path: string;
@@ -107,8 +107,8 @@
   organisation: string;
 }
 
-/** A front door before one target that answers with what it got. */
-class Bed {
+/** A front door with one target that echoes the body. */
+class TestBed {
   readonly arrived: Arrived[] = [];
   readonly metrics = createMetrics();
   door!: HttpFrontDoor;
@@ -118,16 +118,16 @@
   private readonly connections = new TargetConnections({
     clock,
     connectTimeoutMs: 300,
-    maxIdle: 2,
+    maxIdlePerTarget: 2,
   });
   private readonly sockets: Socket[] = [];
   private text = '';
 
   static async start(
-    known: ServingConfiguration | typeof NOTHING_KNOWN = configuration,
-  ): Promise<Bed> {
-    const bed = new Bed();
-    bed.table = known === NOTHING_KNOWN ? undefined : compileRoutes(known);
+    known: ServingConfiguration | typeof NO_CONFIGURATION = configuration,
+  ): Promise<TestBed> {
+    const bed = new TestBed();
+    bed.table = known === NO_CONFIGURATION ? undefined : compileRoutes(known);
     bed.target = createServer((request, response) => {
       let body = '';
       request.on('data', (chunk) => (body += String(chunk)));
@@ -147,20 +147,20 @@
       port: 0,
       context: bed.createContext(directory),
       dialect: ingress,
-      maxHeldBytes: MAX_HELD_BYTES,
+      maxBufferedBodyBytes: MAX_BUFFERED_BODY_BYTES,
     });
     bed.door.applyLimits(configuration.limits);
     await bed.door.listen();
     return bed;
   }
 
-  /** What the log says so far, a line each. */
+  /** The parsed log lines so far. */
   readLines(): Record<string, unknown>[] {
     const lines = this.text.split('\n').filter((line) => line !== '');
     return lines.map((line) => JSON.parse(line) as Record<string, unknown>);
   }
 
-  /** Sends raw bytes and gives everything that came until the connection ended, or matched. */
+  /** Sends raw bytes and returns what arrives until the text matches or the connection ends. */
   exchange(bytes: string, until?: RegExp): Promise<string> {
     return new Promise((resolve) => {
       let text = '';
@@ -206,27 +206,27 @@
       failureDomain: 'north',
       connections,
       dialect: targets,
-      askTarget: askNobody,
+      requestAdvice: noTargetAdvice,
       slots: new SlotQueue({
         ...{ ...shared, failureDomain: 'north', locality },
         limit: () => 4,
         gate: OPEN_GATE,
-        permits: NO_LIMITS,
+        permits: NO_RATE_LIMITS,
       }),
       gate: OPEN_GATE,
-      permits: NO_LIMITS,
-      guard: createLoneGuard({ clock, timers: systemTimers, log, metrics }),
-      silence: new SilenceWatch({ ...shared, connections, dialect: targets, log }),
-      reading: new ReadingTime(),
-      pace: new TargetPace(() => undefined),
-      kept: new KeptPrompts({ ...shared, connections, dialect: targets, log }),
+      permits: NO_RATE_LIMITS,
+      guard: createIsolatedGuard({ clock, timers: systemTimers, log, metrics }),
+      silence: new SilenceMonitor({ ...shared, connections, dialect: targets, log }),
+      prefill: new PrefillEstimator(),
+      slowness: new SlownessTracker(() => undefined),
+      cachedPrompts: new CachedPromptFinder({ ...shared, connections, dialect: targets, log }),
       log,
       metrics,
       observer: {},
-      readTable: () => this.table,
-      readKnowledgeAgeMs: () => 0,
+      readRouteTable: () => this.table,
+      readStoreViewAgeMs: () => 0,
       readConfigurationSource: () => 'store',
-      retriesOf: () => new RetrySpender({ ratio: 1, slack: 10, windowMs: 1_000 }),
+      retryBudgetOf: () => new RetryBudgetTracker({ ratio: 1, slack: 10, windowMs: 1_000 }),
       countVms: () => 1,
     };
   }
@@ -242,12 +242,12 @@
 const GOOD = head(['Content-Length: 2']) + '\r\nhi';
 const ANSWERED = /got hi/;
 
-async function statusOf(bed: Bed, bytes: string): Promise<string> {
+async function statusOf(bed: TestBed, bytes: string): Promise<string> {
   return (await bed.exchange(bytes, /\r\n\r\n/)).slice(9, 12);
 }
 
-test('a good request reaches its target as it was, with its organisation in place of the key', async () => {
-  const bed = await Bed.start();
+test('a valid request reaches its target unchanged, with its organisation instead of the key', async () => {
+  const bed = await TestBed.start();
   const text = await bed.exchange(GOOD, ANSWERED);
   assert.match(text, /^HTTP\/1.1 200/);
   assert.equal(bed.arrived, [{ path: '/call/1', body: 'hi', organisation: 'north' }]);
@@ -257,8 +257,8 @@
   await bed.stop();
 });
 
-test('what is no request gets its answer from the closed list and reaches no target', async () => {
-  const bed = await Bed.start();
+test('an invalid request gets its status and reaches no target', async () => {
+  const bed = await TestBed.start();
   const cases: [string, string][] = [
     ['400', 'no request at all\r\n\r\n'],
     ['400', head(['Content-Length: 2', 'Transfer-Encoding: chunked']) + '\r\n0\r\n\r\n'],
@@ -282,29 +282,29 @@
   await bed.stop();
 });
 
-test('every answer that this VM makes itself has a line with the id, where it can be read', async () => {
-  const bed = await Bed.start();
+test("every answer of the VM itself is logged with the request's id, if it can be read", async () => {
+  const bed = await TestBed.start();
   const both = head(['Content-Length: 2', 'Transfer-Encoding: chunked']) + '\r\n0\r\n\r\n';
   await statusOf(bed, both);
   await statusOf(bed, head([], '/elsewhere/1') + '\r\n');
-  const told = bed.readLines().filter(({ status }) => status !== undefined);
+  const logged = bed.readLines().filter(({ status }) => status !== undefined);
   assert.equal(
-    told.map(({ event, requestId, status }) => [event, requestId, status]),
+    logged.map(({ event, requestId, status }) => [event, requestId, status]),
     [
       ['request-malformed', 'r1', 400],
       ['request-refused', 'r1', 404],
     ],
   );
   assert.equal(
-    told.map(({ source }) => source),
+    logged.map(({ source }) => source),
     ['store', 'store'],
   );
-  assert.is(told[0]?.['firstLine'], 'POST /call/1 HTTP/1.1');
+  assert.is(logged[0]?.['firstLine'], 'POST /call/1 HTTP/1.1');
   await bed.stop();
 });
 
-test('a request in absolute form goes by the host of its target, and reaches the target as a path', async () => {
-  const bed = await Bed.start();
+test('a request in absolute form is routed by its URL and reaches the target as a path', async () => {
+  const bed = await TestBed.start();
   const sent = head(['Content-Length: 2'], 'http://vans.example:80/call/1?x=2');
   const text = await bed.exchange(sent.replace('Host: vans', 'Host: other') + '\r\nhi', ANSWERED);
   assert.match(text, /^HTTP\/1.1 200/);
@@ -314,8 +314,8 @@
   await bed.stop();
 });
 
-test('a refusal of a request without a body keeps its connection, one before the end of a body does not', async () => {
-  const bed = await Bed.start();
+test('a refusal keeps the connection of a request without a body, not that of an unread body', async () => {
+  const bed = await TestBed.start();
   const empty = head([], '/elsewhere/1') + '\r\n';
   const text = await bed.exchange(empty + GOOD, ANSWERED);
   assert.match(text, /^HTTP\/1.1 404[^]*HTTP\/1.1 200/);
@@ -324,15 +324,15 @@
   await bed.stop();
 });
 
-test('an expectation that this VM does not know is passed over', async () => {
-  const bed = await Bed.start();
+test('an unknown Expect header is ignored', async () => {
+  const bed = await TestBed.start();
   const text = await bed.exchange(head(['Expect: luck', 'Content-Length: 2']) + '\r\nhi', ANSWERED);
   assert.match(text, /^HTTP\/1.1 200/);
   await bed.stop();
 });
 
-test('a head or body that comes too slowly ends with 408, and nothing else is disturbed', async () => {
-  const bed = await Bed.start();
+test('a slow head or body gets 408 without effect on other requests', async () => {
+  const bed = await TestBed.start();
   const slowHead = bed.exchange('POST /call/1 HTTP/1.1\r\nHost: va');
   const slowBody = bed.exchange(head(['Content-Length: 5']) + '\r\nh', /\r\n\r\n/);
   assert.match(await bed.exchange(GOOD, ANSWERED), /200/);
@@ -342,11 +342,11 @@
   await bed.stop();
 });
 
-test('bodies of many callers together are bounded; what is given back serves others', async () => {
-  const bed = await Bed.start();
+test('the bodies of all callers share one limit, and released bytes can be used again', async () => {
+  const bed = await TestBed.start();
   const partial = head(['Content-Length: 1000']) + `\r\n${'x'.repeat(990)}`;
   const held = [bed.exchange(partial), bed.exchange(partial)];
-  while (bed.door.heldBodyBytes < 1_980) {
+  while (bed.door.bufferedBodyBytes < 1_980) {
     await new Promise((resolve) => setImmediate(resolve));
   }
   const whole = head(['Content-Length: 900']) + `\r\n${'x'.repeat(900)}`;
@@ -356,8 +356,8 @@
   await bed.stop();
 });
 
-test('a request inside the body of another is never taken for one', async () => {
-  const bed = await Bed.start();
+test('a request inside the body of another is not parsed as a request', async () => {
+  const bed = await TestBed.start();
   const inner = head(['Content-Length: 0'], '/call/inner') + '\r\n';
   const outer = head([`Content-Length: ${inner.length}`]) + `\r\n${inner}`;
   await bed.exchange(outer, /got/);
@@ -368,64 +368,64 @@
   await bed.stop();
 });
 
-test('without a configuration a VM says when to come back, and never that a route is unknown', async () => {
-  const blind = await Bed.start(NOTHING_KNOWN);
-  const text = await blind.exchange(GOOD, /\r\n\r\n/);
+test('without a configuration a VM answers 503 with Retry-After, not 404', async () => {
+  const bed = await TestBed.start(NO_CONFIGURATION);
+  const text = await bed.exchange(GOOD, /\r\n\r\n/);
   assert.match(text, /^HTTP\/1.1 503/);
   assert.match(text, /Retry-After: 0\.\d/);
-  await blind.stop();
+  await bed.stop();
 });
 
-test('a request that came before the configuration is held, and served once it is known', async () => {
-  const bed = await Bed.start(NOTHING_KNOWN);
+test('a request that arrives before the configuration is held and then served', async () => {
+  const bed = await TestBed.start(NO_CONFIGURATION);
   const held = bed.exchange(GOOD, ANSWERED);
-  while (bed.door.underWay === 0) {
+  while (bed.door.openRequests === 0) {
     await new Promise((resolve) => setImmediate(resolve));
   }
-  bed.door.noteKnowledge();
+  bed.door.onStoreViewChange();
   assert.equal(bed.arrived, []);
   bed.table = compileRoutes(configuration);
-  bed.door.noteKnowledge();
+  bed.door.onStoreViewChange();
   assert.match(await held, /^HTTP\/1.1 200/);
   assert.is(bed.arrived.length, 1);
   await bed.stop();
 });
 
-test('a VM that stops before it knows a configuration refuses at once what it held', async () => {
-  const bed = await Bed.start(NOTHING_KNOWN);
+test('a VM that stops before it has a configuration refuses held requests at once', async () => {
+  const bed = await TestBed.start(NO_CONFIGURATION);
   const held = bed.exchange(GOOD, /\r\n\r\n/);
-  while (bed.door.underWay === 0) {
+  while (bed.door.openRequests === 0) {
     await new Promise((resolve) => setImmediate(resolve));
   }
-  bed.door.beginStop(clock.now() + 5_000);
+  bed.door.startDraining(clock.now() + 5_000);
   assert.match(await held, /^HTTP\/1.1 503/);
   await bed.stop();
 });
 
-test('a stopping VM finishes what it reads and ends each connection with its answer', async () => {
-  const bed = await Bed.start();
-  bed.door.beginStop(clock.now() + 5_000);
+test('a stopping VM finishes requests and closes each connection after the answer', async () => {
+  const bed = await TestBed.start();
+  bed.door.startDraining(clock.now() + 5_000);
   const text = await bed.exchange(GOOD);
   assert.match(text, /^HTTP\/1.1 200/);
   assert.match(text, /connection: close/i);
   await bed.stop();
 });
 
-test('a front door that closed has no request left that could still be sent on', async () => {
-  const bed = await Bed.start();
+test('a closed front door has no open requests', async () => {
+  const bed = await TestBed.start();
   const partial = head(['Content-Length: 1000']) + '\r\nx';
   void bed.exchange(partial);
-  while (bed.door.underWay === 0) {
+  while (bed.door.openRequests === 0) {
     await new Promise((resolve) => setImmediate(resolve));
   }
   await bed.door.close();
-  assert.is(bed.door.underWay, 0);
+  assert.is(bed.door.openRequests, 0);
   await bed.stop();
 });
 
-test('a call that may outlast a stopping VM is refused as not run, and reaches no target', async () => {
-  const bed = await Bed.start();
-  bed.door.beginStop(clock.now() + 150);
+test('a call that may outlast a stopping VM is refused as not run and reaches no target', async () => {
+  const bed = await TestBed.start();
+  bed.door.startDraining(clock.now() + 150);
   const text = await bed.exchange(GOOD);
   assert.match(text, /^HTTP\/1.1 503/);
   assert.match(text, /Retry-After: /i);
--- a/packages/http-front-door/src/read-body.ts
+++ b/packages/http-front-door/src/read-body.ts
@@ -1,47 +1,47 @@
-/** Reads a request's body whole, within limits of size and time. */
+/** Reads a whole request body within limits on size and time. */
 import { LimeleadError } from '@limelead/errors';
 import type { Timers } from '@limelead/types';
 import type { IncomingMessage } from 'node:http';
 
-/** How a body may arrive. */
+/** Limits on a request body. */
 export interface BodyLimits {
   maxBytes: number;
-  /** Longest pause between two parts, in milliseconds. */
-  pauseMs: number;
+  /** Longest pause between two chunks. */
+  idleTimeoutMs: number;
 }
 
-/** Bytes of bodies that the whole VM holds, against the most that it may. */
+/** Limits the bytes of all request bodies in memory. */
 export class BodyBudget {
-  private held = 0;
+  private reserved = 0;
 
   constructor(private readonly maxBytes: number) {}
 
-  /** Bytes held now. */
-  get heldBytes(): number {
-    return this.held;
+  /** Bytes reserved now. */
+  get reservedBytes(): number {
+    return this.reserved;
   }
 
-  /** Takes bytes; false where there is no room, and then nothing was taken. */
-  tryTake(bytes: number): boolean {
-    if (this.held + bytes > this.maxBytes) {
+  /** Reserves bytes; returns false and reserves nothing if the limit would be exceeded. */
+  tryReserve(bytes: number): boolean {
+    if (this.reserved + bytes > this.maxBytes) {
       return false;
     }
-    this.held += bytes;
+    this.reserved += bytes;
     return true;
   }
 
-  giveBack(bytes: number): void {
-    this.held -= bytes;
+  release(bytes: number): void {
+    this.reserved -= bytes;
   }
 }
 
-/** What became of a body; exactly one of the two is called, or none where the caller left. */
+/** Result of reading a body. One of the two is called, or none if the caller disconnects. */
 export interface BodyEvents {
   onBody(body: Buffer): void;
   onRefused(error: LimeleadError): void;
 }
 
-/** Starts reading. What it takes from the budget is given back by the result. */
+/** Starts reading a body. The returned function releases the bytes reserved for it. */
 export default function readBody(
   message: IncomingMessage,
   limits: BodyLimits,
@@ -49,28 +49,28 @@
   timers: Timers,
   events: BodyEvents,
 ): () => void {
-  const announced = Number(message.headers['content-length'] ?? 0);
-  if (announced > limits.maxBytes) {
-    events.onRefused(describeSize(limits));
+  const contentLength = Number(message.headers['content-length'] ?? 0);
+  if (contentLength > limits.maxBytes) {
+    events.onRefused(createTooLargeError(limits));
     return () => undefined;
   }
   const chunks: Buffer[] = [];
   let bytes = 0;
-  let taken = 0;
+  let reserved = 0;
   let isOver = false;
   let cancelTimer = startTimer();
 
   function startTimer() {
-    return timers.after(limits.pauseMs, () =>
-      finish(() => events.onRefused(new LimeleadError('too-slow', 'the body came too slowly'))),
+    return timers.after(limits.idleTimeoutMs, () =>
+      finish(() => events.onRefused(new LimeleadError('too-slow', 'the body arrived too slowly'))),
     );
   }
 
-  function finish(tell: () => void): void {
+  function finish(notify: () => void): void {
     if (!isOver) {
       isOver = true;
       cancelTimer();
-      tell();
+      notify();
     }
   }
 
@@ -80,14 +80,16 @@
     }
     bytes += chunk.length;
     if (bytes > limits.maxBytes) {
-      finish(() => events.onRefused(describeSize(limits)));
+      finish(() => events.onRefused(createTooLargeError(limits)));
       return;
     }
-    if (!budget.tryTake(chunk.length)) {
-      finish(() => events.onRefused(new LimeleadError('overloaded', 'too many bodies at once')));
+    if (!budget.tryReserve(chunk.length)) {
+      finish(() =>
+        events.onRefused(new LimeleadError('overloaded', 'too many request bodies in memory')),
+      );
       return;
     }
-    taken += chunk.length;
+    reserved += chunk.length;
     chunks.push(chunk);
     cancelTimer();
     cancelTimer = startTimer();
@@ -96,11 +98,11 @@
   message.on('error', () => finish(() => undefined));
   message.on('close', () => finish(() => undefined));
   return () => {
-    budget.giveBack(taken);
-    taken = 0;
+    budget.release(reserved);
+    reserved = 0;
   };
 }
 
-function describeSize({ maxBytes }: BodyLimits): LimeleadError {
+function createTooLargeError({ maxBytes }: BodyLimits): LimeleadError {
   return new LimeleadError('too-large', `the body is longer than ${maxBytes} bytes`);
 }
--- a/packages/order-capacity/src/domain-view.ts
+++ b/packages/order-capacity/src/domain-view.ts
@@ -1,17 +1,19 @@
-/** What is there of one service, failure domain by failure domain. */
+/** Counts the targets of one service by failure domain. */
 import type { ServiceScaling, ServiceTarget } from '@limelead/types';
-import type { TargetKind, ThereCount } from './order-book.js';
+import type { TargetKind, PresentTargets } from './plan-orders.js';
 
-/** One failure domain as the store tells it. */
+/** Targets of one failure domain, as listed in the store. */
 export interface DomainView {
-  plain: ThereCount;
-  spot: ThereCount;
-  /** All spot targets of the domain leave: none is to be had there for a while. */
+  plain: PresentTargets;
+  spot: PresentTargets;
+  /**
+   * True while all spot targets of the domain are leaving; no new ones are available for a while.
+   */
   isReclaimed: boolean;
 }
 
-/** Looks at every target once. */
-export default function viewDomains(
+/** Counts targets by failure domain, kind and readiness. */
+export default function createDomainViews(
   targets: readonly ServiceTarget[],
   scaling: ServiceScaling,
 ): Map<string, DomainView> {
@@ -29,7 +31,7 @@
 }
 
 function createView(): DomainView {
-  const none = (): ThereCount => ({ ready: 0, leaving: 0 });
+  const none = (): PresentTargets => ({ ready: 0, leaving: 0 });
   return { plain: none(), spot: none(), isReclaimed: false };
 }
 
--- a/packages/order-capacity/src/world.fixture.ts
+++ b/packages/order-capacity/src/fleet.fixture.ts
@@ -1,13 +1,13 @@
-/** One fleet: a platform, holders of the duty, and VMs that tell their load. */
+/** A fleet: a fake platform, duty holders, and VMs that report their load. */
 import type { Duty } from '@limelead/hold-duty';
 import type { ServedService } from '@limelead/types';
-import CapacityDuty from './capacity-duty.js';
-import DemandBook from './demand-book.js';
+import CapacityController from './capacity-controller.js';
+import DemandTracker from './demand-tracker.js';
 import createFakePlatform, { BOOT_MS, SERVICE } from './fake-platform.fixture.js';
 import { DEFAULT_CAPACITY, type CapacitySettings } from './settings.js';
 
-/** What a test may change. */
-export interface WorldOptions {
+/** Options that a test may change. */
+export interface FleetOptions {
   domains?: string[];
   plain?: number;
   scaling?: { min?: number; max?: number };
@@ -15,8 +15,8 @@
   isFenced?: boolean;
 }
 
-/** Creates everything; nothing runs before a holder is started. */
-export default function createWorld(options: WorldOptions = {}) {
+/** Creates the fleet; nothing runs before a holder is created. */
+export default function createFleet(options: FleetOptions = {}) {
   const { domains = ['a', 'b', 'c'], plain = 28, isFenced = true } = options;
   const fake = createFakePlatform(domains, plain, isFenced);
   const { time, targets, platform } = fake;
@@ -39,13 +39,13 @@
       holder: vm,
       permit: () =>
         state.token === undefined ? undefined : { token: state.token, heldSinceMs: 0 },
-      noteOutdated: (outdated) => {
+      markTokenOutdated: (outdated) => {
         state.outdated = outdated;
         state.token = undefined;
       },
     };
-    const demand = new DemandBook();
-    const capacity = new CapacityDuty({
+    const demand = new DemandTracker();
+    const capacity = new CapacityController({
       ...{ duty, platform, demand, clock: time.clock, timers: time.timers },
       log: {
         write: (event, fields = {}) => void lines.push({ event, fields }),
@@ -68,24 +68,24 @@
     return { demand, capacity, state };
   }
 
-  /** Lets VMs tell a steady load for some seconds. */
+  /** Reports a steady load of the VMs for some seconds. */
   async function load(
-    holders: { demand: DemandBook }[],
+    holders: { demand: DemandTracker }[],
     { runs, seconds, vms = 4 }: { runs: number; seconds: number; vms?: number },
   ): Promise<void> {
     for (let second = 0; second < seconds; second += 1) {
       for (let vm = 0; vm < vms; vm += 1) {
-        const told = tell(vm, runs / 4);
-        holders.forEach(({ demand }) => demand.take(`vm${vm}`, told, time.clock.now()));
+        const report = createReport(vm, runs / 4);
+        holders.forEach(({ demand }) => demand.recordReport(`vm${vm}`, report, time.clock.now()));
       }
       await time.advance(1_000);
     }
   }
 
-  const sums = new Map<number, number>();
-  function tell(vm: number, runs: number) {
-    const arrived = (sums.get(vm) ?? 0) + runs;
-    sums.set(vm, arrived);
+  const arrivedByVm = new Map<number, number>();
+  function createReport(vm: number, runs: number) {
+    const arrived = (arrivedByVm.get(vm) ?? 0) + runs;
+    arrivedByVm.set(vm, arrived);
     const promptTokens = arrived * 8_000;
     const now = { running: runs * 4, waiting: 0 };
     const begun = { begunTokens: promptTokens, begunMs: promptTokens * 0.14 };
--- a/packages/order-capacity/src/service-plan.ts
+++ b/packages/order-capacity/src/service-plan.ts
@@ -1,155 +1,162 @@
-/** What one service should have in each failure domain, from what is known of its load. */
+/** Plans the targets of one service in each failure domain from its load. */
 import {
-  estimateNeed,
+  estimateTargetNeed,
   forecastByQuantile,
-  limitFall,
-  NEED_COUNTS_MS,
+  limitScaleDown,
+  SCALE_DOWN_DELAY_MS,
   planDomains,
-  targetsAt,
+  targetsForUtilization,
   type CapacityPlan,
-  type FallState,
+  type ScaleDownState,
   type TargetCounts,
 } from '@limelead/plan-capacity';
-import type { EngineTraits, Millis, ServiceScaling } from '@limelead/types';
-import { LOAD_SECONDS, type KnownDemand } from './demand-book.js';
+import type { EngineCapabilities, Millis, ServiceScaling } from '@limelead/types';
+import { FORECAST_WINDOW_SECONDS, type DemandEstimate } from './demand-tracker.js';
 import type { DomainView } from './domain-view.js';
 import type { CapacitySettings } from './settings.js';
 
-/** Hundredths of runs, which fall as whole numbers do. */
-const HUNDREDTHS = 100;
-/** Seconds of load before which a forecast would follow chance. */
-const LEAST_SECONDS = 5;
-/** Tokens that a run holds beside its prompt, as a part of it: what it has written. */
-const WRITTEN_SHARE = 0.2;
+/** Scales runs per second to hundredths, since the scale-down limit works on whole numbers. */
+const RUNS_SCALE = 100;
+/** Minimum seconds of observed load for a forecast. */
+const MIN_OBSERVED_SECONDS = 5;
+/** Generated tokens that a run holds in memory, as a share of its prompt. */
+const GENERATED_TOKEN_SHARE = 0.2;
 
-/** A plan with what it came from. */
+/** A capacity plan with the forecast that it is based on. */
 export interface ServicePlan extends CapacityPlan {
-  /** Prompt tokens a second that are forecast; 0 where too little is known. */
+  /** Forecast prompt tokens per second; 0 if too little is known. */
   forecast: number;
-  /** Targets that carry the forecast; 0 where too little is known. */
+  /** Targets that carry the forecast; 0 if too little is known. */
   needed: number;
-  /** False while the plan only keeps what is there. */
-  isKnown: boolean;
+  /** False while the load is unknown and the plan only keeps the present targets. */
+  isLoadKnown: boolean;
 }
 
-/** What a plan is made from. */
-export interface ServiceFacts {
+/** Inputs of one planning pass. */
+export interface PlanInputs {
   now: Millis;
   scaling: ServiceScaling;
-  engine: EngineTraits;
-  demand: KnownDemand | undefined;
+  engine: EngineCapabilities;
+  demand: DemandEstimate | undefined;
   views: ReadonlyMap<string, DomainView>;
-  isDry(failureDomain: string): boolean;
+  isSpotUnavailable(failureDomain: string): boolean;
 }
 
-const START: FallState = { needed: 0, highest: 0, sinceMs: -Infinity, isFalling: false };
+const INITIAL_STATE: ScaleDownState = {
+  needed: 0,
+  peakNeed: 0,
+  sinceMs: -Infinity,
+  isScalingDown: false,
+};
 
-/** Remembers what a plan may not forget from one look to the next. */
+/** Plans one service and keeps state between planning passes. */
 export default class ServicePlanner {
-  private need = START;
-  private runs = START;
+  private need = INITIAL_STATE;
+  private runs = INITIAL_STATE;
   private startedAtMs: Millis | undefined;
-  private readMsPerToken: number | undefined;
-  private isKnown = false;
-  /** Most targets that were seen in each failure domain, until the load is known. */
-  private readonly seen = new Map<string, TargetCounts>();
+  private prefillMsPerToken: number | undefined;
+  private isLoadKnown = false;
+  /** Highest target counts seen in each failure domain, until the load is known. */
+  private readonly highestCounts = new Map<string, TargetCounts>();
   /** Domains whose plain targets this holder replaces by spot ones. */
-  private readonly swapped = new Set<string>();
+  private readonly switchedToSpot = new Set<string>();
 
   constructor(private readonly settings: CapacitySettings) {}
 
-  /** Until the load is known the plan keeps as many targets as there are, or more. */
-  plan(facts: ServiceFacts): ServicePlan {
-    const forecast = this.forecast(facts);
-    this.noteKnown(facts);
-    const planned = this.planFor(facts);
-    const told = { forecast, needed: this.need.needed, isKnown: this.isKnown };
-    if (this.isKnown) {
-      return { ...planned, ...told };
+  /** Returns the plan. Until the load is known, it keeps at least the present targets. */
+  plan(inputs: PlanInputs): ServicePlan {
+    const forecast = this.forecast(inputs);
+    this.updateLoadKnown(inputs);
+    const planned = this.planFor(inputs);
+    const details = { forecast, needed: this.need.needed, isLoadKnown: this.isLoadKnown };
+    if (this.isLoadKnown) {
+      return { ...planned, ...details };
     }
     const counts = new Map(
-      [...this.keepSeen(facts)].map(([name, { plain, spot }]): [string, TargetCounts] => {
+      [...this.keepHighestCounts(inputs)].map(([name, { plain, spot }]): [string, TargetCounts] => {
         const wanted = planned.counts.get(name) ?? { plain: 0, spot: 0 };
         return [name, { plain: Math.max(plain, wanted.plain), spot: Math.max(spot, wanted.spot) }];
       }),
     );
-    return { ...planned, ...told, counts };
+    return { ...planned, ...details, counts };
   }
 
   /**
-   * A new holder may order fewer once it saw all the load that forecasts look at, and only
-   * after as long as a need counts: a change of holder in a lull lowers nothing.
-   * Known once, it stays known: at night too few runs begin to tell how fast targets read.
+   * Marks the load as known once the forecast window is filled and the scale-down delay has passed,
+   * so that a change of holder during low load does not scale down. It then stays known, because at
+   * night too few runs start to measure the prefill time.
    */
-  private noteKnown({ demand, now }: ServiceFacts): void {
+  private updateLoadKnown({ demand, now }: PlanInputs): void {
     this.startedAtMs ??= now;
-    this.isKnown ||=
-      this.readMsPerToken !== undefined &&
-      (demand?.seenSeconds ?? 0) >= LOAD_SECONDS &&
-      now - this.startedAtMs >= NEED_COUNTS_MS;
+    this.isLoadKnown ||=
+      this.prefillMsPerToken !== undefined &&
+      (demand?.observedSeconds ?? 0) >= FORECAST_WINDOW_SECONDS &&
+      now - this.startedAtMs >= SCALE_DOWN_DELAY_MS;
   }
 
-  /** Gives the prompt tokens a second that are forecast, and takes the need for them. */
-  private forecast({ demand, engine, now }: ServiceFacts): number {
-    this.readMsPerToken = demand?.readMsPerToken ?? this.readMsPerToken;
+  /** Returns the forecast prompt tokens per second and updates the planned need. */
+  private forecast({ demand, engine, now }: PlanInputs): number {
+    this.prefillMsPerToken = demand?.prefillMsPerToken ?? this.prefillMsPerToken;
     if (
       demand === undefined ||
-      this.readMsPerToken === undefined ||
-      demand.seenSeconds < LEAST_SECONDS
+      this.prefillMsPerToken === undefined ||
+      demand.observedSeconds < MIN_OBSERVED_SECONDS
     ) {
       return 0;
     }
     const { headroom, load } = this.settings;
     const forecast = forecastByQuantile(headroom)(demand.tokensBySecond);
-    const need = estimateNeed(
+    const need = estimateTargetNeed(
       { promptTokensPerSecond: forecast, runs: demand.runs },
       {
-        readMsPerToken: this.readMsPerToken,
-        tokensPerRun: demand.tokensPerRun * (1 + WRITTEN_SHARE),
+        prefillMsPerToken: this.prefillMsPerToken,
+        tokensPerRun: demand.tokensPerRun * (1 + GENERATED_TOKEN_SHARE),
       },
       engine,
     );
-    this.need = limitFall(this.need, targetsAt(load, need), now);
-    // The reserve is weighed against late runs; a swing of the runs may not swing it.
-    this.runs = limitFall(this.runs, Math.ceil(demand.runsPerSecond * HUNDREDTHS), now);
+    this.need = limitScaleDown(this.need, targetsForUtilization(load, need), now);
+    // Late runs determine the reserve, so swings of the runs are smoothed as well.
+    this.runs = limitScaleDown(this.runs, Math.ceil(demand.runsPerSecond * RUNS_SCALE), now);
     return forecast;
   }
 
-  private planFor({ scaling, views, isDry }: ServiceFacts): CapacityPlan {
+  private planFor({ scaling, views, isSpotUnavailable }: PlanInputs): CapacityPlan {
     return planDomains({
       domains: [...views].map(([name, { spot }]) => ({
         name,
-        mostSpot: isDry(name) ? spot.ready : undefined,
+        maxSpot: isSpotUnavailable(name) ? spot.ready : undefined,
       })),
       scaling,
       policy: this.settings,
       needed: this.need.needed,
-      runsPerSecond: this.runs.needed / HUNDREDTHS,
+      runsPerSecond: this.runs.needed / RUNS_SCALE,
     });
   }
 
   /**
-   * As many as were seen. Where there are only plain ones, spot ones replace them; where an
-   * earlier holder already ordered spot ones, nobody knows here which of them replace others.
+   * Keeps the highest counts seen. Domains with only plain targets are switched to spot; if an
+   * earlier holder already ordered spot targets, it is unknown which plain ones they replace.
    */
-  private keepSeen({ views, scaling }: ServiceFacts): Map<string, TargetCounts> {
+  private keepHighestCounts({ views, scaling }: PlanInputs): Map<string, TargetCounts> {
     const { usesSpot, plainFloor } = this.settings;
-    const maySpot = usesSpot && (scaling.spotPrice ?? 1) < 1;
+    const canUseSpot = usesSpot && (scaling.spotPrice ?? 1) < 1;
     const counts = new Map<string, TargetCounts>();
     for (const [name, { plain, spot }] of views) {
-      const known = this.seen.get(name) ?? { plain: 0, spot: 0 };
-      const spotThere = this.swapped.has(name) ? 0 : spot.ready + spot.leaving;
-      const most = {
+      const known = this.highestCounts.get(name) ?? { plain: 0, spot: 0 };
+      const spotPresent = this.switchedToSpot.has(name) ? 0 : spot.ready + spot.leaving;
+      const highest = {
         plain: Math.min(scaling.max, Math.max(known.plain, plain.ready)),
-        spot: Math.max(known.spot, spotThere),
+        spot: Math.max(known.spot, spotPresent),
       };
-      this.seen.set(name, most);
-      if (maySpot && most.spot === 0 && most.plain > plainFloor) {
-        this.swapped.add(name);
+      this.highestCounts.set(name, highest);
+      if (canUseSpot && highest.spot === 0 && highest.plain > plainFloor) {
+        this.switchedToSpot.add(name);
       }
       counts.set(
         name,
-        this.swapped.has(name) ? { plain: plainFloor, spot: most.plain - plainFloor } : most,
+        this.switchedToSpot.has(name)
+          ? { plain: plainFloor, spot: highest.plain - plainFloor }
+          : highest,
       );
     }
     return counts;
--- a/packages/run-roll-outs/src/index.ts
+++ b/packages/run-roll-outs/src/index.ts
@@ -1,21 +1,21 @@
-/** Moves the traffic of a service to another version, or back, and writes what became of it. */
-export { default as RollOuts } from './roll-outs.js';
+/** Gradual roll-outs: moves traffic of a service to a new version and rolls back a bad one. */
+export { default as RollOutController } from './roll-out-controller.js';
 export type {
-  EndedSend,
-  RollOutKnowledge,
-  RollOutsOptions,
+  EndedAttempt,
+  RollOutSnapshot,
+  RollOutControllerOptions,
   TargetGroups,
-  TargetInUse,
-} from './roll-outs.js';
-export { HEARD_PART } from './version-trial.js';
-export { readStep, STEP_KEYS } from './step-item.js';
+  TargetUsage,
+} from './roll-out-controller.js';
+export { EVIDENCE_TTL_SHARE } from './version-trial.js';
+export { decodeStep, STEP_KEY_PREFIX } from './step-item.js';
 export { default as StepWriter, type StateItem, type StepWriterOptions } from './step-writer.js';
 export type {
   AgreedStep,
-  GatheredEvidence,
+  AggregatedEvidence,
   RollOutBounds,
   RollOutState,
   RollOutStep,
-  StandingOrder,
+  StoredOrder,
   VmEvidence,
 } from './types.js';
--- a/packages/run-roll-outs/src/run-roll-outs.test.ts
+++ b/packages/run-roll-outs/src/run-roll-outs.test.ts
@@ -9,62 +9,66 @@
   BAD_KINDS,
   BOUNDS,
   createRandom,
-  findBreaches,
-  playRollOut,
-  type RunPlan,
+  findViolations,
+  simulateRollOut,
+  type SimulationPlan,
 } from './fleet.fixture.js';
-import RollOuts, { type RollOutKnowledge } from './roll-outs.js';
-import planStep, { type StepFacts } from './plan-step.js';
-import { readStep, stepKeyOf } from './step-item.js';
-import StepWriter, { mayFollow } from './step-writer.js';
+import RollOutController, { type RollOutSnapshot } from './roll-out-controller.js';
+import planStep, { type StepInputs } from './plan-step.js';
+import { decodeStep, stepKey } from './step-item.js';
+import StepWriter, { canFollow } from './step-writer.js';
 import type { AgreedStep, RollOutStep } from './types.js';
 
-const RUN: Omit<RunPlan, 'kind' | 'seed'> = { vms: 3, durationMs: 60_000, hasFaults: true };
+const DEFAULT_PLAN: Omit<SimulationPlan, 'kind' | 'seed'> = {
+  vms: 3,
+  durationMs: 60_000,
+  hasFaults: true,
+};
 const SEEDS = [1, 2, 3, 4];
 
 for (const kind of ['good', ...BAD_KINDS] as const) {
-  test(`a version that is ${kind}: bounds and duty hold under faults`, async () => {
+  test(`a version that is ${kind}: exposure limits and final state hold under faults`, async () => {
     for (const seed of SEEDS) {
-      const plan = { ...RUN, seed, kind };
-      assert.equal(findBreaches(plan, await playRollOut(plan)), [], `seed ${seed}`);
+      const plan = { ...DEFAULT_PLAN, seed, kind };
+      assert.equal(findViolations(plan, await simulateRollOut(plan)), [], `seed ${seed}`);
     }
   });
 }
 
-test('a version whose verdict is ignored fails the check', async () => {
-  const plan: RunPlan = {
-    ...RUN,
+test('the check fails when verdicts are ignored', async () => {
+  const plan: SimulationPlan = {
+    ...DEFAULT_PLAN,
     seed: 1,
     kind: 'at-once',
-    createTest: () => ({ take: () => undefined }),
+    createTest: () => ({ evaluate: () => undefined }),
   };
-  const breaches = findBreaches(plan, await playRollOut(plan));
-  assert.ok(breaches.includes('exposure') && breaches.includes('duty'), breaches.join());
+  const violations = findViolations(plan, await simulateRollOut(plan));
+  assert.ok(violations.includes('exposure') && violations.includes('duty'), violations.join());
 });
 
 const STEPS: RollOutStep[] = ['trial', 'move', 'completed', 'rolled_back'];
 
-function agree(step: RollOutStep, order = 5): AgreedStep {
+function agreedStep(step: RollOutStep, order = 5): AgreedStep {
   return { order, version: 'v2', step, replaces: ['v1'] };
 }
 
-test('no step follows a final one of the same order, and a later order follows any', () => {
+test('no step replaces a final one of the same order, and a later order replaces any step', () => {
   for (const step of STEPS) {
-    assert.not.ok(mayFollow(agree('completed'), agree(step)));
-    assert.not.ok(mayFollow(agree('rolled_back'), agree(step)));
-    assert.ok(mayFollow(agree('completed'), agree(step, 6)));
-    assert.not.ok(mayFollow(agree('trial', 6), agree(step)));
+    assert.not.ok(canFollow(agreedStep('completed'), agreedStep(step)));
+    assert.not.ok(canFollow(agreedStep('rolled_back'), agreedStep(step)));
+    assert.ok(canFollow(agreedStep('completed'), agreedStep(step, 6)));
+    assert.not.ok(canFollow(agreedStep('trial', 6), agreedStep(step)));
   }
 });
 
-/** One VM alone, which holds the duty, with a store in memory. */
-function createAlone() {
+/** A single VM that holds the duty, with an in-memory store. */
+function createSingleVm() {
   const items = new Map<string, StoreEntry>();
   const lines: LogFields[] = [];
   let now = 0;
   let revision = 10;
   let fault: PortFault | undefined;
-  let known: RollOutKnowledge = { orders: [], steps: new Map(), targets: [] };
+  let known: RollOutSnapshot = { orders: [], steps: new Map(), targets: [] };
   const store: ConditionalStore = {
     read: (key) => async () => E.right(items.get(key)),
     write: (conditions, writes) => async () => {
@@ -88,7 +92,7 @@
     flush: async () => undefined,
     dropped: 0,
   };
-  const rollOuts = new RollOuts({
+  const rollOuts = new RollOutController({
     clock: { now: () => now },
     random: createRandom(1),
     log,
@@ -108,17 +112,17 @@
     listTargets: () => known.targets.map((target) => ({ target, inFlight: 0 })),
     isSuspected: () => false,
     countVms: () => 1,
-    countTellers: () => 1,
-    isInTouch: () => true,
-    gathers: () => true,
-    tellGatherers: () => undefined,
-    tellAll: () => undefined,
+    countReportingVms: () => 1,
+    isUpToDate: () => true,
+    isAggregator: () => true,
+    sendToAggregators: () => undefined,
+    broadcast: () => undefined,
   });
-  const take = (change: Partial<RollOutKnowledge>): void => {
-    const item = items.get(stepKeyOf('s'));
-    const agreed = item && readStep(item.value);
+  const take = (change: Partial<RollOutSnapshot>): void => {
+    const item = items.get(stepKey('s'));
+    const agreed = item && decodeStep(item.value);
     known = { ...known, steps: new Map(agreed ? [['s', agreed]] : []), ...change };
-    rollOuts.take(known);
+    rollOuts.onSnapshot(known);
   };
   return {
     rollOuts,
@@ -129,7 +133,7 @@
     status: (service = 's') => items.get(`status/${service}`)?.value.toString(),
     async runFor(ms: number): Promise<void> {
       for (const untilMs = now + ms; now < untilMs; now += 500) {
-        rollOuts.round();
+        rollOuts.runRound();
         await new Promise((resolve) => setImmediate(resolve));
         take({});
       }
@@ -166,8 +170,8 @@
 ] as const;
 
 for (const { name, given, reason } of BAD_ORDERS) {
-  test(`${name} is answered by rolled_back, with a line`, async () => {
-    const vm = createAlone();
+  test(`${name} is rolled back and logged`, async () => {
+    const vm = createSingleVm();
     vm.take({ targets: [target('v1')] });
     vm.take({ orders: [given] });
     await vm.runFor(1_000);
@@ -177,16 +181,16 @@
   });
 }
 
-test('the version that is in force already is completed at once', async () => {
-  const vm = createAlone();
+test('an order for the active version is completed at once', async () => {
+  const vm = createSingleVm();
   vm.take({ targets: [target('v2')] });
   vm.take({ orders: [order()] });
   await vm.runFor(1_000);
   assert.is(vm.status(), 'completed v2');
 });
 
-test('a version that no target has is rolled back by the deadline', async () => {
-  const vm = createAlone();
+test('a version without targets is rolled back by the deadline', async () => {
+  const vm = createSingleVm();
   vm.take({ targets: [target('v1')] });
   vm.take({ orders: [order()] });
   await vm.runFor(50_000);
@@ -196,8 +200,8 @@
   assert.is(vm.lines.at(-2)?.['reason'], 'no-target');
 });
 
-test('an order that is deleted is rolled back, and its version gets nothing more', async () => {
-  const vm = createAlone();
+test('a deleted order is rolled back, and its version gets no more requests', async () => {
+  const vm = createSingleVm();
   const targets = [target('v1'), target('v2')];
   vm.take({ targets: [target('v1')] });
   vm.take({ orders: [order()], targets });
@@ -206,11 +210,11 @@
   await vm.runFor(20_000);
   assert.is(vm.status(), 'rolled_back v2');
   const usable = targets.map((known) => ({ target: known }));
-  assert.equal(vm.rollOuts.arrange('s', usable, false), [usable.slice(0, 1)]);
+  assert.equal(vm.rollOuts.groupByPreference('s', usable, false), [usable.slice(0, 1)]);
 });
 
-test('a second order takes the place of the first, whose version gets nothing more', async () => {
-  const vm = createAlone();
+test('a second order replaces the first, whose version gets no more requests', async () => {
+  const vm = createSingleVm();
   const targets = [target('v1'), target('v2'), target('v3')];
   vm.take({ targets: [target('v1')] });
   vm.take({ orders: [order()], targets: targets.slice(0, 2) });
@@ -218,7 +222,7 @@
   vm.take({ orders: [order('v3', 60_000, 's', 12)], targets });
   await vm.runFor(10_000);
   assert.is(vm.status(), 'running v3');
-  const [first, second] = vm.rollOuts.arrange(
+  const [first, second] = vm.rollOuts.groupByPreference(
     's',
     targets.map((known) => ({ target: known })),
     false,
@@ -228,47 +232,47 @@
   assert.equal([ids(first), ids(second)], [['v3-0'], ['v1-0']]);
 });
 
-test('a version without an order waits until news of one would have come', async () => {
-  const vm = createAlone();
+test('a version without an order is not used until an order would have arrived', async () => {
+  const vm = createSingleVm();
   const targets = [target('v1'), target('v2')];
   vm.take({ targets: [target('v1')] });
   vm.take({ targets });
   const usable = targets.map((known) => ({ target: known }));
-  assert.equal(vm.rollOuts.arrange('s', usable, false), [usable.slice(0, 1)]);
-  assert.not.ok(vm.rollOuts.mayTake(target('v2')));
+  assert.equal(vm.rollOuts.groupByPreference('s', usable, false), [usable.slice(0, 1)]);
+  assert.not.ok(vm.rollOuts.isAllowed(target('v2')));
   await vm.runFor(5_500);
-  assert.equal(vm.rollOuts.arrange('s', usable, false), [usable]);
+  assert.equal(vm.rollOuts.groupByPreference('s', usable, false), [usable]);
 });
 
-test('a replacement of the same version is taken at once, and costs no group', () => {
-  const vm = createAlone();
+test('a replacement target of the same version is used at once without grouping', () => {
+  const vm = createSingleVm();
   vm.take({ targets: [target('v1')] });
   vm.take({ targets: [target('v1'), target('v1', 1)] });
   const usable = [target('v1'), target('v1', 1)].map((known) => ({ target: known }));
-  assert.is(vm.rollOuts.arrange('s', usable, false)[0], usable);
+  assert.is(vm.rollOuts.groupByPreference('s', usable, false)[0], usable);
 });
 
-test('a request that a target failed does not go to the version under trial', async () => {
-  const vm = createAlone();
+test('a retry is not sent to the version under trial', async () => {
+  const vm = createSingleVm();
   const targets = [target('v1'), target('v2')];
   vm.take({ targets: [target('v1')] });
   vm.take({ orders: [order()], targets });
   await vm.runFor(2_000);
   const usable = targets.map((known) => ({ target: known }));
-  assert.is(vm.rollOuts.arrange('s', usable, false).length, 2);
-  assert.equal(vm.rollOuts.arrange('s', usable, true), [usable.slice(0, 1)]);
+  assert.is(vm.rollOuts.groupByPreference('s', usable, false).length, 2);
+  assert.equal(vm.rollOuts.groupByPreference('s', usable, true), [usable.slice(0, 1)]);
 });
 
-test('a VM that started while the order stood gets no part of the slack', async () => {
-  const vm = createAlone();
+test('a VM that starts after the order gets no share of the slack', async () => {
+  const vm = createSingleVm();
   vm.take({ orders: [order()], targets: [target('v1'), target('v2')] });
   await vm.runFor(2_000);
   assert.is(vm.status(), 'running v2');
-  assert.not.ok(vm.rollOuts.wantsTrial('s'));
+  assert.not.ok(vm.rollOuts.shouldSendTrial('s'));
 });
 
-test('a write whose answer is lost is found done, and none is written twice', async () => {
-  const vm = createAlone();
+test('a write whose answer was lost is not repeated', async () => {
+  const vm = createSingleVm();
   vm.take({ targets: [target('v1')] });
   vm.take({ orders: [order()] });
   vm.failWrites(new PortFault('timeout', 'maybe', 'no answer'));
@@ -280,32 +284,32 @@
   assert.ok(vm.lines.some(({ event }) => event === 'roll-out-write-failed'));
 });
 
-test('long behind a roll-out a return to the old version is a plain replacement', async () => {
-  const vm = createAlone();
+test('long after a roll-out, targets of the old version are used again without an order', async () => {
+  const vm = createSingleVm();
   vm.take({ targets: [target('v2')] });
   vm.take({ orders: [order()] });
   await vm.runFor(1_000);
   vm.take({ orders: [], targets: [target('v2'), target('v1')] });
   await vm.runFor(40_000);
-  assert.ok(vm.rollOuts.mayTake(target('v1')));
+  assert.ok(vm.rollOuts.isAllowed(target('v1')));
 });
 
-test('a version that was taken back may come as a replacement once its order is gone', async () => {
-  const vm = createAlone();
+test('a rolled-back version may be used without an order once its order is deleted', async () => {
+  const vm = createSingleVm();
   vm.take({ targets: [target('v1')] });
   vm.take({ orders: [order('v2', 0)], targets: [target('v1'), target('v2')] });
   await vm.runFor(60_000);
-  assert.not.ok(vm.rollOuts.mayTake(target('v2')));
+  assert.not.ok(vm.rollOuts.isAllowed(target('v2')));
   vm.take({ orders: [] });
   await vm.runFor(40_000);
-  assert.ok(vm.rollOuts.mayTake(target('v2')));
+  assert.ok(vm.rollOuts.isAllowed(target('v2')));
 });
 
-test('a step whose order was deleted is ended by a VM that never saw the order', async () => {
-  const vm = createAlone();
-  vm.items.set(stepKeyOf('s'), {
-    key: stepKeyOf('s'),
-    value: Buffer.from(JSON.stringify(agree('trial'))),
+test('a step whose order was deleted is ended by a VM that never saw the order ', async () => {
+  const vm = createSingleVm();
+  vm.items.set(stepKey('s'), {
+    key: stepKey('s'),
+    value: Buffer.from(JSON.stringify(agreedStep('trial'))),
     revision: 7,
   });
   vm.take({ targets: [target('v1'), target('v2')] });
@@ -313,24 +317,24 @@
   assert.is(vm.status(), 'rolled_back v2');
 });
 
-const MOVING: StepFacts = {
+const MOVING: StepInputs = {
   step: 'move',
   durationMs: 20_000,
   ageMs: 19_000,
-  movedForMs: 500,
+  movingForMs: 500,
   isOrdered: true,
   isBad: false,
-  isInForce: false,
-  targets: 1,
+  isAlreadyActive: false,
+  targetCount: 1,
   answers: 100,
-  isMoved: false,
+  isDrained: false,
 };
 
-test('no move begins too late to be watched, and none is completed unwatched', () => {
+test('no move starts too late to be observed, and none completes unobserved', () => {
   assert.is(planStep({ ...MOVING, step: 'trial', ageMs: 17_500 }), undefined);
   assert.is(planStep({ ...MOVING, step: 'trial', ageMs: 14_000 })?.step, 'move');
   assert.is(planStep(MOVING), undefined);
-  assert.is(planStep({ ...MOVING, movedForMs: 3_000 })?.reason, 'time-is-over');
+  assert.is(planStep({ ...MOVING, movingForMs: 3_000 })?.reason, 'time-is-over');
 });
 
 test.run();
--- a/packages/run-roll-outs/src/step-item.ts
+++ b/packages/run-roll-outs/src/step-item.ts
@@ -1,10 +1,10 @@
-/** The agreed step as an item of the store, in the product's own shape. */
+/** Encodes and decodes the agreed step as a stored item. */
 import * as E from 'fp-ts/lib/Either.js';
 import * as t from 'io-ts';
 import type { AgreedStep } from './types.js';
 
-/** Keys of the items begin so; the service's name follows. */
-export const STEP_KEYS = 'limelead/roll-out/';
+/** Prefix of the items' keys; the service's name follows it. */
+export const STEP_KEY_PREFIX = 'limelead/roll-out/';
 
 const stepCodec = t.type({
   order: t.number,
@@ -18,18 +18,18 @@
   replaces: t.array(t.string),
 });
 
-/** Key of the item of a service. */
-export function stepKeyOf(service: string): string {
-  return `${STEP_KEYS}${service}`;
+/** Returns the key of a service's item. */
+export function stepKey(service: string): string {
+  return `${STEP_KEY_PREFIX}${service}`;
 }
 
-/** The item's value. */
-export function writeStep(agreed: AgreedStep): Buffer {
+/** Encodes a step as the value of its item. */
+export function encodeStep(agreed: AgreedStep): Buffer {
   return Buffer.from(JSON.stringify(agreed));
 }
 
-/** The step; undefined where the value holds none. */
-export function readStep(value: Buffer): AgreedStep | undefined {
+/** Decodes a step; undefined if the value is not a valid step. */
+export function decodeStep(value: Buffer): AgreedStep | undefined {
   try {
     const decoded = stepCodec.decode(JSON.parse(value.toString('utf8')));
     return E.isRight(decoded) ? decoded.right : undefined;
--- a/packages/share-evidence/src/leaving-messages.ts
+++ b/packages/share-evidence/src/leaving-messages.ts
@@ -1,22 +1,22 @@
-/** Wire format of leaving announcements; ages replace times, since VMs share no clock. */
-import type { LeavingFact } from '@limelead/track-backpressure';
+/**
+ * Wire format of leaving announcements. It carries ages instead of times, since VMs share no clock.
+ */
+import type { LeavingUpdate } from '@limelead/track-backpressure';
 import type { Millis } from '@limelead/types';
 import * as t from 'io-ts';
 
-/** An optional field of the message of lost targets, which older releases ignore. */
-export const leavingNewsCodec = t.array(t.type({ target: t.string, heardAgoMs: t.number }));
+/** An optional field of the message of lost targets; older releases ignore it. */
+export const leavingUpdateCodec = t.array(t.type({ target: t.string, heardAgoMs: t.number }));
 
-type LeavingNews = t.TypeOf<typeof leavingNewsCodec>;
+type LeavingUpdateMessage = t.TypeOf<typeof leavingUpdateCodec>;
 
-/** Encodes announcements. */
-export function composeLeavingNews(facts: LeavingFact[], now: Millis): LeavingNews {
-  return facts.map(({ target, heardAtMs }) => ({
+export function encodeLeavingUpdate(updates: LeavingUpdate[], now: Millis): LeavingUpdateMessage {
+  return updates.map(({ target, receivedAtMs }) => ({
     target,
-    heardAgoMs: Math.round(now - heardAtMs),
+    heardAgoMs: Math.round(now - receivedAtMs),
   }));
 }
 
-/** Decodes announcements. */
-export function readLeavingNews(news: LeavingNews, now: Millis): LeavingFact[] {
-  return news.map(({ target, heardAgoMs }) => ({ target, heardAtMs: now - heardAgoMs }));
+export function decodeLeavingUpdate(message: LeavingUpdateMessage, now: Millis): LeavingUpdate[] {
+  return message.map(({ target, heardAgoMs }) => ({ target, receivedAtMs: now - heardAgoMs }));
 }
--- a/packages/spend-retries/src/retry-budgets.ts
+++ b/packages/spend-retries/src/retry-budgets.ts
@@ -1,48 +1,47 @@
-/** The retry budgets of all services that one VM sends to. */
+/** Retry budgets of one VM, by service. */
 import type { Clock } from '@limelead/types';
-import RetrySpender, { type RetryBudget } from './retry-spender.js';
+import RetryBudgetTracker, { type RetryBudgetLimits } from './retry-budget-tracker.js';
 
-/** What the budgets need. */
 export interface RetryBudgetsOptions {
-  budget: RetryBudget;
+  limits: RetryBudgetLimits;
   clock: Clock;
-  /** VMs that share the slack, this one included. */
+  /** Number of VMs that share the slack, including this one. */
   countVms(): number;
-  /** Called when this VM has few repeats left for a service, or none. */
-  onShort(service: string): void;
+  /** Called when this VM has few or no retries left for a service. */
+  onLow(service: string): void;
 }
 
-/** Holds one spender for each service; all have the same bounds. */
+/** Holds one budget per service, all with the same limits. */
 export default class RetryBudgets {
-  private readonly spenders = new Map<string, RetrySpender>();
-  private budget: RetryBudget;
+  private readonly budgets = new Map<string, RetryBudgetTracker>();
+  private limits: RetryBudgetLimits;
 
   constructor(private readonly options: RetryBudgetsOptions) {
-    this.budget = options.budget;
+    this.limits = options.limits;
   }
 
-  /** The spender of a service. */
-  of(service: string): RetrySpender {
-    const known = this.spenders.get(service);
-    const spender = known ?? new RetrySpender(this.budget, () => this.options.onShort(service));
-    this.spenders.set(service, spender);
-    return spender;
+  /** Returns the budget of a service, creating it on first use. */
+  forService(service: string): RetryBudgetTracker {
+    const known = this.budgets.get(service);
+    const budget = known ?? new RetryBudgetTracker(this.limits, () => this.options.onLow(service));
+    this.budgets.set(service, budget);
+    return budget;
   }
 
-  /** Lends repeats of a service to a peer; gives their number. */
+  /** Lends retries of a service to a peer and returns their number. */
   lend(service: string, wanted: number): number {
     const { clock, countVms } = this.options;
-    return this.of(service).lend(clock.now(), countVms(), wanted);
+    return this.forService(service).lend(clock.now(), countVms(), wanted);
   }
 
-  /** Takes repeats of a service that a peer lent. */
-  borrow(service: string, repeats: number): void {
-    this.of(service).borrow(this.options.clock.now(), repeats);
+  /** Adds retries of a service that a peer lent. */
+  borrow(service: string, retries: number): void {
+    this.forService(service).borrow(this.options.clock.now(), retries);
   }
 
-  /** Puts other bounds in force for every service. What was spent so far still counts. */
-  change(budget: RetryBudget): void {
-    this.budget = budget;
-    this.spenders.forEach((spender) => spender.changeBudget(budget));
+  /** Changes the limits of all services. Attempts and retries so far still count. */
+  changeLimits(limits: RetryBudgetLimits): void {
+    this.limits = limits;
+    this.budgets.forEach((budget) => budget.changeLimits(limits));
   }
 }
--- a/packages/stand-ins/src/engine/batch.ts
+++ b/packages/stand-ins/src/engine/batch.ts
@@ -1,50 +1,49 @@
-/** Continuous batching: running generations get a token a step, waiting ones a slot by priority. */
+/** Simulates continuous batching: each step decodes one token per running generation; slots go by rank. */
 import { countPromptTokens } from '@limelead/outside-protocol';
 import type { Clock, FinishReason, StartOrder } from '@limelead/types';
 import type PrefixCache from './prefix-cache.js';
 import { answerLength, tokenAt, type TokenSource } from './tokens.js';
 
-/** How fast the engine is. */
+/** Slots and speed of an engine. */
 export interface BatchOptions {
   slots: number;
-  /** Milliseconds of a step with an empty batch. */
+  /** Duration of a step with an empty batch. */
   baseGapMs: number;
-  /** Part of the base gap that a full batch adds. */
+  /** Share of `baseGapMs` that a full batch adds to a step. */
   loadSlowdown: number;
   prefillTokensPerSecond: number;
-  /** Milliseconds for which a generation runs on that nobody reads. */
+  /** Time for which a generation without a reader keeps running. */
   orphanMs: number;
 }
 
-/** What the engine did for one generation; for the checks at the end. */
-export interface EngineRecord {
+/** Work that an engine did for one generation and how the generation ended. */
+export interface GenerationRecord {
   generationId: string;
   prefillTokens: number;
   decodedTokens: number;
   ended: 'running' | 'finished' | 'cancelled' | 'orphaned';
 }
 
-/** One generation in the engine. */
+/** A generation in the batch. */
 export interface EngineGeneration {
   order: StartOrder;
   source: TokenSource;
-  /** Attempt of the present reader; lower ones are fenced. */
+  /** Attempt of the current reader; lower attempts are fenced. */
   attempt: number;
-  /** Offset of the next token to decode. */
-  position: number;
+  nextOffset: number;
   length: number;
   isPrefilled: boolean;
-  prefillLeft: number;
+  remainingPrefillTokens: number;
   nextTokenAtMs: number;
-  unreadSinceMs: number | undefined;
-  /** Wakes the reader after a change. */
-  notify: () => void;
-  record: EngineRecord;
+  withoutReaderSinceMs: number | undefined;
+  /** Tells the reader that tokens or the state changed. */
+  notifyReader: () => void;
+  record: GenerationRecord;
 }
 
-/** All generations of one engine. */
+/** Running and waiting generations of one engine. */
 export default class Batch {
-  readonly records: EngineRecord[] = [];
+  readonly records: GenerationRecord[] = [];
   private readonly generations = new Map<string, EngineGeneration>();
   private lastStepMs: number;
 
@@ -56,7 +55,7 @@
     this.lastStepMs = clock.now();
   }
 
-  /** Takes a generation in; gives the prompt tokens that need no processing. */
+  /** Adds a generation; returns how many of its prompt tokens are cached. */
   add(
     order: StartOrder,
     hasImportedKv: boolean,
@@ -66,7 +65,7 @@
     const cachedPromptTokens = Math.floor(promptTokens * cachedShare);
     const prefixTokens = hasImportedKv ? 0 : order.forcedPrefix.length;
     const source = { prompt: order.prompt, modelVersion: order.modelVersion, seed: order.seed };
-    const record: EngineRecord = {
+    const record: GenerationRecord = {
       generationId: order.generationId,
       prefillTokens: promptTokens - cachedPromptTokens + prefixTokens,
       decodedTokens: 0,
@@ -77,13 +76,13 @@
       order,
       source,
       attempt: order.attempt,
-      position: order.forcedPrefix.length,
+      nextOffset: order.forcedPrefix.length,
       length: answerLength(source, order.maxTokens),
       isPrefilled: false,
-      prefillLeft: record.prefillTokens,
+      remainingPrefillTokens: record.prefillTokens,
       nextTokenAtMs: 0,
-      unreadSinceMs: undefined,
-      notify: () => undefined,
+      withoutReaderSinceMs: undefined,
+      notifyReader: () => undefined,
       record,
     });
     return { cachedPromptTokens, promptTokens };
@@ -93,33 +92,33 @@
     return this.generations.get(generationId);
   }
 
-  /** Ends a generation early. */
-  remove(generation: EngineGeneration, ended: EngineRecord['ended']): void {
+  /** Removes a generation and records how it ended. */
+  remove(generation: EngineGeneration, ended: GenerationRecord['ended']): void {
     generation.record.ended = ended;
     this.generations.delete(generation.order.generationId);
-    generation.notify();
+    generation.notifyReader();
   }
 
   get running(): EngineGeneration[] {
-    return this.ordered().slice(0, this.options.slots);
+    return this.listUnfinishedByRank().slice(0, this.options.slots);
   }
 
   get waiting(): number {
-    return Math.max(0, this.open - this.options.slots);
+    return Math.max(0, this.unfinished - this.options.slots);
   }
 
   /** Generations that still have tokens to decode. */
-  get open(): number {
-    return this.ordered().length;
+  get unfinished(): number {
+    return this.listUnfinishedByRank().length;
   }
 
-  /** Milliseconds between the tokens of one stream now. */
-  get gapMs(): number {
+  /** Current time between two tokens of one stream. */
+  get tokenGapMs(): number {
     const { baseGapMs, loadSlowdown, slots } = this.options;
     return baseGapMs * (1 + (loadSlowdown * this.running.length) / slots);
   }
 
-  /** One step: prefill in order, then a token for each running generation. */
+  /** Runs one step: prefill by rank, then one token for each prefilled generation. */
   step(): void {
     const now = this.clock.now();
     this.prefill(now - this.lastStepMs);
@@ -127,17 +126,16 @@
     for (const generation of this.running) {
       this.decode(generation, now);
     }
-    this.dropOrphans(now);
+    this.removeOrphans(now);
   }
 
-  /** The reason with which a generation ends. */
-  static reasonOf(generation: EngineGeneration): FinishReason {
+  static finishReasonOf(generation: EngineGeneration): FinishReason {
     return generation.length < generation.order.maxTokens ? 'stop' : 'length';
   }
 
-  private ordered(): EngineGeneration[] {
+  private listUnfinishedByRank(): EngineGeneration[] {
     return [...this.generations.values()]
-      .filter((generation) => generation.position < generation.length)
+      .filter((generation) => generation.nextOffset < generation.length)
       .sort((a, b) => a.order.rank - b.order.rank);
   }
 
@@ -147,10 +145,10 @@
       if (generation.isPrefilled) {
         continue;
       }
-      const done = Math.min(budget, generation.prefillLeft);
-      generation.prefillLeft -= done;
-      budget -= done;
-      if (generation.prefillLeft > 0) {
+      const processed = Math.min(budget, generation.remainingPrefillTokens);
+      generation.remainingPrefillTokens -= processed;
+      budget -= processed;
+      if (generation.remainingPrefillTokens > 0) {
         return;
       }
       generation.isPrefilled = true;
@@ -162,27 +160,30 @@
     if (!generation.isPrefilled || now < generation.nextTokenAtMs) {
       return;
     }
-    generation.position += 1;
+    generation.nextOffset += 1;
     generation.record.decodedTokens += 1;
     const { paceTokensPerSecond } = generation.order;
     generation.nextTokenAtMs = paceTokensPerSecond > 0 ? now + 1000 / paceTokensPerSecond : 0;
-    generation.notify();
+    generation.notifyReader();
   }
 
-  private dropOrphans(now: number): void {
+  private removeOrphans(now: number): void {
     for (const generation of this.generations.values()) {
-      const { unreadSinceMs } = generation;
-      if (unreadSinceMs !== undefined && now - unreadSinceMs > this.options.orphanMs) {
+      const { withoutReaderSinceMs } = generation;
+      if (
+        withoutReaderSinceMs !== undefined &&
+        now - withoutReaderSinceMs > this.options.orphanMs
+      ) {
         this.remove(generation, 'orphaned');
       }
     }
   }
 }
 
-/** The tokens of a generation from an offset up to what is decoded. */
-export function readTokens(generation: EngineGeneration, from: number): string[] {
-  const { order, position, source } = generation;
-  return Array.from({ length: Math.max(0, position - from) }, (_, index) => {
+/** Returns the decoded tokens of a generation, starting at an offset. */
+export function listDecodedTokens(generation: EngineGeneration, from: number): string[] {
+  const { order, nextOffset, source } = generation;
+  return Array.from({ length: Math.max(0, nextOffset - from) }, (_, index) => {
     const offset = from + index;
     return order.forcedPrefix[offset] ?? tokenAt(source, offset);
   });
--- a/packages/stand-ins/src/plain-service.ts
+++ b/packages/stand-ins/src/plain-service.ts
@@ -1,4 +1,4 @@
-/** A plain service that records every run of every call. */
+/** Stand-in for a plain service that counts the runs of each call. */
 import { PLAIN_SERVICE_PREFIX, REQUEST_ID_HEADER } from '@limelead/outside-protocol';
 import { delay, systemTimers } from '@limelead/types';
 import type { FastifyInstance } from 'fastify';
@@ -7,23 +7,23 @@
 /** A running plain service with switches for its faults. */
 export interface PlainServiceStandIn {
   port: number;
-  /** Runs of each request id. */
+  /** Number of runs by request ID. */
   runs(): ReadonlyMap<string, number>;
-  /** Breaks the link after the next calls ran, before they are answered. */
-  loseReplies(count: number): void;
-  /** Milliseconds that each call takes. */
-  takeMs(milliseconds: number): void;
-  die(): Promise<void>;
-  revive(): Promise<void>;
+  /** Runs the next `count` calls but closes their connections instead of answering. */
+  dropReplies(count: number): void;
+  /** Sets the duration of each call. */
+  setCallDurationMs(milliseconds: number): void;
+  crash(): Promise<void>;
+  restart(): Promise<void>;
   pause(): void;
-  wake(): void;
+  resume(): void;
   stop(): Promise<void>;
 }
 
 /** Starts a plain service on loopback. */
 export default async function startPlainService(): Promise<PlainServiceStandIn> {
   const runs = new Map<string, number>();
-  let repliesToLose = 0;
+  let repliesToDrop = 0;
   let callMs = 0;
 
   function register(server: FastifyInstance): void {
@@ -38,8 +38,8 @@
       if (callMs > 0) {
         await delay(systemTimers, callMs);
       }
-      if (repliesToLose > 0) {
-        repliesToLose -= 1;
+      if (repliesToDrop > 0) {
+        repliesToDrop -= 1;
         request.raw.socket.destroy();
         return reply;
       }
@@ -55,12 +55,12 @@
       return server.port;
     },
     runs: () => runs,
-    loseReplies: (count) => void (repliesToLose = count),
-    takeMs: (milliseconds) => void (callMs = milliseconds),
-    die: () => server.die(),
-    revive: () => server.listen(),
+    dropReplies: (count) => void (repliesToDrop = count),
+    setCallDurationMs: (milliseconds) => void (callMs = milliseconds),
+    crash: () => server.crash(),
+    restart: () => server.listen(),
     pause: () => server.pause(),
-    wake: () => server.wake(),
-    stop: () => server.die(),
+    resume: () => server.resume(),
+    stop: () => server.crash(),
   };
 }
--- a/packages/store-configuration/src/stored-head.ts
+++ b/packages/store-configuration/src/stored-head.ts
@@ -1,8 +1,8 @@
-/** Reads the head with what it refers to, and swaps it. */
+/** Reads, compacts and swaps the head. */
 import {
   applyChanges,
   EMPTY_CONFIGURATION,
-  fromResources,
+  buildConfiguration,
   type Configuration,
 } from '@limelead/configuration-state';
 import { PortFault } from '@limelead/errors';
@@ -14,59 +14,64 @@
 import { HEAD_KEY } from './keys.js';
 import { readSnapshot, writeSnapshot } from './snapshot.js';
 
-/** Changes in the head at which older ones are archived. */
+/** Number of changes in the head above which older ones are archived. */
 export const MAX_HEAD_CHANGES = 96;
-/** Characters of the head at which older changes are archived early. */
+/** Length of the head above which older changes are archived. */
 const MAX_HEAD_CHARACTERS = 400_000;
 
-/** The configuration and the newest changes, as read. */
-export interface ReadResult {
+/** The configuration and its newest changes, as read from the service. */
+export interface StoredConfiguration {
   configuration: Configuration;
   changes: Change[];
-  /** Version of the head key, for a following watch. */
+  /** Version of the head key; a watch continues from it. */
   headVersion: number;
-  /** Revision in the service; below the configuration's own where the service was restored. */
+  /** Revision in the service; lower than the configuration's if the service was restored from a backup. */
   storedRevision: Revision;
 }
 
 /** The head with the version of its key. */
-export interface ReadHead {
+export interface VersionedHead {
   head: Head;
   version: number;
 }
 
-/** Puts a head and the configuration that it stands for together. */
-export function toResult(configuration: Configuration, { head, version }: ReadHead): ReadResult {
+/** Combines a head with its configuration. */
+export function toStoredConfiguration(
+  configuration: Configuration,
+  { head, version }: VersionedHead,
+): StoredConfiguration {
   const { changes, revision: storedRevision } = head;
   return { configuration, changes, headVersion: version, storedRevision };
 }
 
-/** Reads the head and loads what is not yet known. */
-export function readResult(
+/** Reads the head and loads what `known` lacks. */
+export function readStoredConfiguration(
   store: KeyValueStore,
   known: Configuration,
   call: PortCall<StoredValue> = store.get(HEAD_KEY),
-): PortCall<ReadResult> {
+): PortCall<StoredConfiguration> {
   return async () => {
     const found = await readHead(call)();
-    return E.isLeft(found) ? found : loadResult(store, known, found.right)();
+    return E.isLeft(found) ? found : loadStoredConfiguration(store, known, found.right)();
   };
 }
 
-/** Loads what a head stands for. */
-export function loadResult(
+/** Loads the configuration of a head. */
+export function loadStoredConfiguration(
   store: KeyValueStore,
   known: Configuration,
-  read: ReadHead,
-): PortCall<ReadResult> {
+  read: VersionedHead,
+): PortCall<StoredConfiguration> {
   return async () => {
     const configuration = await loadConfiguration(store, known, read.head)();
-    return E.isLeft(configuration) ? configuration : E.right(toResult(configuration.right, read));
+    return E.isLeft(configuration)
+      ? configuration
+      : E.right(toStoredConfiguration(configuration.right, read));
   };
 }
 
-/** Decodes the head that a call gives. */
-export function readHead(call: PortCall<StoredValue>): PortCall<ReadHead> {
+/** Decodes the head that a call returns. */
+export function readHead(call: PortCall<StoredValue>): PortCall<VersionedHead> {
   return async () => {
     const stored = await call();
     if (E.isLeft(stored)) {
@@ -74,12 +79,12 @@
     }
     const head = decodeHead(stored.right.value);
     return head === undefined
-      ? E.left(new PortFault('invalid', 'no', 'the head of the configuration does not hold'))
+      ? E.left(new PortFault('invalid', 'no', 'the head of the configuration is invalid'))
       : E.right({ head, version: stored.right.version });
   };
 }
 
-/** Catches up from what is known; reads the snapshot only where the head's changes do not reach back. */
+/** Updates the known configuration; reads the snapshot only if the head lacks some of the missing changes. */
 function loadConfiguration(
   store: KeyValueStore,
   known: Configuration,
@@ -99,16 +104,16 @@
       return snapshot;
     }
     const { resources, removals } = snapshot.right;
-    return E.right(applyChanges(fromResources(revision, resources, removals), head.changes));
+    return E.right(applyChanges(buildConfiguration(revision, resources, removals), head.changes));
   };
 }
 
-/** The head with one more change. */
+/** Returns the head with one more change. */
 export function appendToHead(head: Head, change: Change): Head {
   return { ...head, revision: change.revision, changes: [...head.changes, change] };
 }
 
-/** Moves old changes into the history behind a snapshot, before the head gets too large. */
+/** If the head is large, writes a snapshot and archives old changes; returns the resulting head. */
 export function compactHead(
   store: KeyValueStore,
   head: Head,
@@ -127,7 +132,7 @@
   };
 }
 
-/** Gives the new version, or undefined where somebody else was faster. */
+/** Replaces the head; returns its new version, or undefined if another VM replaced it first. */
 export function swapHead(
   store: KeyValueStore,
   version: number,
